--- a/src/router/_patient_world.ts
+++ b/src/router/_patient_world.ts
@@ -1,4 +1,7 @@
-/** Worlds whose requests have far more time than any pause takes, and what their callers get. */
+/**
+ * Test setups whose requests have much more time than any simulated pause, and checks of the
+ * answers.
+ */
 import assert from "node:assert/strict";
 import type { TestContext } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -22,20 +25,22 @@
   type World,
 } from "./_world.ts";
 
-/** Far beyond what the pauses take, also beside load. */
+/** Much longer than any simulated pause, even on a loaded computer. */
 export const TIME_MS = 30_000;
-/** Headers of a model request with that time. */
+/** Headers of a model request with the timeout {@link TIME_MS}. */
 export const ASKED: Record<string, string> = {
   ...PROMPT,
   ...headersOf({ timeMs: TIME_MS }),
 };
 
-/** Pause of clients before they come back. */
-const COME_BACK_MS = 100;
-/** What the platform allows beside a fifth of the requests; no test here has five. */
+/** Pause of clients between retries. */
+const RETRY_PAUSE_MS = 100;
+/**
+ * Resends that the platform allows in addition to a fifth of the requests; no test here has five.
+ */
 const RESEND_SLACK = 54;
 
-/** A world with what its entries log. */
+/** A test setup that records the log lines of its entries. */
 export interface PatientWorld extends World {
   lines: LogLine[];
 }
@@ -43,14 +48,16 @@
 /** Settings of a {@link PatientWorld}. */
 export interface PatientWorldOptions {
   entryCount?: number;
-  /** Of all routes; left out: as they have it. */
+  /** Overrides the limit of all routes, if given. */
   maxAttempts?: number;
 }
 
 /**
- * @param t The test; its end stops everything.
- * @param options How many entries, and how often a request may run.
- * @returns A world whose routes leave that time, too, and whose entries know each other.
+ * Starts entries that know each other, with routes whose timeout is {@link TIME_MS}.
+ *
+ * @param t The test; everything is stopped at its end.
+ * @param options Number of entries, and maximum attempts per request.
+ * @returns The running setup.
  */
 export async function openPatientWorld(
   t: TestContext,
@@ -69,13 +76,13 @@
 }
 
 /**
- * Asks as a client does that comes back as long as its request has not run: beside load an entry
- * refuses some before it sends them.
+ * Sends a request and retries it as long as it was refused and has not run: on a loaded computer an
+ * entry may refuse requests before it sends them.
  *
- * @param world Its servers tell whether the request has run.
+ * @param world Its servers record whether the request has run.
  * @param path Path and query.
- * @param options Headers, and whom to ask; left out: the first entry.
- * @returns What its caller gets.
+ * @param options Headers, and the entry to ask; default: the first entry.
+ * @returns The client's answer.
  */
 export async function askTaken(
   world: World,
@@ -93,15 +100,17 @@
   while (true) {
     const asked = await ask(entry, path, headers);
     if (asked.status !== 503 || hasRun()) return asked;
-    await sleep(COME_BACK_MS);
+    await sleep(RETRY_PAUSE_MS);
   }
 }
 
 /**
- * @param world Where it is asked.
- * @param i Number of the request, whose prompt is its own.
- * @param entry Whom to ask; left out: the first entry.
- * @returns What its caller gets.
+ * Sends another request, with a prompt of its own.
+ *
+ * @param world The running setup.
+ * @param i Number of the request.
+ * @param entry The entry to ask; default: the first one.
+ * @returns The client's answer.
  */
 export function askOther(
   world: World,
@@ -113,9 +122,11 @@
 }
 
 /**
- * @param asked What a caller got.
- * @param what Shown if it isn't a whole stream.
- * @param options How many events a whole one has.
+ * Asserts that a client received a complete stream.
+ *
+ * @param asked The client's answer.
+ * @param what Message on failure.
+ * @param options Number of events of a complete stream.
  */
 export function assertWhole(
   { isWhole, body, status }: Asked,
@@ -128,9 +139,11 @@
 }
 
 /**
- * @param world A world in which requests were answered.
- * @param asked What callers got.
- * @param options How many events a whole stream has, and how many requests there were in all.
+ * Asserts that all clients received complete streams and that resends stayed within their limit.
+ *
+ * @param world The running setup.
+ * @param asked The clients' answers.
+ * @param options Number of events of a complete stream, and total number of requests.
  */
 export function assertAllWhole(
   world: PatientWorld,
@@ -152,40 +165,44 @@
 }
 
 /**
- * @param world A world.
- * @returns How many requests its servers ran; one that ran twice counts twice.
+ * Counts runs.
+ *
+ * @param world The running setup.
+ * @returns Number of runs on its servers; a request that ran twice counts twice.
  */
 export function runsOf(world: World): number {
   return world.workers.flatMap(({ runs }) => runs).length;
 }
 
 /**
- * @param worker Refuses all requests as not run.
- * @param forMs For so long.
+ * Makes a server refuse all requests for some time, as not run.
+ *
+ * @param worker The server.
+ * @param forMs How long.
  */
 export function refuseFor(worker: StandinPlatformWorker, forMs: number): void {
   worker.faults.refuse = Infinity;
   setTimeout(() => worker.faults.refuse = 0, forMs);
 }
 
-/** Two engines, and a stream at each. */
+/** Two engines, each with a running stream. */
 export interface StreamAtEach {
   engines: StandinPlatformWorker[];
-  /** In the engines' order. */
+  /** In the order of the engines. */
   answers: Promise<Asked>[];
 }
 
-/** Events of a {@link StreamAtEach}. */
+/** Number of events of the streams of a {@link StreamAtEach}. */
 export const LONG_EVENTS = 60;
 
 /**
- * Streams that run long enough to be moved. Which engine a request goes to is a matter of chance
- * where an entry has not heard of the other ones' load for a while: only one takes requests as each
- * of the streams is asked for.
+ * Starts a stream on each of two engines, long enough to be moved. While the entries lack current
+ * load data of each other, the choice of the engine is random, so only one engine accepts requests
+ * when each stream starts.
  *
- * @param world A world without engines.
- * @param options Name of the streams' route, and headers.
- * @returns The streams, which have begun to run.
+ * @param world A setup without engines.
+ * @param options Route name of the streams, and headers.
+ * @returns The running streams.
  */
 export async function streamAtEach(
   world: World,
@@ -219,13 +236,17 @@
   };
 }
 
-/** A stream with its events held back until a test lets them go. */
+/** Holds back the events of a stream until a test opens it. */
 export interface Gate {
   opened: Promise<void>;
   open(): void;
 }
 
-/** @returns A gate that is shut. */
+/**
+ * Creates a closed gate.
+ *
+ * @returns The gate.
+ */
 export function shutGate(): Gate {
   let open = () => {};
   const opened = new Promise<void>((resolve) => open = resolve);
@@ -239,8 +260,10 @@
 }
 
 /**
- * @param lines What entries logged.
- * @returns Where requests went and why they ended.
+ * Extracts the request log lines.
+ *
+ * @param lines Log lines of the entries.
+ * @returns For each request, its servers and how it ended.
  */
 export function requestsOf(lines: LogLine[]): LogLine[] {
   return lines.filter(({ event }) => event === "request").map((
--- a/src/router/_suspect_world.ts
+++ b/src/router/_suspect_world.ts
@@ -1,4 +1,4 @@
-/** Entries that tell each other of suspected requests, over links that lose datagrams, in virtual time. */
+/** Simulates, in virtual time, entries that gossip suspected requests over lossy links. */
 import { Result } from "true-myth";
 import { Metrics } from "../base/mod.ts";
 import type { KeyValueEntry, KeyValueStore } from "../store/mod.ts";
@@ -6,61 +6,64 @@
 import { registration, silentLog, TestClock } from "./_kit.ts";
 import { Quarantine } from "./quarantine.ts";
 
-/** Pause between datagrams, and step of the world. */
+/** Interval of datagrams, and step of the simulation. */
 export const TICK_MS = 50;
-/** Pause between looks at the record. */
-const LOOK_MS = 500;
-/** Time until a change of the store is known everywhere. */
-const MIRROR_MS = 200;
-/** Time that a request runs until its server ends. */
-const RUN_MS = 60;
+/** Interval at which entries check the store's record. */
+const RECORD_POLL_MS = 500;
+/** Delay until all entries see a change in the store. */
+const WATCH_DELAY_MS = 200;
+/** How long a request runs until its server crashes. */
+const CRASH_AFTER_MS = 60;
 
-/** One entry. */
+/** A simulated entry. */
 export interface SuspectEntry {
   quarantine: Quarantine;
   record: SuspectRecord;
   startedAtMs: number;
-  /** What it has of the store's record. */
+  /** The entry's copy of the store's record. */
   known: KeyValueEntry | undefined;
 }
 
-/** Settings of a {@link SuspectWorld}. */
-export interface SuspectWorldOptions {
+/** Settings of a {@link SuspectSimulation}. */
+export interface SuspectSimulationOptions {
   entryCount: number;
-  /** Share of the datagrams that are lost. */
+  /** Share of datagrams that are lost. */
   loss: number;
   random: () => number;
 }
 
-/** Entries and a store. */
-export class SuspectWorld {
+/** Simulation of entries and a store. */
+export class SuspectSimulation {
   readonly clock = new TestClock();
   readonly entries: SuspectEntry[] = [];
-  isStoreAway = false;
-  readonly #options: SuspectWorldOptions;
+  isStoreDown = false;
+  readonly #options: SuspectSimulationOptions;
   #stored: KeyValueEntry | undefined;
   #storedAtMs = -Infinity;
-  #lookedAtMs = -Infinity;
+  #polledAtMs = -Infinity;
   #ends = 0;
   writes = 0;
 
-  private constructor(options: SuspectWorldOptions) {
+  private constructor(options: SuspectSimulationOptions) {
     this.#options = options;
     for (let i = 0; i < options.entryCount; i++) {
-      this.entries.push(this.#open());
+      this.entries.push(this.#startEntry());
     }
   }
 
-  static create(options: SuspectWorldOptions): SuspectWorld {
-    return new SuspectWorld(options);
+  static create(options: SuspectSimulationOptions): SuspectSimulation {
+    return new SuspectSimulation(options);
   }
 
-  /** The entry's process is gone, and another one takes its place. */
+  /** Kills an entry's process and starts a new one. */
   restart(index: number): void {
-    this.entries[index] = this.#open();
+    this.entries[index] = this.#startEntry();
   }
 
-  /** A server ends under these requests, all of them at one entry; it had begun the first one last. */
+  /**
+   * Ends a server while these requests of one entry are in flight on it; it started to answer the
+   * first one last.
+   */
   end(entry: SuspectEntry, digests: string[]): void {
     const atMs = this.clock.nowMs();
     const server = registration(`i-${this.#ends++}`);
@@ -69,24 +72,24 @@
       digest,
       answeringMs: 20 + 100 * i,
       atMs,
-      runMs: RUN_MS,
+      runMs: CRASH_AFTER_MS,
     }));
     entry.quarantine.ended(server, lost);
   }
 
-  /** Time goes on by a tick. */
+  /** Advances the time by one tick. */
   async step(): Promise<void> {
     this.clock.advance(TICK_MS);
-    for (const entry of this.entries) this.#tell(entry);
-    if (this.isStoreAway) return;
+    for (const entry of this.entries) this.#broadcast(entry);
+    if (this.isStoreDown) return;
     const nowMs = this.clock.nowMs();
-    for (const entry of this.entries) this.#mirror(entry);
-    if (nowMs - this.#lookedAtMs < LOOK_MS) return;
-    this.#lookedAtMs = nowMs;
+    for (const entry of this.entries) this.#syncRecord(entry);
+    if (nowMs - this.#polledAtMs < RECORD_POLL_MS) return;
+    this.#polledAtMs = nowMs;
     for (const { record } of this.entries) await record.update();
   }
 
-  #open(): SuspectEntry {
+  #startEntry(): SuspectEntry {
     const { clock } = this;
     const { random, entryCount } = this.#options;
     const quarantine = Quarantine.create({
@@ -102,7 +105,7 @@
       random,
       source: quarantine,
       record: () => entry.known,
-      isStoreServing: () => !this.isStoreAway,
+      isStoreServing: () => !this.isStoreDown,
     });
     const startedAtMs = clock.nowMs();
     const entry: SuspectEntry = {
@@ -114,7 +117,7 @@
     return entry;
   }
 
-  #tell(entry: SuspectEntry): void {
+  #broadcast(entry: SuspectEntry): void {
     if (!entry.quarantine.hasNews) return;
     const news = entry.quarantine.takeNews();
     for (const other of this.entries) {
@@ -125,10 +128,10 @@
     }
   }
 
-  #mirror(entry: SuspectEntry): void {
+  #syncRecord(entry: SuspectEntry): void {
     if (entry.known === this.#stored) return;
     const isNew = entry.known !== undefined &&
-      this.clock.nowMs() - this.#storedAtMs < MIRROR_MS;
+      this.clock.nowMs() - this.#storedAtMs < WATCH_DELAY_MS;
     if (isNew) return;
     entry.known = this.#stored;
     entry.record.recall();
--- a/src/router/announced.ts
+++ b/src/router/announced.ts
@@ -1,56 +1,68 @@
 /**
- * What a backend server announces in its answers: that it leaves, which its registration may say
- * later or never, and that it wants no requests of this entry for a while.
+ * Announcements that a backend server makes in its answers: that it is leaving, which its
+ * registration may show later or never, and that it wants no requests of this entry for a while.
  */
 
-/** A server's word that it leaves is believed for this long; it has ended well before. */
-const LEAVING_MS = 600_000;
-/** Longest pause that a server may ask for. */
-const PAUSE_MAX_MS = 600_000;
+/** Expiry of a leaving announcement; a leaving server ends well before. */
+const LEAVING_EXPIRY_MS = 600_000;
+/** Upper bound on a requested pause. */
+const MAX_PAUSE_MS = 600_000;
 
-/** Announcements of one start of a server. */
+/** Announcements of one server start. */
 export class Announced {
-  #leavingSaidAtMs = -Infinity;
+  #leavingAnnouncedAtMs = -Infinity;
   #pausedUntilMs = -Infinity;
 
   private constructor() {}
 
-  /** @returns Nothing was announced. */
+  /**
+   * Creates an empty state.
+   *
+   * @returns A state without announcements.
+   */
   static create(): Announced {
     return new Announced();
   }
 
   /**
-   * @param nowMs The time.
-   * @returns Time since it said that it leaves; nothing if it has not, or too long ago.
+   * Returns the age of the leaving announcement.
+   *
+   * @param nowMs Current time.
+   * @returns Time since the announcement; undefined if there is none or it has expired.
    */
   leavingSaidMs(nowMs: number): number | undefined {
-    const ageMs = nowMs - this.#leavingSaidAtMs;
-    return ageMs < LEAVING_MS ? ageMs : undefined;
+    const ageMs = nowMs - this.#leavingAnnouncedAtMs;
+    return ageMs < LEAVING_EXPIRY_MS ? ageMs : undefined;
   }
 
   /**
-   * @param saidAtMs When it said that it leaves.
-   * @returns Whether this was news.
+   * Records a leaving announcement.
+   *
+   * @param saidAtMs Time of the announcement.
+   * @returns Whether it was new.
    */
   leaves(saidAtMs: number): boolean {
     const isNews = this.leavingSaidMs(saidAtMs) === undefined;
-    this.#leavingSaidAtMs = Math.max(this.#leavingSaidAtMs, saidAtMs);
+    this.#leavingAnnouncedAtMs = Math.max(this.#leavingAnnouncedAtMs, saidAtMs);
     return isNews;
   }
 
   /**
-   * @param nowMs The time.
-   * @param pauseMs For how long it wants no requests.
+   * Records a requested pause. A pause never shortens a longer one.
+   *
+   * @param nowMs Current time.
+   * @param pauseMs How long the server wants no requests.
    */
   pause(nowMs: number, pauseMs: number): void {
-    const untilMs = nowMs + Math.min(PAUSE_MAX_MS, pauseMs);
+    const untilMs = nowMs + Math.min(MAX_PAUSE_MS, pauseMs);
     this.#pausedUntilMs = Math.max(this.#pausedUntilMs, untilMs);
   }
 
   /**
-   * @param nowMs The time.
-   * @returns Time until it takes requests of this entry again; 0: it does.
+   * Returns the remaining pause.
+   *
+   * @param nowMs Current time.
+   * @returns Time until the server accepts requests of this entry again; 0 if it does now.
    */
   pausedMs(nowMs: number): number {
     return Math.max(0, this.#pausedUntilMs - nowMs);
--- a/src/router/cache_book.ts
+++ b/src/router/cache_book.ts
@@ -1,42 +1,41 @@
 /**
- * What a backend server's prefix cache is expected to hold: the parts of prompts that were sent to
- * it, the least recently used dropped where its memory would be full. It is an expectation; the
- * server alone knows.
+ * Model of a backend server's prefix cache: the prompt parts sent to the server, with LRU eviction
+ * at the server's capacity. This is an estimate; only the server knows the actual contents.
  */
 import type { PromptPart } from "./model.ts";
 
-/** Parts of one prompt under one salt. */
+/** The parts of a prompt, cached under one salt. */
 export interface Chain {
-  /** Parts with different salts are never shared. */
+  /** Parts under different salts are never shared. */
   salt: string;
   parts: readonly PromptPart[];
 }
 
-interface HeldPart {
+interface PartState {
   tokens: number;
-  /** When the server is expected to have read it. */
+  /** When the server is expected to finish the prefill of this part. */
   readyAtMs: number;
 }
 
-/** A part as one entry tells it to another that has just started. */
-export interface TaughtPart {
-  /** Salt and id. */
+/** A cached part as sent to an entry that has just started. */
+export interface CachedPart {
+  /** Salt and part id. */
   key: string;
   tokens: number;
 }
 
-/** A cache with whose it is. */
+/** A cache model and its owner. */
 export interface OwnedBook {
-  /** A server's id, or a store's address. */
+  /** Server id or store address. */
   id: string;
-  /** The server's start, if it is known: after another one its cache is empty. */
+  /** Start of the server, if known; a restart empties its cache. */
   bornAtMs?: number;
   cache: CacheBook;
 }
 
-/** Expected contents of one server's cache. */
+/** Expected contents of one server's or store's cache. */
 export class CacheBook {
-  readonly #parts = new Map<string, HeldPart>();
+  readonly #parts = new Map<string, PartState>();
   #capacityTokens: number;
   #tokens = 0;
 
@@ -45,25 +44,31 @@
   }
 
   /**
-   * @param capacityTokens Tokens of cached prompts that the server has room for.
-   * @returns An empty book.
+   * Creates an empty cache model.
+   *
+   * @param capacityTokens Capacity of the cache in tokens.
+   * @returns The model.
    */
   static create(capacityTokens: number): CacheBook {
     return new CacheBook(capacityTokens);
   }
 
   /**
+   * Counts cached tokens, including parts whose prefill is still pending.
+   *
    * @param chain Parts of a prompt, in order.
-   * @returns How many of its leading tokens are expected in the cache, or are about to be read.
+   * @returns Length of the expected cached prefix in tokens.
    */
   cachedTokens(chain: Chain): number {
     return this.readyTokens(chain, Infinity);
   }
 
   /**
+   * Counts cached tokens whose prefill is expected to be complete.
+   *
    * @param chain Parts of a prompt, in order.
-   * @param nowMs The time.
-   * @returns How many of its leading tokens are expected to have been read by then.
+   * @param nowMs Current time.
+   * @returns Length of the expected cached prefix at that time, in tokens.
    */
   readyTokens(chain: Chain, nowMs: number): number {
     let ready = 0;
@@ -76,10 +81,10 @@
   }
 
   /**
-   * Notes that a prompt was sent to the server.
+   * Records that a prompt was sent to the server.
    *
    * @param chain Parts of the prompt.
-   * @param readyAtMs When the server is expected to have read it.
+   * @param readyAtMs When the prefill is expected to be complete.
    */
   use(chain: Chain, readyAtMs: number): void {
     for (const { id, tokens } of chain.parts) {
@@ -94,10 +99,10 @@
   }
 
   /**
-   * Notes that a prompt was not read after all.
+   * Removes the parts of a prompt whose prefill did not happen.
    *
    * @param chain Parts of the prompt.
-   * @param nowMs The time; parts that were ready by then stay.
+   * @param nowMs Current time; parts that were ready before are kept.
    */
   forget(chain: Chain, nowMs: number): void {
     for (const { id, tokens } of chain.parts) {
@@ -110,11 +115,13 @@
   }
 
   /**
-   * @param nowMs The time.
-   * @returns All parts that are ready, the least recently used first.
+   * Exports the cache contents for another entry.
+   *
+   * @param nowMs Current time.
+   * @returns All ready parts, least recently used first.
    */
-  teach(nowMs: number): TaughtPart[] {
-    const parts: TaughtPart[] = [];
+  teach(nowMs: number): CachedPart[] {
+    const parts: CachedPart[] = [];
     for (const [key, { tokens, readyAtMs }] of this.#parts) {
       if (readyAtMs <= nowMs) parts.push({ key, tokens });
     }
@@ -122,17 +129,18 @@
   }
 
   /**
-   * Takes in what another entry knows; what was learned here since counts as used later.
+   * Merges the contents reported by another entry. Parts recorded locally count as more recently
+   * used.
    *
-   * @param parts The least recently used first.
+   * @param parts Reported parts, least recently used first.
    */
-  learn(parts: readonly TaughtPart[]): void {
-    const own = [...this.#parts];
+  learn(parts: readonly CachedPart[]): void {
+    const localParts = [...this.#parts];
     this.clear();
     for (const { key, tokens } of parts) {
       this.#parts.set(key, { tokens, readyAtMs: -Infinity });
     }
-    for (const [key, held] of own) {
+    for (const [key, held] of localParts) {
       this.#parts.delete(key);
       this.#parts.set(key, held);
     }
@@ -140,13 +148,17 @@
     this.#evict();
   }
 
-  /** @param capacityTokens Tokens of cached prompts that the server has room for from now on. */
+  /**
+   * Changes the capacity and evicts parts that no longer fit.
+   *
+   * @param capacityTokens Capacity of the cache in tokens.
+   */
   resize(capacityTokens: number): void {
     this.#capacityTokens = capacityTokens;
     this.#evict();
   }
 
-  /** Forgets everything, as the server does when its weights change. */
+  /** Removes all parts, as the server does when its weights change. */
   clear(): void {
     this.#parts.clear();
     this.#tokens = 0;
--- a/src/router/cache_book_test.ts
+++ b/src/router/cache_book_test.ts
@@ -16,14 +16,14 @@
   assert.equal(book.cachedTokens(chain("s", "x", "b")), 0);
 });
 
-test("salts share nothing", () => {
+test("different salts share no parts", () => {
   const book = CacheBook.create(1000);
   book.use(chain("w1", "a"), 0);
   assert.equal(book.cachedTokens(chain("w2", "a")), 0);
   assert.equal(book.cachedTokens(chain("w1.t", "a")), 0);
 });
 
-test("part counts as ready once it has been read", () => {
+test("part is ready once its prefill is complete", () => {
   const book = CacheBook.create(1000);
   book.use(chain("s", "a"), 500);
   assert.equal(book.cachedTokens(chain("s", "a")), 100);
@@ -31,14 +31,14 @@
   assert.equal(book.readyTokens(chain("s", "a"), 500), 100);
 });
 
-test("later use does not make a part wait again", () => {
+test("later use keeps a ready part ready", () => {
   const book = CacheBook.create(1000);
   book.use(chain("s", "a"), 100);
   book.use(chain("s", "a"), 900);
   assert.equal(book.readyTokens(chain("s", "a"), 200), 100);
 });
 
-test("prompt that was not read is forgotten, what was there stays", () => {
+test("parts without prefill are forgotten, ready parts are kept", () => {
   const book = CacheBook.create(1000);
   book.use(chain("s", "a"), 100);
   book.use(chain("s", "a", "b"), 900);
@@ -46,7 +46,7 @@
   assert.equal(book.cachedTokens(chain("s", "a", "b")), 100);
 });
 
-test("least recently used part goes first", () => {
+test("least recently used part is evicted first", () => {
   const book = CacheBook.create(200);
   book.use(chain("s", "a"), 0);
   book.use(chain("s", "b"), 0);
@@ -56,7 +56,7 @@
   assert.equal(book.cachedTokens(chain("s", "b")), 0);
 });
 
-test("taught parts count as older than own ones", () => {
+test("parts from a peer count as older than local ones", () => {
   const teacher = CacheBook.create(1000);
   teacher.use(chain("s", "a"), 0);
   teacher.use(chain("s", "b"), 0);
@@ -70,7 +70,7 @@
   assert.equal(book.cachedTokens(chain("s", "late")), 0);
 });
 
-test("any use and forgetting stays within the capacity", () => {
+test("any sequence of use and forget stays within the capacity", () => {
   const ids = fc.array(fc.constantFrom("a", "b", "c", "d", "e"), {
     minLength: 1,
     maxLength: 4,
--- a/src/router/choose.ts
+++ b/src/router/choose.ts
@@ -1,11 +1,11 @@
-/** Chooses the backend server for one attempt of a request. */
+/** Selects the backend server for one attempt of a request. */
 import type { Chain } from "./cache_book.ts";
 import type { RunCopy } from "./model.ts";
-import { type PromptStore, storeOf } from "./prompt_store.ts";
+import { type PromptStore, selectStore } from "./prompt_store.ts";
 import type { Server } from "./server.ts";
 import { type ReplacedWeights, weighReplaced } from "./replaced_weights.ts";
 
-/** Ways of choosing; all but `cost` are baselines to compare with. */
+/** Placement policies; all except `cost` are baselines for comparison. */
 export const ChoiceName = {
   cost: "cost",
   leastLoaded: "least_loaded",
@@ -15,107 +15,107 @@
 /** One of {@link ChoiceName}. */
 export type ChoiceName = typeof ChoiceName[keyof typeof ChoiceName];
 
-/** Prompt tokens that an engine reads in a ms: the size sheet of the deployments, 81.9. */
-const READ_TOKENS_PER_MS = 80;
-/** Time to a first token with nothing to read: the sheet's 41 ms and one step. */
-const FIRST_TOKEN_MS = 45;
-/** What one more running request adds to each step, over the steps that a first token waits. */
-const RUNNING_MS = 5;
-/** A copy between zones takes twice as long. */
-const FAR_COPY_FACTOR = 2;
-/** Time to set up a copy. */
+/** Prefill throughput of an engine; the deployments' sizing sheet gives 81.9 tokens per ms. */
+const PREFILL_TOKENS_PER_MS = 80;
+/** Time to first token of a fully cached prompt: 41 ms by the sizing sheet plus one decode step. */
+const BASE_TTFT_MS = 45;
+/** Delay of the first token per running request, which lengthens every decode step until then. */
+const RUNNING_DELAY_MS = 5;
+/** Copies between zones take this many times as long. */
+const CROSS_ZONE_COPY_FACTOR = 2;
+/** Fixed setup time of a cache copy. */
 const COPY_SETUP_MS = 7;
-/** Copies of less than this are not worth their set-up. */
+/** Shorter copies are not worth their setup time. */
 const COPY_MIN_TOKENS = 48;
 /**
- * A prompt is saved whole, its own part included, which nobody asks for again; one whose own part is
- * larger than this multiple of the shared ones would push more out of the store than it brings.
+ * Saving a prompt stores its unshared last part too, which no other request reuses. Above this
+ * ratio of unshared to shared tokens, a save would evict more useful data than it adds.
  */
-const SAVE_OWN_FACTOR = 1.5;
-/** Price of reading a shared token again, against waiting: 1.2 of worth for a thousand tokens. */
-const REREAD_MS_PER_TOKEN = 0.08;
-/** Round trip to another zone, beside the same zone. */
-const FAR_MS = 2;
+const MAX_UNSHARED_RATIO = 1.5;
+/** Cost of recomputing a shared token, relative to waiting: 1.2 of worth per thousand tokens. */
+const RECOMPUTE_MS_PER_TOKEN = 0.08;
+/** Extra round-trip time to a server in another zone. */
+const CROSS_ZONE_COST_MS = 2;
 /**
- * Chance in the price of a server, as a share of the age of what is known of its load: entries that
- * all know the same, a while ago, would else all send to the same server. At 0.6 s it is worth 14
- * requests under way; below the first limit loads are as good as new.
+ * Random part of a server's cost, as a share of the age of the load data. It keeps entries that
+ * hold the same outdated load data from all choosing the same server. At an age of 0.6 s it is
+ * worth 14 requests in flight; load data younger than the first limit counts as current.
  */
-const JITTER_SHARE = 0.125;
+const JITTER_RATIO = 0.125;
 const JITTER_FROM_MS = 50;
 const JITTER_MIN_MS = 1;
-/** Price of each recent failure at the server. */
-const FAILURE_MS = 150;
-/** Price of a server that can't be reached; chosen only if there is no other. */
-const DOWN_MS = 20_000;
-/** Price of a server that takes nothing new because its weights change. */
-const HELD_BACK_MS = 10_000;
-/** An answer that takes longer than this would hold up the change of its engine's weights. */
+/** Cost of each recent failure of the server. */
+const FAILURE_COST_MS = 150;
+/** Cost of an unreachable server; high enough that it is chosen only if there is no other. */
+const DOWN_COST_MS = 20_000;
+/** Cost of a server that should get no new requests, for example because its weights change. */
+const HELD_BACK_COST_MS = 10_000;
+/** Answers expected to take longer would delay the weights change of their engine. */
 const LONG_ANSWER_MS = 1500;
-/** Price of such an answer where weights change next; short ones keep the engine in use. */
-const LONG_ANSWER_PRICE_MS = 2000;
-/** Time that a plain call takes before anything is known: the sheets' 21 to 86 ms. */
+/** Cost of such an answer on an engine that changes next; short answers keep the engine in use. */
+const LONG_ANSWER_COST_MS = 2000;
+/** Expected duration of a plain call; the sizing sheets give 21 to 86 ms. */
 const PLAIN_CALL_MS = 60;
 
-/** What is to be placed. */
+/** Input of {@link choose}: a request and its candidate servers. */
 export interface Placement {
   servers: Server[];
   zone: string;
   nowMs: number;
-  /** Servers that this request was sent to before; one that has started again is another. */
+  /** Servers to exclude. A restarted server is a new {@link Server} and is not excluded. */
   tried: ReadonlySet<Server>;
-  /** Left out for plain calls. */
+  /** Undefined for plain calls. */
   prompt?: PromptPlacement;
-  /** How old what other entries told of their load may be. */
+  /** Age of the load data received from other entries. */
   loadAgeMs: number;
   random: () => number;
   choice: ChoiceName;
 }
 
-/** A prompt that is to be placed. */
+/** Properties of a prompt that affect placement. */
 export interface PromptPlacement extends ReplacedWeights {
   model: string;
   promptTokens: number;
-  /** The chain as a server with these weights keeps it. */
+  /** Returns the chain under the cache salt of this weights version. */
   chainFor(weightsVersion: number): Chain;
-  /** Tokens that are generated at most. */
+  /** Maximum number of tokens to generate. */
   outputTokens: number;
-  /** Newest version of the weights that is to be used. */
+  /** Newest version of the weights that should be used. */
   wantedVersion: number;
-  /** Where prompts are kept beside the engines' own caches. */
+  /** Shared stores of cached prompts, outside the engines' own caches. */
   stores: readonly PromptStore[];
 }
 
-/** Where a request goes, and what is expected there. */
+/** The selected server, with the expected latency and cache transfers. */
 export interface Choice {
   server: Server;
   /** Expected time to the first byte of the answer. */
   expectedMs: number;
-  /** Part of it that the request waits for others. */
+  /** Part of `expectedMs` spent waiting for other requests. */
   queueMs: number;
-  /** Tokens that the server has to read. */
+  /** Prompt tokens that the server has to prefill. */
   uncachedTokens: number;
   weightsVersion?: number;
-  /** Time in which its weights, which were replaced, may be used at all; left out: no end. */
+  /** Remaining time in which the server's replaced weights may be used; undefined: unlimited. */
   weightsLeftMs?: number;
   chain?: Chain;
-  /** Address of a server or store whose cache has more of the prompt. */
+  /** Address of a server or store to copy cached prompt parts from. */
   copyFrom?: string;
-  /** Address of a store that is to keep the prompt's parts. */
+  /** Address of the store in which the engine should save the prompt. */
   saveTo?: string;
-  /** Memory of the request's run, where it goes on. */
+  /** Copied memory of a moved run, if the request resumes from one. */
   copy?: RunCopy;
 }
 
 interface Candidate extends Choice {
   score: number;
-  /** False: the server's weights are too old to begin it, or to end it. */
+  /** False if the server's weights are too old to start or finish the request. */
   maySend: boolean;
 }
 
 /**
- * @param placement The request and the servers that may take it.
- * @returns The server with the lowest expected cost, or nothing if there is none.
+ * @param placement The request and its candidate servers.
+ * @returns The server with the lowest expected cost; undefined if no server is eligible.
  */
 export function choose(placement: Placement): Choice | undefined {
   const views: PromptViews = new Map();
@@ -124,15 +124,15 @@
     if (placement.tried.has(server)) continue;
     if (server.isFull(placement.nowMs)) continue;
     const candidate = placement.prompt
-      ? weighPrompt(placement, placement.prompt, { server, views })
-      : weighCall(placement, server);
+      ? evaluatePrompt(placement, placement.prompt, { server, views })
+      : evaluateCall(placement, server);
     if (!candidate.maySend) continue;
     if (!best || candidate.score < best.score) best = candidate;
   }
   return best;
 }
 
-function weighCall(placement: Placement, server: Server): Candidate {
+function evaluateCall(placement: Placement, server: Server): Candidate {
   const { nowMs } = placement;
   const { running } = server.load(nowMs);
   const slots = Math.max(1, server.entry.slots);
@@ -149,36 +149,39 @@
   };
 }
 
-function weighPrompt(
+function evaluatePrompt(
   placement: Placement,
   prompt: PromptPlacement,
   { server, views }: { server: Server; views: PromptViews },
 ): Candidate {
   const { nowMs } = placement;
   const weightsVersion = server.weights(prompt.model) ?? prompt.wantedVersion;
-  const view = viewOf(placement, prompt, { weightsVersion, views });
+  const view = getPromptView(placement, prompt, { weightsVersion, views });
   const { chain } = view;
   const cached = server.cache.cachedTokens(chain);
-  const copy = findCopy(view, server, cached);
-  const held = copy ? copy.tokens : cached;
-  const uncachedTokens = Math.max(0, prompt.promptTokens - held);
+  const copy = findBestCopy(view, server, cached);
+  const availableTokens = copy ? copy.tokens : cached;
+  const uncachedTokens = Math.max(0, prompt.promptTokens - availableTokens);
   const load = server.load(nowMs);
   const slowness = server.health.slowness(nowMs);
   const queueMs = slowness *
-    (load.pendingTokens / READ_TOKENS_PER_MS + load.running * RUNNING_MS);
-  const ownMs = slowness *
-    (FIRST_TOKEN_MS + uncachedTokens / READ_TOKENS_PER_MS);
-  const expectedMs = queueMs + ownMs + (copy?.copyMs ?? 0);
-  const reread = Math.max(0, view.sharedTokens - held);
+    (load.pendingTokens / PREFILL_TOKENS_PER_MS +
+      load.running * RUNNING_DELAY_MS);
+  const processingMs = slowness *
+    (BASE_TTFT_MS + uncachedTokens / PREFILL_TOKENS_PER_MS);
+  const expectedMs = queueMs + processingMs + (copy?.copyMs ?? 0);
+  const tokensToRecompute = Math.max(0, view.sharedTokens - availableTokens);
   const outputMs = server.outputMs(prompt.outputTokens);
   const weights = weighReplaced(prompt, {
     version: weightsVersion,
     expectedMs,
     outputMs,
   });
-  const holdsUp = outputMs > LONG_ANSWER_MS && server.isChangingNext(nowMs);
-  const price = reread * REREAD_MS_PER_TOKEN + weights.priceMs +
-    (holdsUp ? LONG_ANSWER_PRICE_MS : 0);
+  const delaysChange = outputMs > LONG_ANSWER_MS &&
+    server.isChangingNext(nowMs);
+  const extraCostMs = tokensToRecompute * RECOMPUTE_MS_PER_TOKEN +
+    weights.priceMs +
+    (delaysChange ? LONG_ANSWER_COST_MS : 0);
   return {
     server,
     expectedMs,
@@ -190,78 +193,78 @@
     chain,
     copyFrom: copy?.address,
     saveTo: view.saveTo,
-    score: scoreOf(placement, server, expectedMs + price),
+    score: scoreOf(placement, server, expectedMs + extraCostMs),
   };
 }
 
 function scoreOf(placement: Placement, server: Server, costMs: number): number {
   const { nowMs, choice, random, loadAgeMs } = placement;
   const isFar = server.entry.zone !== placement.zone;
-  const avoidMs = (server.health.isDown ? DOWN_MS : 0) +
-    (server.isHeldBack(nowMs) ? HELD_BACK_MS : 0) +
-    server.health.failures(nowMs) * FAILURE_MS;
+  const penaltyMs = (server.health.isDown ? DOWN_COST_MS : 0) +
+    (server.isHeldBack(nowMs) ? HELD_BACK_COST_MS : 0) +
+    server.health.failures(nowMs) * FAILURE_COST_MS;
   switch (choice) {
     case ChoiceName.cost:
-      return costMs + avoidMs + (isFar ? FAR_MS : 0) +
+      return costMs + penaltyMs + (isFar ? CROSS_ZONE_COST_MS : 0) +
         random() * jitterMs(loadAgeMs);
     case ChoiceName.leastLoaded:
-      return server.load(nowMs).running + avoidMs + random();
+      return server.load(nowMs).running + penaltyMs + random();
     case ChoiceName.random:
-      return avoidMs + random();
+      return penaltyMs + random();
   }
 }
 
 function jitterMs(loadAgeMs: number): number {
   const ageMs = loadAgeMs - JITTER_FROM_MS;
-  return Math.max(JITTER_MIN_MS, ageMs * JITTER_SHARE);
+  return Math.max(JITTER_MIN_MS, ageMs * JITTER_RATIO);
 }
 
-/** What holds of a prompt on all servers with the same weights. */
+/** State of a prompt that is the same for all servers with the same weights version. */
 interface PromptView {
   chain: Chain;
   /** Tokens that other requests may share. */
   sharedTokens: number;
-  /** Address of the store that is to keep the prompt's parts. */
+  /** Address of the store in which to save the prompt. */
   saveTo?: string;
-  /** Servers from which it may be copied. */
+  /** Servers from which the prompt may be copied. */
   sources: CopySource[];
   stored?: CopySource;
 }
 
-/** By version of the weights. */
+/** Keyed by weights version. */
 type PromptViews = Map<number, PromptView>;
 
-/** A server or store that has a part of a prompt. */
+/** A server or store that has a prefix of the prompt cached. */
 interface CopySource {
-  /** Left out for a store. */
+  /** Undefined for a store. */
   server?: Server;
   address: string;
   zone: string;
-  /** Leading tokens that it is expected to have. */
+  /** Expected length of the cached prefix. */
   tokens: number;
   copyMsPerToken: number;
 }
 
 interface Copy {
   address: string;
-  /** Leading tokens that the server then has. */
+  /** Length of the cached prefix on the server after the copy. */
   tokens: number;
   copyMs: number;
 }
 
-function viewOf(
+function getPromptView(
   placement: Placement,
   prompt: PromptPlacement,
   { weightsVersion, views }: { weightsVersion: number; views: PromptViews },
 ): PromptView {
-  const known = views.get(weightsVersion);
-  if (known) return known;
-  const view = viewPrompt(placement, prompt, prompt.chainFor(weightsVersion));
+  const cachedView = views.get(weightsVersion);
+  if (cachedView) return cachedView;
+  const view = createView(placement, prompt, prompt.chainFor(weightsVersion));
   views.set(weightsVersion, view);
   return view;
 }
 
-function viewPrompt(
+function createView(
   { servers, nowMs, choice }: Placement,
   { stores }: PromptPlacement,
   chain: Chain,
@@ -279,16 +282,16 @@
     const { entry: { address, zone }, copyMsPerToken } = server;
     view.sources.push({ server, address, zone, tokens, copyMsPerToken });
   }
-  const store = storeOf(stores, chain);
+  const store = selectStore(stores, chain);
   if (!store) return view;
   const tokens = store.cache.readyTokens(chain, nowMs);
   if (tokens >= COPY_MIN_TOKENS) view.stored = { ...store, tokens };
-  if (isToSave(store, chain, view.sharedTokens)) view.saveTo = store.address;
+  if (shouldSave(store, chain, view.sharedTokens)) view.saveTo = store.address;
   return view;
 }
 
-/** The server of the same weights, or the store, whose cache has most of the chain. */
-function findCopy(
+/** Finds the server or store with the longest cached prefix for the server's weights version. */
+function findBestCopy(
   { sources, stored }: PromptView,
   server: Server,
   cached: number,
@@ -296,13 +299,13 @@
   let best: Copy | undefined;
   for (const source of sources) {
     if (source.server === server) continue;
-    const copy = weighCopy(source, server, cached);
-    if (copy && (!best || isBetter(copy, best))) best = copy;
+    const copy = estimateCopy(source, server, cached);
+    if (copy && (!best || isBetterCopy(copy, best))) best = copy;
   }
-  const copy = stored && weighCopy(stored, server, cached);
+  const copy = stored && estimateCopy(stored, server, cached);
   if (copy && (!best || copy.tokens >= best.tokens)) return copy;
-  // A server may have dropped what it is expected to have; then the store fills in, else it costs
-  // nothing.
+  // Otherwise name the store as a fallback, at no cost: the server may have evicted parts that it
+  // is expected to hold.
   return best ?? (stored && {
     address: stored.address,
     tokens: Math.max(stored.tokens, cached),
@@ -310,32 +313,32 @@
   });
 }
 
-function weighCopy(
+function estimateCopy(
   source: CopySource,
   { entry }: Server,
   cached: number,
 ): Copy | undefined {
   const { address, zone, tokens, copyMsPerToken } = source;
   if (tokens < cached + COPY_MIN_TOKENS) return undefined;
-  const factor = zone === entry.zone ? 1 : FAR_COPY_FACTOR;
+  const factor = zone === entry.zone ? 1 : CROSS_ZONE_COPY_FACTOR;
   const copyMs = COPY_SETUP_MS + (tokens - cached) * copyMsPerToken * factor;
   return { address, tokens, copyMs };
 }
 
-function isBetter(copy: Copy, other: Copy): boolean {
+function isBetterCopy(copy: Copy, other: Copy): boolean {
   if (copy.tokens !== other.tokens) return copy.tokens > other.tokens;
   return copy.copyMs < other.copyMs;
 }
 
-/** Prompts are saved whose shared parts the store doesn't have yet. */
-function isToSave(store: PromptStore, chain: Chain, shared: number): boolean {
+/** Saves only prompts whose shared parts are not all in the store yet. */
+function shouldSave(store: PromptStore, chain: Chain, shared: number): boolean {
   if (shared < COPY_MIN_TOKENS) return false;
-  const own = chain.parts.at(-1)?.tokens ?? 0;
-  if (own > shared * SAVE_OWN_FACTOR) return false;
+  const unsharedTokens = chain.parts.at(-1)?.tokens ?? 0;
+  if (unsharedTokens > shared * MAX_UNSHARED_RATIO) return false;
   return store.cache.cachedTokens(chain) < shared;
 }
 
-/** The last part belongs to the request alone. */
+/** Excludes the last part, which is specific to the request. */
 function sharedTokens(chain: Chain): number {
   let tokens = 0;
   for (let i = 0; i < chain.parts.length - 1; i++) {
--- a/src/router/choose_test.ts
+++ b/src/router/choose_test.ts
@@ -54,7 +54,7 @@
   assert.equal(choose(placement({ servers }))?.server.id, "b");
 });
 
-test("busy server loses the prompt, and gives it as a copy", () => {
+test("prompt goes to an idle server, with a copy from the busy one that has it cached", () => {
   const servers = ["a", "b"].map((id) => testServer(id));
   servers[1]!.cache.use(CHAIN, 0);
   servers[1]!.begin(80_000, false);
@@ -63,14 +63,14 @@
   assert.equal(choice?.copyFrom, servers[1]!.entry.address);
 });
 
-test("part that is still being read is no source", () => {
+test("part whose prefill is pending is not copied", () => {
   const servers = ["a", "b"].map((id) => testServer(id));
   servers[1]!.cache.use(CHAIN, 5000);
   servers[1]!.begin(80_000, false);
   assert.equal(choose(placement({ servers }))?.copyFrom, undefined);
 });
 
-test("cache of other weights is neither counted nor copied", () => {
+test("cache of another weights version is neither counted nor copied", () => {
   const servers = [
     testServer("a", { weights: new Map([["m", 2]]) }),
     testServer("b", { weights: new Map([["m", 1]]) }),
@@ -84,7 +84,7 @@
   assert.equal(choice?.uncachedTokens, 5000);
 });
 
-test("store that lacks the shared part is given it, else copied from", () => {
+test("shared part is saved to a store that lacks it, and otherwise copied from it", () => {
   const servers = [testServer("a")];
   const cache = CacheBook.create(100_000);
   const store = { address: "store", zone: "a", cache, copyMsPerToken: 0.002 };
@@ -102,7 +102,7 @@
   assert.equal(choose(placement({ servers, prompt: late })), undefined);
 });
 
-test("request that would wait until weights are too old goes elsewhere", () => {
+test("request that would queue until weights are too old goes to another server", () => {
   const servers = ["busy", "free"].map((id) => testServer(id));
   servers[0]!.cache.use(CHAIN, 0);
   servers[0]!.begin(240_000, false);
@@ -117,7 +117,7 @@
   assert.ok(choose(placement({ ...busy, prompt: fresh })));
 });
 
-test("answer that would last until weights are too old goes elsewhere", () => {
+test("answer that would last until weights are too old goes to another server", () => {
   const servers = ["old", "new"].map((id) => testServer(id));
   servers[1]!.learnWeights("m", 2);
   servers[1]!.begin(60_000, false);
@@ -130,11 +130,10 @@
   assert.equal(chosen(long), "new");
 });
 
-// At the moment when new weights were named, every engine's weights were replaced ones, and whoever
-// was expected to be still generating when these had to end was refused: "no_server" 124 times in one
-// played day, the first 9 ms after "weights_wanted" with 14,443 ms left. 47 callers were never served.
-// Short answers, which wait for other prompts between a few tokens, had made all look slow.
-test("long answer begins on replaced weights though short ones take long for their tokens", () => {
+// Right after new weights are announced, all engines run replaced weights. Short answers, which
+// wait for other prompts between a few tokens, made all answers look slow, so requests were refused
+// with "no_server" although nearly all the time on the replaced weights was left.
+test("long answer starts on replaced weights although short answers take long per token", () => {
   const server = testServer("a");
   for (let i = 0; i < 200; i++) {
     if (i % 5 === 0) server.learnOutput(600, 80);
@@ -147,7 +146,7 @@
   }
 });
 
-test("answer that waits behind a long queue does not begin on weights that soon end", () => {
+test("answer behind a long queue does not start on weights that expire soon", () => {
   const servers = [testServer("a")];
   servers[0]!.begin(80_000, false);
   const replaced = prompt({
@@ -161,7 +160,7 @@
   );
 });
 
-test("newer weights are preferred once the old ones cost", () => {
+test("newer weights are preferred once the old ones have a cost", () => {
   const servers = [
     testServer("old"),
     testServer("new", { weights: new Map([["m", 2]]) }),
@@ -180,14 +179,14 @@
   assert.equal(choose(placement(without))?.server.id, "b");
 });
 
-test("call goes to the server with fewer under way", () => {
+test("call goes to the server with fewer requests in flight", () => {
   const servers = ["a", "b"].map((id) => testServer(id));
   for (let i = 0; i < 4; i++) servers[0]!.begin(0, true);
   const call = placement({ servers, prompt: undefined });
   assert.equal(choose(call)?.server.id, "b");
 });
 
-test("servers that were tried are left out", () => {
+test("servers that were tried are excluded", () => {
   const servers = ["a", "b"].map((id) => testServer(id));
   const tried = new Set([servers[0]!]);
   assert.equal(choose(placement({ servers, tried }))?.server.id, "b");
@@ -195,16 +194,16 @@
   assert.equal(choose(placement({ servers, tried })), undefined);
 });
 
-// A stream that broke when its only server started again was broken off on its caller: the new
-// start was left out as the server that it had been sent to before.
-test("server that has started again is not one that was tried", () => {
+// A stream failed when its only server restarted, because the new start was excluded as a server
+// that had been tried before.
+test("restarted server does not count as tried", () => {
   const before = testServer("a", { bornAtMs: 1 });
   const after = testServer("a", { bornAtMs: 2 });
   const tried = new Set([before]);
   assert.equal(choose(placement({ servers: [after], tried }))?.server, after);
 });
 
-test("server that takes no further connection is passed over", () => {
+test("server at its connection limit is skipped", () => {
   const servers = ["a", "b"].map((id) => testServer(id));
   servers[1]!.limit({
     cacheTokens: 10_000,
@@ -222,8 +221,9 @@
   assert.equal(choose(placement({ servers: [servers[1]!] })), undefined);
 });
 
-// Entries that all saw the same server as the idlest one, half a second ago, would all choose it.
-test("old knowledge of load spreads requests over servers that are about as busy", () => {
+// Entries with the same load data, half a second old, would all choose the same least-loaded
+// server.
+test("outdated load data spreads requests over similarly loaded servers", () => {
   const servers = ["a", "b", "c"].map((id) => testServer(id));
   servers[0]!.begin(0, false);
   for (const server of servers) server.begin(0, false);
--- a/src/router/fleet.ts
+++ b/src/router/fleet.ts
@@ -1,4 +1,4 @@
-/** The backend servers that are known, by id and by service. */
+/** Registry of the known backend servers, by id and by service. */
 import type { Clock, Logger } from "../base/mod.ts";
 import { LRUMap } from "../placement/lru_map.ts";
 import type { Announced } from "./announced.ts";
@@ -6,54 +6,60 @@
 import { Server, type ServerOptions } from "./server.ts";
 import type { Outage } from "./store_contact.ts";
 
-/** What a {@link Fleet} works with. */
+/** Dependencies of a {@link Fleet}. */
 export interface FleetOptions {
   clock: Clock;
   log: Logger;
-  /** Settings of a server of this service. */
+  /** Returns the server settings of a service. */
   serverOptions(service: string): ServerOptions;
-  /** The outage of the store in which a registration that is deleted now may have lapsed. */
+  /** The store outage that may have caused a registration deleted now to lapse, if there is one. */
   outage(): Outage | undefined;
-  /** Whether registrations that lapsed in an outage may still be written again. */
+  /** Whether servers whose registrations lapsed in an outage may still register again. */
   awaitsReturns(): boolean;
-  /** A server is gone, or has started again. */
+  /** Called when a server was removed or has restarted. */
   onLeft(server: Server): void;
 }
 
-/** Servers that were dropped whose announcements are kept. */
-const MAX_KEPT = 1000;
+/** Maximum number of removed servers whose announcements are kept. */
+const MAX_KEPT_ANNOUNCEMENTS = 1000;
 
-/** All backend servers. */
+/** Registry of all backend servers. */
 export class Fleet {
   readonly #options: FleetOptions;
   readonly #servers = new Map<string, Server>();
-  /** Servers whose registration may have lapsed in an outage, and may come back. */
-  readonly #missing = new Set<string>();
+  /** Servers whose registration may have lapsed in an outage and may be written again. */
+  readonly #lapsed = new Set<string>();
 
-  /** By id and start; a registration that lapsed may come back. */
-  readonly #announced = LRUMap.create<string, Announced>(MAX_KEPT);
+  /** Announcements of removed servers, by id and start, in case a lapsed registration returns. */
+  readonly #keptAnnouncements = LRUMap.create<string, Announced>(
+    MAX_KEPT_ANNOUNCEMENTS,
+  );
 
   private constructor(options: FleetOptions) {
     this.#options = options;
   }
 
   /**
-   * @param options Clock and settings.
-   * @returns A fleet without servers.
+   * Creates a registry without servers.
+   *
+   * @param options Dependencies.
+   * @returns The registry.
    */
   static create(options: FleetOptions): Fleet {
     return new Fleet(options);
   }
 
-  /** All servers, those included that take nothing new. */
+  /** All servers, including those that accept no new requests. */
   all(): IterableIterator<Server> {
     return this.#servers.values();
   }
 
   /**
-   * @param id A server's id.
-   * @param bornAtMs The start that is meant; left out: any.
-   * @returns The server, if it is known and has not started again since.
+   * Looks up a server.
+   *
+   * @param id Server id.
+   * @param bornAtMs Expected start of the server; undefined matches any start.
+   * @returns The server, if it is known and has not restarted since.
    */
   get(id: string, bornAtMs?: number): Server | undefined {
     const server = this.#servers.get(id);
@@ -61,16 +67,20 @@
   }
 
   /**
-   * @param server A server that was known.
-   * @returns Whether it still is, and has not started again since.
+   * Checks whether a server object is still current.
+   *
+   * @param server A server returned earlier.
+   * @returns Whether it is still registered and has not restarted since.
    */
   has(server: Server): boolean {
     return this.#servers.get(server.id) === server;
   }
 
   /**
-   * @param service Name of a service.
-   * @returns Its servers that are not about to end.
+   * Lists servers that are not leaving.
+   *
+   * @param service Service name.
+   * @returns Its servers that do not shut down soon.
    */
   open(service: string): Server[] {
     const nowMs = this.#options.clock.nowMs();
@@ -83,8 +93,10 @@
   }
 
   /**
-   * @param service Name of a service.
-   * @returns Those of them that want no pause.
+   * Lists servers that accept requests.
+   *
+   * @param service Service name.
+   * @returns Its servers that are neither leaving nor have asked for a pause.
    */
   taking(service: string): Server[] {
     const nowMs = this.#options.clock.nowMs();
@@ -94,8 +106,11 @@
   }
 
   /**
-   * @param service Name of a service.
-   * @returns Time until the first of its servers takes requests again, if all want a pause.
+   * Returns the pause of a service, if all its servers have asked for one.
+   *
+   * @param service Service name.
+   * @returns Time until the first server accepts requests again; undefined if one does now, or if
+   *   there is no server.
    */
   pausedMs(service: string): number | undefined {
     const nowMs = this.#options.clock.nowMs();
@@ -107,10 +122,10 @@
   }
 
   /**
-   * A server has said that it leaves.
+   * Records a server's announcement that it is leaving.
    *
    * @param server The server.
-   * @param saidAtMs When.
+   * @param saidAtMs Time of the announcement.
    */
   leaves(server: Server, saidAtMs: number): void {
     if (!server.announced.leaves(saidAtMs)) return;
@@ -121,78 +136,83 @@
     });
   }
 
-  /** @param entry A registration, new or changed. */
+  /**
+   * Adds or updates a server.
+   *
+   * @param entry Its new or changed registration.
+   */
   put(entry: BackendServer): void {
     const known = this.#servers.get(entry.id);
     // A registration of an earlier start may arrive late.
     if (known && isOlderStart(entry, known.entry)) return;
-    this.#missing.delete(entry.id);
+    this.#lapsed.delete(entry.id);
     const isSame = known && isSameStart(entry.bornAtMs, known.entry);
     if (isSame && known.entry.address === entry.address) {
-      this.#tellDraining(known, entry);
+      this.#logDraining(known, entry);
       known.update(entry);
       return;
     }
-    // Nothing that was learned of the earlier start holds for the new one. Requests under way at the
-    // earlier one end by themselves.
+    // Nothing learned about the earlier start applies to the new one. Requests in flight at the
+    // earlier start end on their own.
     known?.channels.closeIdle();
     if (known) this.#options.onLeft(known);
     const options = this.#options.serverOptions(entry.service);
     const announced = isSame
       ? known.announced
-      : this.#announced.get(startOf(entry));
+      : this.#keptAnnouncements.get(startOf(entry));
     const server = Server.create(entry, { ...options, announced });
     this.#servers.set(entry.id, server);
-    this.#tellJoined(server, known && !isSame);
+    this.#logJoined(server, known && !isSame);
   }
 
   /**
-   * A registration is gone. Around an outage of the store it may only have lapsed.
+   * Handles the deletion of a registration. During or after a store outage, the registration may
+   * only have lapsed; the server is then kept for now.
    *
-   * @param id The server's id.
+   * @param id Server id.
    */
   remove(id: string): void {
     if (!this.#servers.has(id)) return;
     const outage = this.#options.outage();
     if (!outage) return this.drop(id, "registration_gone");
-    this.#missing.add(id);
-    this.#tellKept(id, outage);
+    this.#lapsed.add(id);
+    this.#logKept(id, outage);
   }
 
   /**
-   * Forgets a server.
+   * Removes a server.
    *
-   * @param id The server's id.
-   * @param reason Why, for the log.
+   * @param id Server id.
+   * @param reason Logged reason.
    */
   drop(id: string, reason: string): void {
     const server = this.#servers.get(id);
     if (!server) return;
     this.#servers.delete(id);
-    this.#missing.delete(id);
-    this.#announced.set(startOf(server.entry), server.announced);
+    this.#lapsed.delete(id);
+    this.#keptAnnouncements.set(startOf(server.entry), server.announced);
     server.channels.closeIdle();
     this.#options.onLeft(server);
     this.#options.log.info({ event: "server_left", server: id, reason });
   }
 
   /**
-   * Forgets a server that was called, and whose address has another one. A call may have been on its
-   * way to an earlier start.
+   * Removes a server after a call found another server at its address. Ignored if the server has
+   * restarted since, because the call may have been addressed to the earlier start.
    *
-   * @param server The server.
+   * @param server The server that was called.
    */
   giveUp(server: Server): void {
     if (this.has(server)) this.drop(server.id, "address_has_another_server");
   }
 
-  /** Forgets servers whose registration lapsed in an outage and did not come back. */
+  /** Removes servers whose registration lapsed in an outage and was not written again in time. */
   sweep(): void {
     if (this.#options.awaitsReturns()) return;
-    for (const id of this.#missing) this.drop(id, "registration_lapsed");
+    for (const id of this.#lapsed) this.drop(id, "registration_lapsed");
   }
 
-  /** Puts limits that the configuration changed in force for the servers that are known. */
+  /** Applies changed limits of the configuration to the known servers. */
   applyLimits(): void {
     for (const server of this.#servers.values()) {
       server.limit(this.#options.serverOptions(server.entry.service));
@@ -204,7 +224,7 @@
     for (const { channels } of this.#servers.values()) channels.closeIdle();
   }
 
-  #tellJoined({ entry }: Server, hasRestarted: boolean | undefined): void {
+  #logJoined({ entry }: Server, hasRestarted: boolean | undefined): void {
     const { id: server, service, address, draining, bornAtMs } = entry;
     this.#options.log.info({
       event: hasRestarted ? "server_restarted" : "server_joined",
@@ -216,7 +236,7 @@
     });
   }
 
-  #tellKept(id: string, { isOver, lengthMs }: Outage): void {
+  #logKept(id: string, { isOver, lengthMs }: Outage): void {
     this.#options.log.info({
       event: "server_kept",
       server: id,
@@ -225,7 +245,7 @@
     });
   }
 
-  #tellDraining(known: Server, entry: BackendServer): void {
+  #logDraining(known: Server, entry: BackendServer): void {
     if (!entry.draining || known.entry.draining) return;
     this.#options.log.info({ event: "server_draining", server: entry.id });
   }
--- a/src/router/fleet_test.ts
+++ b/src/router/fleet_test.ts
@@ -10,14 +10,14 @@
 import type { Fleet } from "./fleet.ts";
 import type { Server } from "./server.ts";
 
-interface Made {
+interface FleetSetup {
   fleet: Fleet;
   clock: TestClock;
   outage: { mayLapse: boolean; awaitsReturns: boolean };
   lines: LogLine[];
 }
 
-function create(): Made {
+function create(): FleetSetup {
   const clock = new TestClock();
   const outage = { mayLapse: false, awaitsReturns: false };
   const { log, lines } = recordedLog();
@@ -34,7 +34,7 @@
   return fleet.open("engines").map(({ id }) => id);
 }
 
-test("draining server takes nothing new", () => {
+test("draining server accepts no new requests", () => {
   const { fleet } = create();
   fleet.put(registration("a"));
   fleet.put(registration("b", { draining: true }));
@@ -50,7 +50,7 @@
   assert.deepEqual(ids(fleet), []);
 });
 
-test("server whose registration lapsed in an outage is kept until it had time to return", () => {
+test("server whose registration lapsed in an outage is kept while it may register again", () => {
   const { fleet, clock, outage } = create();
   fleet.put(registration("a"));
   outage.mayLapse = true;
@@ -67,7 +67,7 @@
   assert.deepEqual(ids(fleet), []);
 });
 
-test("server that leaves while others have time to return is gone at once", () => {
+test("server deleted after an outage is removed at once while lapsed ones are kept", () => {
   const { fleet, outage } = create();
   fleet.put(registration("a"));
   fleet.put(registration("b"));
@@ -79,7 +79,7 @@
   assert.deepEqual(ids(fleet), ["a"]);
 });
 
-test("server is kept no longer the later its deletion comes", () => {
+test("lapsed server is removed if the time to register again has passed", () => {
   const { fleet, outage } = create();
   fleet.put(registration("a"));
   outage.mayLapse = true;
@@ -88,7 +88,7 @@
   assert.deepEqual(ids(fleet), []);
 });
 
-test("server that is kept is told of, with the outage", () => {
+test("kept server is logged with the outage", () => {
   const { fleet, outage, lines } = create();
   fleet.put(registration("a"));
   outage.mayLapse = true;
@@ -100,7 +100,7 @@
   );
 });
 
-test("server that registers again after an outage stays", () => {
+test("server that registers again after an outage is kept", () => {
   const { fleet, outage } = create();
   fleet.put(registration("a"));
   outage.mayLapse = true;
@@ -112,14 +112,14 @@
   assert.deepEqual(ids(fleet), ["a"]);
 });
 
-test("weights of a server only rise", () => {
+test("weights version of a server only increases", () => {
   const { fleet } = create();
   fleet.put(registration("a", { weights: new Map([["m", 3]]) }));
   fleet.put(registration("a", { weights: new Map([["m", 2]]) }));
   assert.equal(fleet.get("a")?.weights("m"), 3);
 });
 
-test("new weights empty the expected cache", () => {
+test("new weights clear the expected cache", () => {
   const { fleet } = create();
   fleet.put(registration("a"));
   const chain = { salt: "w1", parts: [{ id: "p", tokens: 10 }] };
@@ -129,7 +129,7 @@
   assert.equal(server.cache.cachedTokens(chain), 0);
 });
 
-test("load of a peer that has gone silent no longer counts", () => {
+test("load reported by a silent peer expires", () => {
   const { fleet, clock } = create();
   fleet.put(registration("a"));
   const server = fleet.get("a")!;
@@ -162,8 +162,8 @@
 
 const CHAIN = { salt: "w1", parts: [{ id: "p", tokens: 10 }] };
 
-/** A fleet whose only server has a past. */
-function withPast(): { fleet: Fleet; former: Server } {
+/** A fleet whose only server has learned cache contents, weights and health. */
+function fleetWithUsedServer(): { fleet: Fleet; former: Server } {
   const { fleet } = create();
   fleet.put(registration("a", { bornAtMs: 5 }));
   const former = fleet.get("a")!;
@@ -176,12 +176,12 @@
 }
 
 /*
- * A server started again under the id that it had, and was taken for the same: prompts were sent to
- * it for a cache that it no longer held, and it was thought to have weights that it had lost.
+ * A server that restarted under the same id was treated as the same server: prompts were routed to
+ * it for cache contents that it had lost, and it was assumed to have weights that it no longer had.
  */
-test("server that has started again is a new one", () => {
+test("restarted server is a new one", () => {
   for (const address of ["127.0.0.1:1", "127.0.0.1:2"]) {
-    const { fleet, former } = withPast();
+    const { fleet, former } = fleetWithUsedServer();
     fleet.put(registration("a", { bornAtMs: 6, address }));
     const server = fleet.get("a")!;
     assert.notEqual(server, former);
@@ -194,7 +194,7 @@
   }
 });
 
-test("new start is logged as one", () => {
+test("restart is logged as a restart", () => {
   const { fleet, lines } = create();
   fleet.put(registration("a", { bornAtMs: 5 }));
   fleet.put(registration("a", { bornAtMs: 6 }));
@@ -203,7 +203,7 @@
   assert.deepEqual(events, ["server_joined", "server_restarted"]);
 });
 
-test("registration of a former start is ignored", () => {
+test("registration of an earlier start is ignored", () => {
   const { fleet } = create();
   fleet.put(registration("a", { bornAtMs: 6 }));
   const server = fleet.get("a");
@@ -213,19 +213,19 @@
 });
 
 test("registration of the same start, or of an unknown one, keeps the server", () => {
-  const { fleet, former } = withPast();
+  const { fleet, former } = fleetWithUsedServer();
   fleet.put(registration("a", { bornAtMs: 5, slots: 9 }));
   fleet.put(registration("a", { slots: 10 }));
   assert.equal(fleet.get("a"), former);
   assert.equal(former.entry.slots, 10);
-  // What the start was is not forgotten for that.
+  // A registration without a start time does not erase the known one.
   fleet.put(registration("a", { bornAtMs: 4, slots: 11 }));
   assert.equal(former.entry.slots, 10);
   fleet.put(registration("a", { bornAtMs: 6 }));
   assert.notEqual(fleet.get("a"), former);
 });
 
-test("server that lapsed in an outage and started again stays", () => {
+test("server that lapsed in an outage and restarted is kept", () => {
   const { fleet, outage } = create();
   fleet.put(registration("a", { bornAtMs: 5 }));
   outage.mayLapse = true;
@@ -238,7 +238,7 @@
   assert.deepEqual(ids(fleet), ["a"]);
 });
 
-test("late word of a former start keeps no lapsed server", () => {
+test("late registration of an earlier start does not keep a lapsed server", () => {
   const { fleet, outage } = create();
   fleet.put(registration("a", { bornAtMs: 6 }));
   outage.mayLapse = true;
@@ -252,11 +252,11 @@
 });
 
 /*
- * A server started again at another address, and another server took the one that it had. A call on
- * its way to the former start was refused there, and the new start was forgotten for it.
+ * A server restarted at another address, and another server took its old address. A call addressed
+ * to the earlier start was refused there, and the new start was removed for it.
  */
-test("former start that is given up doesn't take the new one along", () => {
-  const { fleet, former } = withPast();
+test("removing an earlier start does not remove the new one", () => {
+  const { fleet, former } = fleetWithUsedServer();
   fleet.put(registration("a", { bornAtMs: 6, address: "127.0.0.1:2" }));
   fleet.giveUp(former);
   assert.deepEqual(ids(fleet), ["a"]);
@@ -264,7 +264,7 @@
   assert.deepEqual(ids(fleet), []);
 });
 
-test("server that said it leaves is open again once it has started again", () => {
+test("leaving server is open again after a restart", () => {
   const clock = new TestClock();
   const fleet = testFleet(clock);
   fleet.put(registration("i-1", { bornAtMs: 1 }));
@@ -274,7 +274,7 @@
   assert.equal(fleet.open("engines").length, 1);
 });
 
-test("server's word that it leaves is forgotten some time", () => {
+test("leaving announcement expires", () => {
   const clock = new TestClock();
   const fleet = testFleet(clock);
   fleet.put(registration("i-1"));
@@ -285,7 +285,7 @@
   assert.equal(fleet.open("engines").length, 1);
 });
 
-test("server that wants a pause may get new weights meanwhile", () => {
+test("server that asked for a pause may still get new weights", () => {
   const clock = new TestClock();
   const fleet = testFleet(clock);
   fleet.put(registration("i-1"));
@@ -298,7 +298,7 @@
   assert.equal(fleet.pausedMs("engines"), undefined);
 });
 
-test("longer pause is not cut short by a shorter one", () => {
+test("longer pause is not shortened by a shorter one", () => {
   const clock = new TestClock();
   const fleet = testFleet(clock);
   fleet.put(registration("i-1"));
@@ -309,7 +309,7 @@
   assert.equal(fleet.taking("engines").length, 0);
 });
 
-test("server whose registration lapsed keeps its word when it is back", () => {
+test("announcements of a server survive a lapsed registration", () => {
   const clock = new TestClock();
   const fleet = testFleet(clock);
   fleet.put(registration("i-1"));
--- a/src/router/health.ts
+++ b/src/router/health.ts
@@ -1,25 +1,25 @@
-/** What a server's own answers, and their absence, say of it. */
+/** Health of a backend server, derived from its answers and from failed or silent requests. */
 
-/** Time that a server is left alone after the first failed connection; doubled with each further. */
-const DOWN_MIN_MS = 300;
-/** A server that is back is met again within this time. */
-const DOWN_MAX_MS = 2400;
-/** Half-life of the memory of failed requests. */
+/** Initial backoff after a failed connection; doubles with each further failure. */
+const MIN_BACKOFF_MS = 300;
+/** Maximum backoff; bounds the time until a recovered server is used again. */
+const MAX_BACKOFF_MS = 2400;
+/** Half-life of the failure count. */
 const FAILURE_HALF_LIFE_MS = 3000;
-/** Weight of the newest sample in the moving averages of speed. */
+/** Weight of the newest sample in the moving average of the slowness. */
 const SAMPLE_WEIGHT = 0.15;
-/** Half-life of what is known about a server's speed while nothing is heard of it. */
-const SPEED_HALF_LIFE_MS = 8000;
-/** Bounds of the factor by which a server counts as slower than expected. */
+/** Half-life of the slowness estimate while the server sends no answers. */
+const SLOWNESS_HALF_LIFE_MS = 8000;
+/** Bounds of the slowness factor. */
 const SLOWNESS_MIN = 0.3;
 const SLOWNESS_MAX = 12;
 
-/** Health of one backend server, judged from traffic alone. */
+/** Health of one backend server, derived from request traffic alone. */
 export class Health {
   #isDown = false;
   #hasEnded = false;
   #probeAtMs = -Infinity;
-  #downForMs = DOWN_MIN_MS;
+  #backoffMs = MIN_BACKOFF_MS;
   #failures = 0;
   #failuresAtMs = 0;
   #slowness = 1;
@@ -27,32 +27,42 @@
 
   private constructor() {}
 
-  /** @returns The health of a server of which nothing bad is known. */
+  /**
+   * Creates the health state of a server without known problems.
+   *
+   * @returns The health state.
+   */
   static create(): Health {
     return new Health();
   }
 
-  /** Whether the server should be left alone until it can be connected to. */
+  /** Whether to send no requests until a connection to the server succeeds. */
   get isDown(): boolean {
     return this.#isDown;
   }
 
-  /** Whether nothing listens at its address, as far as known: its process has ended. */
+  /**
+   * Whether the last connection attempt found no listener, so that the process has probably ended.
+   */
   get hasEnded(): boolean {
     return this.#hasEnded;
   }
 
   /**
-   * @param nowMs The time.
-   * @returns Whether to try to connect to a server that is down.
+   * Checks whether it is time to probe a server that is down.
+   *
+   * @param nowMs Current time.
+   * @returns Whether to attempt a connection.
    */
   isProbeDue(nowMs: number): boolean {
     return this.#isDown && nowMs >= this.#probeAtMs;
   }
 
   /**
-   * @param nowMs The time.
-   * @returns Number of recent failures, older ones counting less.
+   * Returns the decayed failure count.
+   *
+   * @param nowMs Current time.
+   * @returns Number of recent failures, decaying over time.
    */
   failures(nowMs: number): number {
     const age = nowMs - this.#failuresAtMs;
@@ -60,32 +70,34 @@
   }
 
   /**
-   * @param nowMs The time.
-   * @returns How many times longer than expected its answers take.
+   * Returns the slowness estimate, which decays towards 1 without new answers.
+   *
+   * @param nowMs Current time.
+   * @returns Ratio of actual to expected answer times.
    */
   slowness(nowMs: number): number {
     const age = nowMs - this.#slownessAtMs;
-    const trust = 0.5 ** (age / SPEED_HALF_LIFE_MS);
-    return 1 + (this.#slowness - 1) * trust;
+    const weight = 0.5 ** (age / SLOWNESS_HALF_LIFE_MS);
+    return 1 + (this.#slowness - 1) * weight;
   }
 
   /**
-   * A connection failed, or the server says nothing to anyone.
+   * Records a failed connection, or that the server sends nothing to any request.
    *
-   * @param nowMs The time.
+   * @param nowMs Current time.
    */
   unreachable(nowMs: number): void {
-    // Requests that were sent together fail together and count once.
+    // Requests in flight at the same time fail together and count as one failure.
     if (this.#isDown && nowMs < this.#probeAtMs) return;
     this.#isDown = true;
-    this.#probeAtMs = nowMs + this.#downForMs;
-    this.#downForMs = Math.min(DOWN_MAX_MS, this.#downForMs * 2);
+    this.#probeAtMs = nowMs + this.#backoffMs;
+    this.#backoffMs = Math.min(MAX_BACKOFF_MS, this.#backoffMs * 2);
   }
 
   /**
-   * Nothing listens at the server's address.
+   * Records that the connection was refused because nothing listens at the server's address.
    *
-   * @param nowMs The time.
+   * @param nowMs Current time.
    */
   refusedConnection(nowMs: number): void {
     this.#hasEnded = true;
@@ -93,9 +105,9 @@
   }
 
   /**
-   * Another entry found the server silent.
+   * Records that another entry found the server silent. A probe is due at once.
    *
-   * @param nowMs The time.
+   * @param nowMs Current time.
    */
   doubted(nowMs: number): void {
     if (this.#isDown) return;
@@ -103,16 +115,16 @@
     this.#probeAtMs = nowMs;
   }
 
-  /** A connection could be made. */
+  /** Records a successful connection. */
   reached(): void {
     this.#isDown = false;
     this.#hasEnded = false;
   }
 
   /**
-   * A request failed at the server.
+   * Records a failed request.
    *
-   * @param nowMs The time.
+   * @param nowMs Current time.
    */
   failed(nowMs: number): void {
     this.#failures = this.failures(nowMs) + 1;
@@ -120,14 +132,14 @@
   }
 
   /**
-   * The server began to answer.
+   * Records that the server started to answer.
    *
-   * @param nowMs The time.
-   * @param ratio Time that it took, as a multiple of what was expected.
+   * @param nowMs Current time.
+   * @param ratio Time to the start of the answer, as a multiple of the expected time.
    */
   answered(nowMs: number, ratio: number): void {
     this.reached();
-    this.#downForMs = DOWN_MIN_MS;
+    this.#backoffMs = MIN_BACKOFF_MS;
     const bounded = Math.min(SLOWNESS_MAX, Math.max(SLOWNESS_MIN, ratio));
     const before = this.slowness(nowMs);
     this.#slowness = before + SAMPLE_WEIGHT * (bounded - before);
--- a/src/router/lessons.ts
+++ b/src/router/lessons.ts
@@ -1,44 +1,44 @@
 /**
- * What the servers' caches are expected to hold, told once to an entry that has just started, so
- * that it does not have prompts read again that its peers know to be cached.
+ * Transfers the expected cache contents from a running entry to one that has just started, so that
+ * the new entry can place requests where their prompts are already cached.
  */
 import type { Clock, Logger } from "../base/mod.ts";
 import { HttpCaller } from "../platform/mod.ts";
-import type { CacheBook, OwnedBook, TaughtPart } from "./cache_book.ts";
+import type { CacheBook, CachedPart, OwnedBook } from "./cache_book.ts";
 
 /** Path of the call, on the control address. */
 export const LESSONS_PATH = "/cached";
-/** Time for the call. */
-const CALL_MS = 1000;
-/** An entry that has run for longer has learned from its own traffic. */
-const LEARNING_MS = 5000;
+/** Timeout of the call. */
+const CALL_TIMEOUT_MS = 1000;
+/** An entry that has run for longer has learned enough from its own traffic. */
+const WARM_UP_MS = 5000;
 
-/** A server, by id, or a store, by address, with the parts that it is expected to hold. */
-interface Lesson {
+/** Expected cache contents of a server or store. */
+interface CacheContents {
   id: string;
-  /** The server's start, if it is known. */
+  /** Start of the server, if known. */
   bornAtMs?: number;
-  /** Key and tokens in turn, to be short. */
+  /** Pairs of key and tokens, to keep the JSON short. */
   parts: [string, number][];
 }
 
-/** What a {@link Learner} works with. */
+/** Dependencies of a {@link Learner}. */
 export interface LearnerOptions {
   clock: Clock;
   log: Logger;
   /** Port of the control address, the same on every entry. */
   controlPort: number;
-  /** Whether servers are known, whose caches the lessons are about. */
+  /** Whether servers are known, so that cache contents can be assigned to them. */
   isReady(): boolean;
-  /** Expected cache of a server's start, by id, or of a store, by address. */
+  /** Finds the cache model of a server start, by id, or of a store, by address. */
   cacheOf(id: string, bornAtMs?: number): CacheBook | undefined;
 }
 
-/** Learns from the first peer that answers. */
+/** Copies the cache contents of the first peer that can provide them. */
 export class Learner {
   readonly #options: LearnerOptions;
   readonly #startedAtMs: number;
-  readonly #asked = new Set<string>();
+  readonly #askedPeers = new Set<string>();
   #isAsking = false;
   #hasLearned = false;
 
@@ -48,20 +48,24 @@
   }
 
   /**
-   * @param options Where what is learned goes.
-   * @returns A learner that has asked nobody yet.
+   * Creates a learner that has not asked any peer yet.
+   *
+   * @param options Dependencies.
+   * @returns The learner.
    */
   static create(options: LearnerOptions): Learner {
     return new Learner(options);
   }
 
   /**
-   * @param books Expected caches.
-   * @returns The answer to a peer that asks, as JSON.
+   * Builds the answer to a peer's request.
+   *
+   * @param books Expected caches of this entry.
+   * @returns The answer as JSON.
    */
   answer(books: Iterable<OwnedBook>): string {
     const nowMs = this.#options.clock.nowMs();
-    const lessons: Lesson[] = [];
+    const lessons: CacheContents[] = [];
     for (const { id, bornAtMs, cache } of books) {
       const parts = cache.teach(nowMs).map((
         { key, tokens },
@@ -72,59 +76,63 @@
   }
 
   /**
-   * Asks a peer in the first seconds of the process, each one once, until one knew something.
+   * Asks a peer for its cache contents. Does so only in the first seconds of the process, once per
+   * peer, until one peer has provided contents.
    *
-   * @param ipAddress The peer.
+   * @param ipAddress Address of the peer.
    */
   async meet(ipAddress: string): Promise<void> {
     const { clock, log, controlPort, isReady } = this.#options;
-    const isOld = clock.nowMs() - this.#startedAtMs > LEARNING_MS;
-    if (this.#hasLearned || this.#isAsking || isOld || !isReady()) return;
-    if (this.#asked.has(ipAddress)) return;
-    this.#asked.add(ipAddress);
+    const isWarm = clock.nowMs() - this.#startedAtMs > WARM_UP_MS;
+    if (this.#hasLearned || this.#isAsking || isWarm || !isReady()) return;
+    if (this.#askedPeers.has(ipAddress)) return;
+    this.#askedPeers.add(ipAddress);
     this.#isAsking = true;
-    const caller = HttpCaller.create(`${ipAddress}:${controlPort}`, CALL_MS);
+    const caller = HttpCaller.create(
+      `${ipAddress}:${controlPort}`,
+      CALL_TIMEOUT_MS,
+    );
     const answer = await caller.send({
       method: "GET",
       path: LESSONS_PATH,
-      callMs: CALL_MS,
+      callMs: CALL_TIMEOUT_MS,
     });
     await caller.close();
     this.#isAsking = false;
-    // The next peer that is met is asked instead.
+    // On failure, the next known peer is asked instead.
     if (answer.isErr || answer.value.status !== 200) return;
-    const lessons = readLessons(answer.value.body["lessons"]);
+    const lessons = parseContents(answer.value.body["lessons"]);
     if (!lessons) log.warn({ event: "peer_malformed", peer: ipAddress });
-    const parts = this.#take(lessons ?? []);
-    // A peer that has just started, too, knows next to nothing.
+    const parts = this.#apply(lessons ?? []);
+    // A peer that has itself just started knows little, so another one is asked as well.
     const upForMs = Number(answer.value.body["upForMs"] ?? Infinity);
-    this.#hasLearned = parts > 0 && upForMs >= LEARNING_MS;
+    this.#hasLearned = parts > 0 && upForMs >= WARM_UP_MS;
     log.info({ event: "caches_learned", peer: ipAddress, parts, upForMs });
   }
 
-  #take(lessons: Lesson[]): number {
+  #apply(lessons: CacheContents[]): number {
     let count = 0;
     for (const { id, bornAtMs, parts } of lessons) {
-      const taught = parts.map(([key, tokens]): TaughtPart => ({
+      const cachedParts = parts.map(([key, tokens]): CachedPart => ({
         key,
         tokens,
       }));
-      this.#options.cacheOf(id, bornAtMs)?.learn(taught);
-      count += taught.length;
+      this.#options.cacheOf(id, bornAtMs)?.learn(cachedParts);
+      count += cachedParts.length;
     }
     return count;
   }
 }
 
-/** Nothing, unless all of it has the form of a peer's answer. */
-function readLessons(value: unknown): Lesson[] | undefined {
-  const isAll = Array.isArray(value) && value.every(isLesson);
+/** Returns undefined unless the whole value is well-formed. */
+function parseContents(value: unknown): CacheContents[] | undefined {
+  const isAll = Array.isArray(value) && value.every(isCacheContents);
   return isAll ? value : undefined;
 }
 
-function isLesson(value: unknown): value is Lesson {
+function isCacheContents(value: unknown): value is CacheContents {
   if (typeof value !== "object" || value === null) return false;
-  const { id, bornAtMs, parts } = value as Partial<Lesson>;
+  const { id, bornAtMs, parts } = value as Partial<CacheContents>;
   const isStart = bornAtMs === undefined || Number.isFinite(bornAtMs);
   return typeof id === "string" && isStart && Array.isArray(parts) &&
     parts.every((part) =>
--- a/src/router/lessons_test.ts
+++ b/src/router/lessons_test.ts
@@ -8,13 +8,13 @@
 
 const CHAIN = { salt: "w1", parts: [{ id: "shared", tokens: 4000 }] };
 
-interface Made {
+interface LearnerSetup {
   clock: TestClock;
   cache: CacheBook;
   learner: Learner;
 }
 
-function create(controlPort = 0): Made {
+function create(controlPort = 0): LearnerSetup {
   const clock = new TestClock();
   const cache = CacheBook.create(100_000);
   const learner = Learner.create({
@@ -27,7 +27,7 @@
   return { clock, cache, learner };
 }
 
-/** A peer that has run for some time, and knows that one part is cached; returns its port. */
+/** Starts a peer that has run for this long and expects one part in a cache; returns its port. */
 async function peerUpFor(t: TestContext, upForMs: number): Promise<number> {
   const { clock, cache, learner } = create();
   cache.use(CHAIN, 0);
@@ -40,7 +40,10 @@
   return (server.address() as AddressInfo).port;
 }
 
-/** Tokens that are known after the first of two peers, and, forgotten meanwhile, after the second. */
+/**
+ * Returns the cached tokens known after the first peer and, with the cache cleared in between,
+ * after the second.
+ */
 async function partsAfterTwoPeers(t: TestContext, upForMs: number) {
   const { cache, learner } = create(await peerUpFor(t, upForMs));
   await learner.meet("127.0.0.1");
@@ -50,14 +53,14 @@
   return { first, second: cache.cachedTokens(CHAIN) };
 }
 
-test("what a peer knows that has run for long is enough", async (t) => {
+test("one peer that has run for a while is enough", async (t) => {
   const { first, second } = await partsAfterTwoPeers(t, 60_000);
   assert.deepEqual({ first, second }, { first: 4000, second: 0 });
 });
 
-// Entries that had started together took the few parts that one of them had learned for all there was
-// to know ("caches_learned", parts 6), and asked nobody else.
-test("after a peer that has just started another one is asked", async (t) => {
+// Entries that started together took the few parts that one of them had learned as complete, and
+// did not ask any other peer.
+test("another peer is asked after one that has just started", async (t) => {
   const { first, second } = await partsAfterTwoPeers(t, 100);
   assert.deepEqual({ first, second }, { first: 4000, second: 4000 });
 });
--- a/src/router/next_server.ts
+++ b/src/router/next_server.ts
@@ -1,4 +1,4 @@
-/** Which server a request goes to, first and after it was sent to others. */
+/** Selects the server for a request, for its first send and for resends. */
 import type { Clock } from "../base/mod.ts";
 import type { Progress } from "./attempt.ts";
 import {
@@ -14,7 +14,7 @@
 import type { Server } from "./server.ts";
 import type { WantedVersions } from "./wanted_weights.ts";
 
-/** What a {@link NextServer} works with. */
+/** Dependencies of a {@link NextServer}. */
 export interface NextServerOptions {
   clock: Clock;
   fleet: Fleet;
@@ -22,13 +22,13 @@
   zone: string;
   random: () => number;
   choice: ChoiceName;
-  /** Where prompts are kept beside the engines' own caches. */
+  /** Shared stores of cached prompts, outside the engines' own caches. */
   promptStores(): PromptStore[];
-  /** How old what other entries told of their load may be. */
+  /** Age of the load data received from other entries. */
   loadAgeMs(): number;
 }
 
-/** Chooses servers for requests. */
+/** Selects servers for requests. */
 export class NextServer {
   readonly #options: NextServerOptions;
 
@@ -37,35 +37,37 @@
   }
 
   /**
-   * @param options Servers, and what is known of prompts.
-   * @returns A way to choose.
+   * Creates a selector.
+   *
+   * @param options Dependencies.
+   * @returns The selector.
    */
   static create(options: NextServerOptions): NextServer {
     return new NextServer(options);
   }
 
   /**
-   * For a request that nobody runs, and of whose answer its client has nothing.
+   * Selects a server for a request that has no open run and whose client has received nothing.
    *
    * @param request The request.
-   * @param progress What happened to it.
-   * @returns The best server, also one that may refuse; nothing if there is none.
+   * @param progress State of the request over its sends.
+   * @returns The best server, even if it may refuse the request; undefined if there is none.
    */
   any(request: RoutedRequest, progress: Progress): Choice | undefined {
-    const found = this.#chooseBut(request, progress.tried);
+    const found = this.#chooseExcept(request, progress.tried);
     if (found || progress.sends === 0) return found;
-    // With every server tried, one that refused before may take it by now.
-    return this.#chooseBut(request, progress.ranAt);
+    // All servers were tried; one that refused earlier may accept the request now.
+    return this.#chooseExcept(request, progress.ranAt);
   }
 
   /**
-   * For a request that can wait until a server seems to take it: its client has some of the answer, or
-   * another server runs it.
+   * Selects a server for a request that can wait for an available one, because its client has part
+   * of the answer or another server runs it.
    *
    * @param request The request.
-   * @param progress What happened to it.
-   * @param openAt Servers at which runs of it are open.
-   * @returns A server that is up and takes requests; one where it ran before only if it runs nowhere.
+   * @param progress State of the request over its sends.
+   * @param openAt Servers with open runs of the request.
+   * @returns An available server; one where the request ran before only if it has no open run.
    */
   ready(
     request: RoutedRequest,
@@ -73,21 +75,23 @@
     openAt: ReadonlySet<Server>,
   ): Choice | undefined {
     const ran = new Set([...progress.ranAt, ...openAt]);
-    // Servers that it was not sent to come first, then those that refused it, then where it ran.
+    // Prefer servers that were not tried, then those that refused, then those where it ran.
     const exclusions = openAt.size > 0
       ? [progress.tried, ran]
       : [progress.tried, ran, openAt];
     for (const excluded of exclusions) {
-      const found = this.#chooseBut(request, excluded);
+      const found = this.#chooseExcept(request, excluded);
       if (found && this.#isReady(found.server)) return found;
     }
     return undefined;
   }
 
   /**
+   * Counts the reasons why servers of the request's service are not used.
+   *
    * @param request The request.
-   * @param progress What happened to it.
-   * @returns Servers of its service, by why they are not asked.
+   * @param progress State of the request over its sends.
+   * @returns Number of servers by reason.
    */
   passedOver(
     request: RoutedRequest,
@@ -95,13 +99,13 @@
   ): Partial<Record<PassedOver, number>> {
     const counts: Partial<Record<PassedOver, number>> = {};
     for (const server of this.#options.fleet.taking(request.service)) {
-      const why = this.#whyNot(server, progress);
+      const why = this.#skipReason(server, progress);
       counts[why] = (counts[why] ?? 0) + 1;
     }
     return counts;
   }
 
-  #whyNot(server: Server, { ranAt, tried }: Progress): PassedOver {
+  #skipReason(server: Server, { ranAt, tried }: Progress): PassedOver {
     const nowMs = this.#options.clock.nowMs();
     if (ranAt.has(server)) return PassedOver.ran;
     if (server.health.isDown) return PassedOver.down;
@@ -115,7 +119,7 @@
       !server.isHeldBack(this.#options.clock.nowMs());
   }
 
-  #chooseBut(
+  #chooseExcept(
     request: RoutedRequest,
     tried: ReadonlySet<Server>,
   ): Choice | undefined {
@@ -145,14 +149,14 @@
       weightsLimits: wanted.limits,
       stores: promptStores(),
       chainFor: (version) => ({
-        salt: saltOf(version, request.workspace),
+        salt: cacheSalt(version, request.workspace),
         parts: prompt.parts,
       }),
     };
   }
 }
 
-/** Weights and walls part caches: nothing of another version, or of an isolated workspace. */
-function saltOf(version: number, workspace: Workspace | undefined): string {
+/** The salt separates the caches of different weights versions and of isolated workspaces. */
+function cacheSalt(version: number, workspace: Workspace | undefined): string {
   return workspace?.isolated ? `w${version}.${workspace.name}` : `w${version}`;
 }
--- a/src/router/patience.ts
+++ b/src/router/patience.ts
@@ -1,62 +1,75 @@
-/** When something is to be done about a run of which nothing is heard. */
+/** Timeouts for runs without progress: when to suspect their server, hedge or cancel them. */
 import { isIdempotent } from "./answer_rules.ts";
 import type { Send } from "./attempt.ts";
 import { RequestKind } from "./model.ts";
 import type { WantedVersions } from "./wanted_weights.ts";
 
-/** A server that says nothing to anyone for this long, or longer than expected, is avoided. */
-const SUSPECT_MIN_MS = 400;
+/**
+ * A server is suspected if it sends nothing to any request for the longer of this minimum (prompts,
+ * plain calls) and this multiple of the expected time.
+ */
+const SUSPECT_PROMPT_MS = 400;
 const SUSPECT_CALL_MS = 700;
 const SUSPECT_FACTOR = 4;
-/** After this share of an idempotent call's time another server is asked as well. */
-const CALL_SHARE = 0.4;
-/** A resumable stream whose first event is this late, and later than expected, is asked for elsewhere. */
-const FIRST_EVENT_MIN_MS = 1500;
-const FIRST_EVENT_FACTOR = 4;
-/** A resumable stream without an event for this long is asked for elsewhere. */
-const STREAM_GAP_MS = 1200;
-/** A server that has said nothing for this long, to anyone, is not known to work off its queue. */
-const QUEUE_GAP_MS = 1200;
-/** A run that was copied stops before the copy is complete; its stream is closed soon after. */
-const MOVED_CLOSE_MS = 200;
+/** Share of an idempotent call's time after which it is hedged on another server. */
+const CALL_HEDGE_RATIO = 0.4;
+/**
+ * A resumable stream is hedged if its first event takes longer than this minimum and this multiple
+ * of the expected time.
+ */
+const FIRST_EVENT_HEDGE_MS = 1500;
+const FIRST_EVENT_HEDGE_FACTOR = 4;
+/** A resumable stream is hedged after this long without an event. */
+const STREAM_HEDGE_MS = 1200;
+/** A server that has sent nothing to any request for this long may not be processing its queue. */
+const QUEUE_STALL_MS = 1200;
+/** A copied run stops before its copy is complete; the engine closes the stream soon after. */
+const MOVED_CLOSE_TIMEOUT_MS = 200;
 
-/** The time, and how old weights are. */
-export interface WeightsNow {
+/** The current time and the ages of weights. */
+export interface TimeAndWeights {
   wanted: WantedVersions;
   nowMs: number;
 }
 
 /**
+ * Checks whether a run should be hedged on another server.
+ *
  * @param send An open run of a request.
- * @param nowMs The time.
- * @returns Whether its server has been silent for too long.
+ * @param nowMs Current time.
+ * @returns Whether it has been without progress for too long.
  */
 export function isSilent(send: Send, nowMs: number): boolean {
-  if (nowMs < patienceEndsAtMs(send)) return false;
+  if (nowMs < hedgeAtMs(send)) return false;
   if (send.answer) return true;
-  // At the end of another server's queue it would wait anew.
+  // While the server processes its queue, a hedged request would only queue again at another
+  // server.
   const { order, heardAtMs } = send.choice.server;
-  return !order.isQueued(send) || nowMs - heardAtMs >= QUEUE_GAP_MS;
+  return !order.isQueued(send) || nowMs - heardAtMs >= QUEUE_STALL_MS;
 }
 
 /**
+ * Returns when to suspect the server of a send if it answers no request until then.
+ *
  * @param send A send without an answer.
- * @returns When its server is suspected to be gone, if it says nothing to anyone.
+ * @returns The time.
  */
 export function suspectAtMs({ choice, sentAtMs }: Send): number {
-  const minMs = choice.chain ? SUSPECT_MIN_MS : SUSPECT_CALL_MS;
+  const minMs = choice.chain ? SUSPECT_PROMPT_MS : SUSPECT_CALL_MS;
   return sentAtMs + Math.max(minMs, SUSPECT_FACTOR * choice.expectedMs);
 }
 
 /**
+ * Returns when to cancel a run that has not started to answer, because its replaced weights may
+ * then start no more answers.
+ *
  * @param send An open run.
- * @param now The time, and how old weights are.
- * @returns When it is taken back unless it has begun: its weights, which were replaced, may then begin
- * no answer any more. Infinite if that does not come.
+ * @param now Current time and ages of weights.
+ * @returns The time; infinite if the run's weights do not limit it.
  */
 export function beginUntilMs(
   { choice, answer, request }: Send,
-  { wanted, nowMs }: WeightsNow,
+  { wanted, nowMs }: TimeAndWeights,
 ): number {
   const { prompt } = request.facts;
   const { weightsVersion } = choice;
@@ -66,38 +79,45 @@
 }
 
 /**
- * @param send An open run whose engine has copied it and stops it.
- * @returns When it is taken for stopped, if its stream is not closed.
+ * Returns when a copied run counts as stopped even if its stream is still open.
+ *
+ * @param send An open run that its engine has copied and is stopping.
+ * @returns The time.
  */
 export function movedAtMs({ quietSinceMs }: Send): number {
-  return quietSinceMs + MOVED_CLOSE_MS;
+  return quietSinceMs + MOVED_CLOSE_TIMEOUT_MS;
 }
 
 /**
+ * Returns the next time at which a run must be checked.
+ *
  * @param send An open run.
- * @param now The time, and how old weights are.
- * @returns When something is to be done about it next.
+ * @param now Current time and ages of weights.
+ * @returns The earliest timeout that has not passed.
  */
-export function nextLookAtMs(send: Send, now: WeightsNow): number {
+export function nextLookAtMs(send: Send, now: TimeAndWeights): number {
   if (send.move?.kind === "copied") return movedAtMs(send);
-  const times = [patienceEndsAtMs(send), beginUntilMs(send, now)];
+  const times = [hedgeAtMs(send), beginUntilMs(send, now)];
   if (!send.isSuspected && !send.answer) times.push(suspectAtMs(send));
   const { nowMs } = now;
   return Math.min(...times.filter((atMs) => atMs > nowMs));
 }
 
-/** When another server is asked as well if nothing comes; infinite where it may not run twice. */
-function patienceEndsAtMs(send: Send): number {
+/** Time at which to hedge the run without further progress; infinite if it may not run twice. */
+function hedgeAtMs(send: Send): number {
   const { request, answer, quietSinceMs } = send;
   if (!isIdempotent(request.route)) return Infinity;
-  if (answer?.body.kind === "stream") return quietSinceMs + STREAM_GAP_MS;
-  return headTimeOf(send);
+  if (answer?.body.kind === "stream") return quietSinceMs + STREAM_HEDGE_MS;
+  return firstByteHedgeAtMs(send);
 }
 
-function headTimeOf({ request, choice, sentAtMs }: Send): number {
+function firstByteHedgeAtMs({ request, choice, sentAtMs }: Send): number {
   const { route, answerByMs } = request;
   const waitMs = route.kind === RequestKind.stream
-    ? Math.max(FIRST_EVENT_MIN_MS, FIRST_EVENT_FACTOR * choice.expectedMs)
-    : (answerByMs - sentAtMs) * CALL_SHARE;
+    ? Math.max(
+      FIRST_EVENT_HEDGE_MS,
+      FIRST_EVENT_HEDGE_FACTOR * choice.expectedMs,
+    )
+    : (answerByMs - sentAtMs) * CALL_HEDGE_RATIO;
   return sentAtMs + waitMs;
 }
--- a/src/router/patience_test.ts
+++ b/src/router/patience_test.ts
@@ -34,7 +34,7 @@
   return { clock, reader };
 }
 
-/** A resumable stream whose answer has these steps. */
+/** A resumable stream whose answer consists of these steps. */
 function sendOf(clock: TestClock, steps: AnswerStep[]): Send {
   const server = testServer("i-1");
   const nowMs = clock.nowMs();
@@ -55,11 +55,11 @@
   } as unknown as Send;
 }
 
-test("silence begins anew with each part of an answer", () => {
+test("each part of an answer restarts the silence timeout", () => {
   const { clock, reader } = create();
   const steps: AnswerStep[] = [];
   const send = sendOf(clock, steps);
-  // Other engines were asked at once where the head came late and the first event behind it.
+  // If the head came late and the first event after it as well, the stream was hedged at once.
   for (const [step, kind] of [[HEAD, "began"], [EVENT, "events"]] as const) {
     clock.advance(5000);
     assert.ok(isSilent(send, clock.nowMs()));
@@ -69,8 +69,9 @@
   }
 });
 
-// A head has more time than an event: one that came in between made its stream silent at once.
-test("head that comes within its time makes no stream silent", () => {
+// The head has a longer timeout than an event. A head that arrived between the two timeouts made
+// its stream count as silent at once.
+test("stream whose head arrives in time is not silent", () => {
   const { clock, reader } = create();
   const steps: AnswerStep[] = [];
   const send = sendOf(clock, steps);
@@ -81,7 +82,7 @@
   assert.equal(isSilent(send, clock.nowMs()), false);
 });
 
-test("stream that may run once is never silent for too long", () => {
+test("stream that may run only once is never silent for too long", () => {
   const { clock } = create();
   const send = sendOf(clock, []);
   send.request.route.resumable = false;
--- a/src/router/poison_request_test.ts
+++ b/src/router/poison_request_test.ts
@@ -11,20 +11,20 @@
 } from "./_world.ts";
 
 /*
- * A request ended each engine that began to run it. Each attempt of its client was a new one to the
- * entries, so it was sent to one engine after the other: 14 of them had ended in 14 s, and most of
- * the 101 requests that broke off were others that ran beside it.
+ * A request crashed every engine that started to run it. Each retry of its client was a new request
+ * to the entries, which sent it to one engine after the other: 14 engines ended in 14 s, and most
+ * of the 101 failed requests were others in flight on them.
  */
 
-/** A request that the platform allows to reach three servers more once three have ended under it. */
-const MOST_RUNS = 6;
+/** The platform allows a request to reach three more servers after three have ended under it. */
+const MAX_RUNS = 6;
 const ENGINES = 10;
-/** More than the entries take to tell each other, and the store to keep what they learn. */
-const NEWS_MS = 300;
-/** Streams that may not be begun again; each attempt runs at one engine. */
-const ONCE = "/once/poison";
-/** Streams that go on at another engine when one ends. */
-const RESUMED = "/stream/poison";
+/** Longer than gossip between the entries and the write to the store take. */
+const GOSSIP_MS = 300;
+/** Streams that may not be restarted; each attempt runs on one engine. */
+const ONCE_PATH = "/once/poison";
+/** Streams that resume on another engine when one ends. */
+const RESUMABLE_PATH = "/stream/poison";
 
 async function openEngines(
   t: TestContext,
@@ -44,7 +44,7 @@
   return world;
 }
 
-/** Asks each in turn, as a client does that comes again at any entry. */
+/** Sends the request to the entries in turn, like a client that retries at any entry. */
 async function askInTurn(
   entries: TestEntry[],
   { path, times }: { path: string; times: number },
@@ -54,7 +54,7 @@
       ...PROMPT,
       "attempt-id": `attempt-${i}`,
     });
-    await sleep(NEWS_MS);
+    await sleep(GOSSIP_MS);
   }
 }
 
@@ -64,39 +64,39 @@
 }
 
 test("request under which three servers ended reaches no more than three others", async (t) => {
-  const world = await openEngines(t, { entryCount: 2, poison: ONCE });
-  await askInTurn(world.entries, { path: ONCE, times: ENGINES });
-  assert.ok(runsOf(world, ONCE) <= MOST_RUNS);
+  const world = await openEngines(t, { entryCount: 2, poison: ONCE_PATH });
+  await askInTurn(world.entries, { path: ONCE_PATH, times: ENGINES });
+  assert.ok(runsOf(world, ONCE_PATH) <= MAX_RUNS);
 });
 
-test("request under which three servers ended stays refused when all entries start again", async (t) => {
-  const world = await openEngines(t, { entryCount: 2, poison: ONCE });
-  await askInTurn(world.entries, { path: ONCE, times: 3 });
+test("request under which three servers ended stays refused when all entries restart", async (t) => {
+  const world = await openEngines(t, { entryCount: 2, poison: ONCE_PATH });
+  await askInTurn(world.entries, { path: ONCE_PATH, times: 3 });
   await Promise.all(world.entries.map(({ router }) => router.stop()));
   const again: TestEntry[] = [];
   for (const entry of world.entries.slice()) {
     again.push(await world.restart(entry));
   }
   await until(() => again.every((entry) => knows(entry, '"configVersion":1')));
-  await askInTurn(again, { path: ONCE, times: ENGINES - 3 });
-  assert.ok(runsOf(world, ONCE) <= MOST_RUNS);
+  await askInTurn(again, { path: ONCE_PATH, times: ENGINES - 3 });
+  assert.ok(runsOf(world, ONCE_PATH) <= MAX_RUNS);
 });
 
 test("entry that starts while the store is down learns of such a request from its peers", async (t) => {
-  const world = await openEngines(t, { entryCount: 2, poison: ONCE });
+  const world = await openEngines(t, { entryCount: 2, poison: ONCE_PATH });
   await world.store.down();
-  await askInTurn(world.entries, { path: ONCE, times: 3 });
+  await askInTurn(world.entries, { path: ONCE_PATH, times: 3 });
   const [, second] = world.entries;
   await second!.router.stop();
   const again = await world.restart(second!);
   await until(() => knows(again, '"configVersion":1'));
-  await sleep(NEWS_MS * 5);
-  await askInTurn([again], { path: ONCE, times: ENGINES - 3 });
-  assert.ok(runsOf(world, ONCE) <= MOST_RUNS);
+  await sleep(GOSSIP_MS * 5);
+  await askInTurn([again], { path: ONCE_PATH, times: ENGINES - 3 });
+  assert.ok(runsOf(world, ONCE_PATH) <= MAX_RUNS);
 });
 
-test("stream that goes on elsewhere ends no more than six servers", async (t) => {
-  const world = await openEngines(t, { entryCount: 1, poison: RESUMED });
-  await askInTurn(world.entries, { path: RESUMED, times: ENGINES });
-  assert.ok(runsOf(world, RESUMED) <= MOST_RUNS);
+test("stream that resumes on other servers ends no more than six of them", async (t) => {
+  const world = await openEngines(t, { entryCount: 1, poison: RESUMABLE_PATH });
+  await askInTurn(world.entries, { path: RESUMABLE_PATH, times: ENGINES });
+  assert.ok(runsOf(world, RESUMABLE_PATH) <= MAX_RUNS);
 });
--- a/src/router/prompt_store.ts
+++ b/src/router/prompt_store.ts
@@ -1,31 +1,34 @@
 /**
- * Stores of cached prompts, which engines save to and copy from. Each prompt has one store, which
- * every entry computes alike, so that the room and the link of all of them are used.
+ * Stores of cached prompts, from which engines copy and to which they save. All entries assign a
+ * prompt to the same store, which spreads the prompts over the capacity and bandwidth of all
+ * stores.
  */
 import { textHash } from "../placement/rendezvous.ts";
 import type { CacheBook, Chain } from "./cache_book.ts";
 
-/** A store of cached prompts, and what it is expected to hold. */
+/** A store of cached prompts and its expected contents. */
 export interface PromptStore {
   address: string;
   zone: string;
   cache: CacheBook;
-  /** Time to copy a token from it within its zone. */
+  /** Time per token to copy from the store within its zone. */
   copyMsPerToken: number;
 }
 
 /**
- * @param stores Stores in force.
- * @param chain A prompt as engines keep it.
- * @returns The store of its shared parts, by rendezvous hashing: if a store goes, only its own
- *   prompts get another.
+ * Assigns a prompt to a store by rendezvous hashing of its shared parts: if a store is removed,
+ * only the prompts assigned to it move.
+ *
+ * @param stores Configured stores.
+ * @param chain Parts of the prompt.
+ * @returns The store; undefined if there are none.
  */
-export function storeOf(
+export function selectStore(
   stores: readonly PromptStore[],
   { salt, parts }: Chain,
 ): PromptStore | undefined {
   if (stores.length < 2) return stores[0];
-  // The last part belongs to the request alone.
+  // The last part is specific to the request.
   const shared = parts.at(-2)?.id ?? "";
   let best: { store: PromptStore; score: number } | undefined;
   for (const store of stores) {
--- a/src/router/prompt_store_test.ts
+++ b/src/router/prompt_store_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { CacheBook } from "./cache_book.ts";
-import { type PromptStore, storeOf } from "./prompt_store.ts";
+import { type PromptStore, selectStore } from "./prompt_store.ts";
 
 const SUBJECTS = 300;
 let nextOwn = 0;
@@ -27,12 +27,12 @@
 function placed(among: PromptStore[]): string[] {
   return Array.from(
     { length: SUBJECTS },
-    (_, subject) => storeOf(among, chain(subject))!.address,
+    (_, subject) => selectStore(among, chain(subject))!.address,
   );
 }
 
 test("prompts are spread over all stores", () => {
-  // With one store in use of three, a fleet asked its link for twice what it carries.
+  // If only one of three stores were used, a fleet could need twice the bandwidth of its link.
   const counts = new Map<string, number>();
   for (const address of placed(stores(3))) {
     counts.set(address, (counts.get(address) ?? 0) + 1);
@@ -46,7 +46,7 @@
   assert.deepEqual(placed(among), placed(among.toReversed()));
 });
 
-test("prompts of a store that goes get another, the rest stay", () => {
+test("only the prompts of a removed store move to another one", () => {
   const three = stores(3);
   const before = placed(three);
   const after = placed(three.slice(0, 2));
@@ -55,6 +55,6 @@
   assert.equal(same.length, kept.length);
 });
 
-test("without a store there is none", () => {
-  assert.equal(storeOf([], chain(1)), undefined);
+test("no store is selected if there are none", () => {
+  assert.equal(selectStore([], chain(1)), undefined);
 });
--- a/src/router/quarantine.ts
+++ b/src/router/quarantine.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps a request that ends the backend servers that run it from ending one after the other. Entries
- * tell each other under which requests servers ended, so that three ends are enough wherever the
- * request came to; what is told stays bounded, and good answers are told as well.
+ * Limits how many backend servers a request can crash. Entries gossip which requests were in flight
+ * on servers that ended, so that three ends quarantine a request whichever entries received it. The
+ * gossip is bounded, and successful answers, which clear a suspect, are shared as well.
  */
 import type { Clock, Logger, Metrics } from "../base/mod.ts";
 import type { Send } from "./attempt.ts";
@@ -10,7 +10,7 @@
 import type { RoutedRequest } from "./request.ts";
 import { digestOf } from "./request_digest.ts";
 import type { Server } from "./server.ts";
-import { type LostRequest, ServerEnds } from "./server_ends.ts";
+import { type LostRequest, ServerEndDetector } from "./server_ends.ts";
 import {
   SERIOUS_ENDS,
   type ServerEnd,
@@ -20,79 +20,89 @@
   type Verdict,
 } from "../suspects/mod.ts";
 
-/** Each piece of news is told so often, as datagrams may be lost. */
-const TELLINGS = 3;
-/** News that wait to be told; the oldest are left out beyond it. */
-const MAX_NEWS = 256;
-/** News in one datagram. */
-const MAX_TOLD = 16;
-/** Serious suspects are told of again after this, times the entries: all together tell as often. */
-const RETELL_MS_PER_ENTRY = 250;
-const RETELL_MIN_MS = 1000;
+/** Number of times each item is sent, because datagrams may be lost. */
+const SENDS_PER_ITEM = 3;
+/** Maximum number of queued items; the oldest are dropped. */
+const MAX_QUEUED = 256;
+/** Maximum number of items per datagram. */
+const MAX_PER_DATAGRAM = 16;
+/**
+ * Pause between repeats of serious suspects, per entry, so that their combined rate stays constant.
+ */
+const REPEAT_MS_PER_ENTRY = 250;
+const MIN_REPEAT_MS = 1000;
 
-/** What a {@link Quarantine} works with. */
+/** Dependencies of a {@link Quarantine}. */
 export interface QuarantineOptions {
   clock: Clock;
   log: Logger;
   metrics: Metrics;
-  /** Entries that live, this one included. */
+  /** Number of live entries, including this one. */
   entryCount(): number;
 }
 
-/** What entries tell each other of suspected requests. */
-export interface QuarantineNews {
+/** Gossip between entries about suspected requests. */
+export interface QuarantineGossip {
   ended: EndedUnder[];
   cleared: Cleared[];
 }
 
-type News =
+type GossipItem =
   | { kind: "ended"; digest: string; end: ServerEnd }
   | { kind: "cleared"; digest: string; atMs: number };
 
-interface Waiting {
-  news: News;
-  tellingsLeft: number;
+interface QueuedItem {
+  item: GossipItem;
+  sendsLeft: number;
 }
 
-/** Requests that are not sent any more, and those that are suspected. */
+/** Tracks suspected requests and those that may not be sent for now. */
 export class Quarantine implements SuspectSource {
   readonly table: SuspectTable;
   readonly #options: QuarantineOptions;
-  readonly #ends: ServerEnds;
-  readonly #waiting: Waiting[] = [];
-  #retoldAtMs = -Infinity;
-  /** First of the suspects that are told of next. */
-  #retellFrom = 0;
+  readonly #serverEnds: ServerEndDetector;
+  readonly #sendQueue: QueuedItem[] = [];
+  #repeatedAtMs = -Infinity;
+  /** Index of the first row of the next repeat. */
+  #repeatFrom = 0;
   #hasOwnNews = false;
 
   private constructor(options: QuarantineOptions) {
     this.#options = options;
     this.table = SuspectTable.create(options.clock);
-    this.#ends = ServerEnds.create({
+    this.#serverEnds = ServerEndDetector.create({
       clock: options.clock,
       onEnd: (server, lost) => this.ended(server.entry, lost),
     });
   }
 
   /**
-   * @param options Clock, log and metrics.
-   * @returns A quarantine without requests.
+   * Creates a quarantine without requests.
+   *
+   * @param options Dependencies.
+   * @returns The quarantine.
    */
   static create(options: QuarantineOptions): Quarantine {
     return new Quarantine(options);
   }
 
   /**
-   * @param request A request that is about to be sent.
-   * @returns What is thought of it.
+   * Checks a request before it is sent.
+   *
+   * @param request The request.
+   * @returns Whether it is clear, suspected or in quarantine.
    */
   verdict(request: RoutedRequest): Verdict {
-    // Without suspects no digest is needed.
+    // Avoids computing the digest if there are no suspects.
     if (this.table.size === 0) return { kind: "clear" };
     return this.table.verdict(digestOf(request));
   }
 
-  /** @param request A request that was refused because it is in quarantine. */
+  /**
+   * Counts a request that was refused because it is in quarantine.
+   *
+   * @param request The request.
+   */
   refused({ route, service }: RoutedRequest): void {
     this.#options.metrics.counter("quarantined_requests_total", {
       help: "Attempts refused because servers had ended under the request",
@@ -100,14 +110,18 @@
     }).add();
   }
 
-  /** @param send A send whose connection broke before its answer was whole. */
+  /**
+   * Records a send whose connection broke before its answer was complete.
+   *
+   * @param send The send.
+   */
   broken(send: Send): void {
     const { request, choice, runsFromMs, headAtMs, sentAtMs } = send;
     const nowMs = this.#options.clock.nowMs();
     const isSettled = runsFromMs !== undefined &&
       nowMs - runsFromMs >= SETTLED_MS;
     if (isSettled) return;
-    this.#ends.lost(choice.server, {
+    this.#serverEnds.lost(choice.server, {
       requestId: request.facts.requestId,
       digest: digestOf(request),
       answeringMs: headAtMs === undefined ? undefined : nowMs - headAtMs,
@@ -116,7 +130,11 @@
     });
   }
 
-  /** @param request A request that a server has answered well. */
+  /**
+   * Clears a suspected request that a server has answered successfully.
+   *
+   * @param request The request.
+   */
   answered(request: RoutedRequest): void {
     if (this.table.size === 0) return;
     const digest = digestOf(request);
@@ -133,44 +151,56 @@
     });
   }
 
-  /** Whether this entry saw what the store's record may lack. */
+  /** Whether this entry has observed something that the store's record may lack. */
   get hasOwnNews(): boolean {
     return this.#hasOwnNews;
   }
 
-  /** The store's record has all that is known. */
+  /** Called when the store's record is up to date. */
   recorded(): void {
     this.#hasOwnNews = false;
   }
 
-  /** @param server A server that is gone: it left the store, started again or lost its address. */
+  /**
+   * Handles the removal of a server.
+   *
+   * @param server A server that left the store, restarted or lost its address.
+   */
   left(server: Server): void {
-    this.#ends.left(server);
+    this.#serverEnds.left(server);
   }
 
-  /** Whether something is to be told. */
+  /** Whether there is gossip to send. */
   get hasNews(): boolean {
-    if (this.#waiting.length > 0) return true;
-    const sinceMs = this.#options.clock.nowMs() - this.#retoldAtMs;
-    return sinceMs >= this.#retellPauseMs &&
+    if (this.#sendQueue.length > 0) return true;
+    const sinceMs = this.#options.clock.nowMs() - this.#repeatedAtMs;
+    return sinceMs >= this.#repeatPauseMs &&
       this.table.suspects(SERIOUS_ENDS).length > 0;
   }
 
-  /** @returns What is to be told now; each call takes it as told once more. */
-  takeNews(): QuarantineNews {
-    const told: QuarantineNews = { ended: [], cleared: [] };
+  /**
+   * Takes the items for the next datagram; each counts as sent once more.
+   *
+   * @returns The items.
+   */
+  takeNews(): QuarantineGossip {
+    const outgoing: QuarantineGossip = { ended: [], cleared: [] };
     const nowMs = this.#options.clock.nowMs();
-    for (const waiting of this.#waiting.splice(0, MAX_TOLD)) {
-      addTo(told, waiting.news, nowMs);
-      waiting.tellingsLeft--;
-      if (waiting.tellingsLeft > 0) this.#waiting.push(waiting);
+    for (const queued of this.#sendQueue.splice(0, MAX_PER_DATAGRAM)) {
+      addToBatch(outgoing, queued.item, nowMs);
+      queued.sendsLeft--;
+      if (queued.sendsLeft > 0) this.#sendQueue.push(queued);
     }
-    if (told.ended.length === 0) this.#retell(told, nowMs);
-    return told;
+    if (outgoing.ended.length === 0) this.#repeatSuspects(outgoing, nowMs);
+    return outgoing;
   }
 
-  /** @param news What another entry told. */
-  hear({ ended, cleared }: QuarantineNews): void {
+  /**
+   * Applies gossip from another entry.
+   *
+   * @param news The received items.
+   */
+  hear({ ended, cleared }: QuarantineGossip): void {
     const nowMs = this.#options.clock.nowMs();
     for (const [digest, ageMs] of cleared) {
       this.table.clear(digest, nowMs - ageMs);
@@ -183,16 +213,22 @@
   }
 
   /**
-   * @param digest A request.
-   * @param end A server that ended under it, as others have seen.
+   * Records a server end that was observed elsewhere.
+   *
+   * @param digest Digest of a request that was in flight on the server.
+   * @param end The server end.
    */
   learn(digest: string, end: ServerEnd): void {
     const before = this.table.verdict(digest);
     if (!this.table.note(digest, end)) return;
-    this.#tellVerdict(digest, before);
+    this.#logVerdict(digest, before);
   }
 
-  /** @returns Suspects under which several servers ended, for dumps. */
+  /**
+   * Returns the suspects with several server ends, for state dumps.
+   *
+   * @returns A JSON-serializable list.
+   */
   state(): unknown {
     return this.table.suspects(SERIOUS_ENDS).map(({ digest, ends }) => ({
       digest,
@@ -202,8 +238,10 @@
   }
 
   /**
-   * @param server A server that has ended.
-   * @param lost What this entry had under way there.
+   * Records that a server has ended.
+   *
+   * @param server The server.
+   * @param lost Requests of this entry that were in flight on it.
    */
   ended(server: BackendServer, lost: LostRequest[]): void {
     const { log, metrics } = this.#options;
@@ -225,11 +263,11 @@
       if (!this.table.note(digest, end)) continue;
       this.#enqueue({ kind: "ended", digest, end });
       this.#hasOwnNews = true;
-      this.#tellVerdict(digest, before);
+      this.#logVerdict(digest, before);
     }
   }
 
-  #tellVerdict(digest: string, before: Verdict): void {
+  #logVerdict(digest: string, before: Verdict): void {
     const verdict = this.table.verdict(digest);
     if (verdict.kind !== "quarantined" || before.kind === verdict.kind) return;
     const { endCount, leftMs } = verdict;
@@ -241,41 +279,48 @@
     });
   }
 
-  #enqueue(news: News): void {
-    this.#waiting.push({ news, tellingsLeft: TELLINGS });
-    if (this.#waiting.length > MAX_NEWS) this.#waiting.shift();
+  #enqueue(news: GossipItem): void {
+    this.#sendQueue.push({ item: news, sendsLeft: SENDS_PER_ITEM });
+    if (this.#sendQueue.length > MAX_QUEUED) this.#sendQueue.shift();
   }
 
-  get #retellPauseMs(): number {
-    const pauseMs = this.#options.entryCount() * RETELL_MS_PER_ENTRY;
-    return Math.max(RETELL_MIN_MS, pauseMs);
+  get #repeatPauseMs(): number {
+    const pauseMs = this.#options.entryCount() * REPEAT_MS_PER_ENTRY;
+    return Math.max(MIN_REPEAT_MS, pauseMs);
   }
 
-  /** Entries that have started since learn of serious suspects, also while the store is away. */
-  #retell(told: QuarantineNews, nowMs: number): void {
-    if (nowMs - this.#retoldAtMs < this.#retellPauseMs) return;
+  /**
+   * Repeats serious suspects, so that entries that started since learn of them even while the store
+   * is unavailable.
+   */
+  #repeatSuspects(outgoing: QuarantineGossip, nowMs: number): void {
+    if (nowMs - this.#repeatedAtMs < this.#repeatPauseMs) return;
     const rows = this.table.suspects(SERIOUS_ENDS).flatMap(
-      ({ digest, ends }) => ends.map((end) => toTold(digest, end, nowMs)),
+      ({ digest, ends }) => ends.map((end) => toRow(digest, end, nowMs)),
     );
     if (rows.length === 0) return;
-    this.#retoldAtMs = nowMs;
-    const from = this.#retellFrom < rows.length ? this.#retellFrom : 0;
-    told.ended.push(...rows.slice(from, from + MAX_TOLD));
-    this.#retellFrom = from + MAX_TOLD;
+    this.#repeatedAtMs = nowMs;
+    const from = this.#repeatFrom < rows.length ? this.#repeatFrom : 0;
+    outgoing.ended.push(...rows.slice(from, from + MAX_PER_DATAGRAM));
+    this.#repeatFrom = from + MAX_PER_DATAGRAM;
   }
 }
 
-function addTo(told: QuarantineNews, news: News, nowMs: number): void {
-  switch (news.kind) {
+function addToBatch(
+  batch: QuarantineGossip,
+  item: GossipItem,
+  nowMs: number,
+): void {
+  switch (item.kind) {
     case "ended":
-      told.ended.push(toTold(news.digest, news.end, nowMs));
+      batch.ended.push(toRow(item.digest, item.end, nowMs));
       return;
     case "cleared":
-      told.cleared.push([news.digest, Math.round(nowMs - news.atMs)]);
+      batch.cleared.push([item.digest, Math.round(nowMs - item.atMs)]);
   }
 }
 
-function toTold(
+function toRow(
   digest: string,
   { server, answeringMs, atMs, runMs }: ServerEnd,
   nowMs: number,
--- a/src/router/quarantine_test.ts
+++ b/src/router/quarantine_test.ts
@@ -7,8 +7,8 @@
 import { knows, openWorld, until } from "./_world.ts";
 import { Quarantine } from "./quarantine.ts";
 
-/** Longer than a lost connection is looked into. */
-const LOOK_MS = 400;
+/** Longer than the investigation of a lost connection takes. */
+const INVESTIGATION_MS = 400;
 
 function create(clock = new TestClock(), log = silentLog) {
   const metrics = Metrics.create();
@@ -28,7 +28,7 @@
   }
 }
 
-test("what one entry knows well reaches one that starts later", () => {
+test("serious suspects reach an entry that starts later", () => {
   const clock = new TestClock();
   const knowing = create(clock);
   learnEnds(knowing, clock, 3);
@@ -40,7 +40,7 @@
   assert.ok(!knowing.hasNews);
 });
 
-test("nothing is told again of requests at which one server ended", () => {
+test("suspects with a single server end are not repeated", () => {
   const clock = new TestClock();
   const knowing = create(clock);
   learnEnds(knowing, clock, 1);
@@ -48,7 +48,7 @@
   assert.ok(!knowing.hasNews);
 });
 
-test("age of an end survives being told", () => {
+test("gossip preserves the age of a server end", () => {
   const clock = new TestClock();
   const [first, second] = [create(clock), create(clock)];
   learnEnds(first, clock, 3);
@@ -60,7 +60,7 @@
   assert.equal(after.leftMs, before.leftMs - 5000);
 });
 
-test("good answer that is told releases a request everywhere", () => {
+test("gossip of a successful answer clears a request", () => {
   const clock = new TestClock();
   const quarantine = create(clock);
   learnEnds(quarantine, clock, 3);
@@ -76,7 +76,7 @@
   assert.equal(logged.length, 1);
 });
 
-test("request whose answers were lost at servers that live is still served", async (t) => {
+test("request whose answers were lost by live servers is still served", async (t) => {
   const world = await openWorld(t);
   for (let i = 0; i < 4; i++) {
     const worker = await world.worker(`i-${i}`);
@@ -85,13 +85,13 @@
   const statuses: number[] = [];
   for (let i = 0; i < 12; i++) {
     statuses.push((await ask(world, "/book/a")).status);
-    await sleep(LOOK_MS / 4);
+    await sleep(INVESTIGATION_MS / 4);
   }
   assert.equal(statuses.at(-1), 200);
   assert.ok(!statuses.includes(503));
 });
 
-test("request at servers that end as planned is still served", async (t) => {
+test("request on servers that shut down as planned is still served", async (t) => {
   const world = await openWorld(t);
   for (let i = 0; i < 4; i++) {
     const worker = await world.worker(`i-${i}`, {
--- a/src/router/reborn_test.ts
+++ b/src/router/reborn_test.ts
@@ -14,10 +14,10 @@
   type World,
 } from "./_world.ts";
 
-/** An address that no other server of a test has. */
+/** An address that no other server of a test uses. */
 const OTHER_ADDRESS = "127.0.0.8:0";
 
-/** Starts a server again, and waits until the entries know of its new start. */
+/** Restarts a server and waits until all entries know the new start. */
 async function restart(
   world: World,
   worker: StandinPlatformWorker,
@@ -30,7 +30,7 @@
   }
 }
 
-/** Ids of servers and stores in whose cache an entry expects something. */
+/** Ids of the servers and stores in whose cache an entry expects something. */
 async function expectedCaches(entry: TestEntry): Promise<string[]> {
   const { ipAddress, controlPort } = entry;
   const response = await fetch(`http://${ipAddress}:${controlPort}/cached`);
@@ -41,10 +41,11 @@
 }
 
 /*
- * A server crashed and was back under its id. The entries took it for the same one: they expected
- * the prompts of its former start in its cache, and had other servers copy them from there.
+ * A server crashed and restarted under its id. The entries treated it as the same server: they
+ * expected prompts sent to the earlier start in its cache, and made other servers copy them from
+ * it.
  */
-test("prompts are not expected in the cache of a server that has started again", async (t) => {
+test("prompts are not expected in the cache of a restarted server", async (t) => {
   for (const listenAddress of [undefined, OTHER_ADDRESS]) {
     const world = await openWorld(t, { entryCount: 2 });
     const [, peer] = world.entries;
@@ -67,7 +68,7 @@
   }
 });
 
-test("order that is lost when its engine starts again is given anew", async (t) => {
+test("order lost in an engine restart is given again", async (t) => {
   for (const listenAddress of [undefined, OTHER_ADDRESS]) {
     const world = await openWorld(t);
     const engine = { model: "m", loadMs: 400 };
@@ -84,10 +85,10 @@
 });
 
 /*
- * An engine that the store could not be reached from started again, and its registration stayed that
- * of its former start. Its report told of the new one, and the order named the count of the former.
+ * An engine restarted while it could not reach the store, so its registration stayed that of the
+ * earlier start. Its report named the new start, but orders named the earlier one.
  */
-test("engine that has started again unregistered gets its orders by its report", async (t) => {
+test("engine that restarted without registering gets its orders by its report", async (t) => {
   const world = await openWorld(t);
   const worker = await world.engine("i-1");
   await world.store.put("op/version/m", { model: "m", version: 2 });
@@ -103,13 +104,13 @@
   await until(() => worker.version === 3);
   assert.ok(knows(world, `"bornAtMs":${worker.bornAtMs}`));
   assert.deepEqual(await expectedCaches(world), []);
-  // What the former start had registered is older.
+  // A registration of the earlier start is outdated and must be ignored.
   await world.store.put("servers/i-1", { ...former, state: "draining" });
   await world.worker("i-2");
   assert.equal((await ask(world, "/stream/a", PROMPT)).status, 200);
 });
 
-test("requests that may not be repeated run once, whatever starts again", async (t) => {
+test("requests that may not be repeated run once despite server restarts", async (t) => {
   const world = await openWorld(t);
   const plain = await world.worker("i-1");
   const slow = { model: "m", events: 60, eventMs: 20 };
@@ -129,7 +130,7 @@
   assert.equal((await ask(world, "/book/b")).status, 200);
 });
 
-test("stream that may be resumed goes on elsewhere when its server starts again", async (t) => {
+test("resumable stream resumes on another server when its server restarts", async (t) => {
   const world = await openWorld(t);
   const slow = { model: "m", events: 40, eventMs: 20 };
   const workers = [
--- a/src/router/recovered_server_test.ts
+++ b/src/router/recovered_server_test.ts
@@ -5,18 +5,18 @@
 import { ChoiceName, choose, type PromptPlacement } from "./choose.ts";
 
 const SERVERS = 6;
-/** Enough that a server without requests leaves the others with more to do. */
+/** High enough that the other servers are busier if one server gets no requests. */
 const REQUESTS_PER_S = 120;
 const SLOW_FOR_MS = 20_000;
 const SLOW_FACTOR = 5;
-/** From here on requests are counted. */
+/** Requests are counted from this time on. */
 const COUNT_FROM_MS = 40_000;
 const END_MS = 60_000;
 const PROMPT_TOKENS = 1500;
 const OUTPUT_MS = 400;
 
-/** What happens later, in order of time. */
-class Agenda {
+/** Queue of future events, ordered by time. */
+class EventQueue {
   readonly #clock: TestClock;
   readonly #events: { atMs: number; act: () => void }[] = [];
 
@@ -58,11 +58,16 @@
   };
 }
 
-/** @returns Part of the later requests that go to the server that was slow. */
+/**
+ * Simulates a load with one server that is slow at first.
+ *
+ * @param seed Seed of the random numbers.
+ * @returns Share of the later requests that this server gets after it has recovered.
+ */
 function shareAfterRecovery(seed: number): number {
   const random = seededRandom(seed);
   const clock = new TestClock();
-  const agenda = new Agenda(clock);
+  const agenda = new EventQueue(clock);
   const startMs = clock.nowMs();
   const servers = Array.from(
     { length: SERVERS },
@@ -89,7 +94,7 @@
     const i = servers.indexOf(server);
     if (ageMs >= COUNT_FROM_MS) counts[i]!++;
     const isSlow = i === 0 && ageMs < SLOW_FOR_MS;
-    // Servers are twice as fast as expected, so that the others' speed counts for them.
+    // Servers are twice as fast as expected, so that the other servers' slowness favors them.
     const ratio = (isSlow ? SLOW_FACTOR : 0.5) * (0.8 + 0.4 * random());
     const tookMs = ratio * expectedMs / server.health.slowness(nowMs);
     const ticket = server.begin(uncachedTokens, false);
@@ -104,9 +109,9 @@
   return counts[0]! / counts.reduce((sum, count) => sum + count, 0);
 }
 
-// A server that was slow and has recovered is not asked while faster ones are free; it would be
-// lost as one more if that lasted while they have much to do.
-test("server that has recovered gets its part of a load", () => {
+// A recovered server gets no requests while servers with lower slowness are idle. If that continued
+// while they are busy, its capacity would be lost.
+test("recovered server gets its share of the load", () => {
   for (const seed of [1, 2, 3]) {
     const share = shareAfterRecovery(seed);
     assert.ok(share > 0.5 / SERVERS, `seed ${seed}: ${share}`);
--- a/src/router/server.ts
+++ b/src/router/server.ts
@@ -1,4 +1,4 @@
-/** A backend server as this entry sees it: its registration, load, health and expected cache. */
+/** State of a backend server in this entry: registration, load, health and expected cache. */
 import { Announced } from "./announced.ts";
 import { AnswerOrder } from "./answer_order.ts";
 import { CacheBook } from "./cache_book.ts";
@@ -7,31 +7,33 @@
 import type { BackendServer } from "./model.ts";
 import { PeerLoadSum, type ServerLoad } from "./peer_load_sum.ts";
 
-/** Time for a generated token before any answer was seen; small models are some times faster. */
-const TOKEN_MS = 15;
-/** Bounds on it, so that one odd answer does not decide. */
+/** Initial estimate of the time per generated token; small models are several times faster. */
+const INITIAL_TOKEN_MS = 15;
+/** Bounds per token, which limit the effect of a single outlier. */
 const TOKEN_MIN_MS = 1;
 const TOKEN_MAX_MS = 200;
-/** Weight of the newest answer in the moving averages. */
-const TOKEN_SAMPLE_WEIGHT = 0.1;
-/** Tokens of an answer before any was seen; after a few answers their own count decides. */
-const OUTPUT_TOKENS = 50;
-
-/** Times of connections to servers. */
+/** Weight of the newest sample in the moving averages. */
+const SAMPLE_WEIGHT = 0.1;
+/**
+ * Initial estimate of the tokens per answer; the moving average replaces it after a few answers.
+ */
+const INITIAL_OUTPUT_TOKENS = 50;
+
+/** Timeouts of connections to servers. */
 export const CONNECTION_TIMES = {
-  /** Servers are a few ms away; a connection that takes longer is to a dead one. */
+  /** Servers are a few ms away, so a slower connection attempt means that the server is dead. */
   connectMs: 300,
-  /** Idle ones are closed after this, unless the server names a shorter time. */
+  /** Idle timeout, unless the server announces a shorter one. */
   idleMs: 4000,
 } as const;
 
-/** What a server takes; the configuration of its service says so. */
+/** Limits of a server, from the configuration of its service. */
 export interface ServerLimits {
-  /** Room for cached prompts that may be counted on. */
+  /** Capacity of the prefix cache, in tokens, that placement may rely on. */
   cacheTokens: number;
-  /** Connections from all entries together. */
+  /** Maximum number of connections from all entries together. */
   connectionLimit: number;
-  /** Time to copy a cached token from it within its zone. */
+  /** Time per token to copy cached tokens from this server within its zone. */
   copyMsPerToken: number;
 }
 
@@ -40,40 +42,40 @@
   connectMs: number;
   idleMs: number;
   lagMs?: () => number;
-  /** What this start of it announced before its registration lapsed; left out: nothing. */
+  /** Announcements of the same server start before its registration lapsed; undefined: none. */
   announced?: Announced;
 }
 
-/** One request under way, in this entry's count of a server's load. */
+/** Tracks one request in flight in this entry's load count of a server. */
 export interface LoadTicket {
-  /** The first token has come. */
+  /** Call when the first token has arrived. */
   started(): void;
-  /** The request is over. */
+  /** Call when the request has ended. */
   ended(): void;
 }
 
-/** One backend server. */
+/** A backend server. */
 export class Server {
   readonly id: string;
   readonly channels: ChannelSet;
   readonly cache: CacheBook;
   readonly health = Health.create();
   readonly order = AnswerOrder.create();
-  /** What it said of itself in its answers. */
+  /** Announcements that the server made in its answers. */
   readonly announced: Announced;
   #entry: BackendServer;
   readonly #weights = new Map<string, number>();
-  readonly #own: ServerLoad = { pendingTokens: 0, running: 0, bound: 0 };
-  readonly #peers = new PeerLoadSum();
+  readonly #ownLoad: ServerLoad = { pendingTokens: 0, running: 0, bound: 0 };
+  readonly #peerLoads = new PeerLoadSum();
   #connectionLimit: number;
   #copyMsPerToken: number;
   #heldBackUntilMs = -Infinity;
   #changesNextUntilMs = -Infinity;
   #refusedUntilMs = -Infinity;
-  #heardAtMs = -Infinity;
-  /** Mean time and mean most tokens of an answer. */
-  #answerMs = TOKEN_MS * OUTPUT_TOKENS;
-  #answerTokens = OUTPUT_TOKENS;
+  #lastByteAtMs = -Infinity;
+  /** Moving averages of the answer time and of the maximum tokens per answer. */
+  #answerMs = INITIAL_TOKEN_MS * INITIAL_OUTPUT_TOKENS;
+  #answerTokens = INITIAL_OUTPUT_TOKENS;
 
   private constructor(entry: BackendServer, options: ServerOptions) {
     this.id = entry.id;
@@ -83,54 +85,56 @@
     this.cache = CacheBook.create(options.cacheTokens);
     this.#connectionLimit = options.connectionLimit;
     this.#copyMsPerToken = options.copyMsPerToken;
-    this.#learnAll(entry.weights);
+    this.#recordAllWeights(entry.weights);
   }
 
   /**
-   * @param entry How the server registered.
-   * @param options Times, and room for cached prompts.
-   * @returns The server, without load.
+   * Creates a server without load.
+   *
+   * @param entry Registration of the server.
+   * @param options Timeouts and limits.
+   * @returns The server.
    */
   static create(entry: BackendServer, options: ServerOptions): Server {
     return new Server(entry, options);
   }
 
-  /** How it registered last. */
+  /** The latest registration. */
   get entry(): BackendServer {
     return this.#entry;
   }
 
   /**
-   * @param nowMs The time.
-   * @returns Whether it is to end soon and takes nothing new, by its registration or its own word.
+   * @param nowMs Current time.
+   * @returns Whether the server shuts down soon, according to its registration or announcement.
    */
   isLeaving(nowMs: number): boolean {
     return this.#entry.draining ||
       this.announced.leavingSaidMs(nowMs) !== undefined;
   }
 
-  /** Time to copy a cached token from it within its zone. */
+  /** Time per token to copy cached tokens from this server within its zone. */
   get copyMsPerToken(): number {
     return this.#copyMsPerToken;
   }
 
-  /** This entry's own requests. */
+  /** Load from this entry's own requests. */
   get ownLoad(): Readonly<ServerLoad> {
-    return this.#own;
+    return this.#ownLoad;
   }
 
-  /** When a byte of an answer last came from it. */
+  /** When a byte of any answer last arrived from this server. */
   get heardAtMs(): number {
-    return this.#heardAtMs;
+    return this.#lastByteAtMs;
   }
 
   /**
-   * @param nowMs The time.
-   * @returns Requests of all entries.
+   * @param nowMs Current time.
+   * @returns Load from the requests of all entries.
    */
   load(nowMs: number): ServerLoad {
-    const { pendingTokens, running, bound } = this.#own;
-    const peers = this.#peers.at(nowMs);
+    const { pendingTokens, running, bound } = this.#ownLoad;
+    const peers = this.#peerLoads.at(nowMs);
     return {
       pendingTokens: pendingTokens + peers.pendingTokens,
       running: running + peers.running,
@@ -138,14 +142,16 @@
     };
   }
 
-  /** @param entry A newer registration of the same start; one that doesn't name it changes it not. */
+  /**
+   * @param entry Newer registration of the same start; without a start time, the known one is kept.
+   */
   update(entry: BackendServer): void {
     const bornAtMs = entry.bornAtMs ?? this.#entry.bornAtMs;
     this.#entry = { ...entry, bornAtMs };
-    this.#learnAll(entry.weights);
+    this.#recordAllWeights(entry.weights);
   }
 
-  /** @param limits What it takes from now on. */
+  /** @param limits Limits that apply from now on. */
   limit({ cacheTokens, connectionLimit, copyMsPerToken }: ServerLimits): void {
     this.cache.resize(cacheTokens);
     this.#connectionLimit = connectionLimit;
@@ -153,39 +159,42 @@
   }
 
   /**
-   * Connections beyond the limit are reset by the server, and a request that was sent over one may
-   * or may not have run.
+   * Checks the connection limit. The server resets connections above its limit, and it is then
+   * unknown whether a request on such a connection ran.
    *
-   * @param nowMs The time.
-   * @returns Whether one more request may need a connection too many.
+   * @param nowMs Current time.
+   * @returns Whether another request might exceed the limit.
    */
   isFull(nowMs: number): boolean {
     return this.load(nowMs).running >= this.#connectionLimit;
   }
 
   /**
-   * @param peer Name of another entry.
-   * @param load Its requests to this server.
-   * @param nowMs The time.
+   * Updates the load reported by another entry.
+   *
+   * @param peer Name of the other entry.
+   * @param load Its requests in flight at this server.
+   * @param nowMs Current time.
    */
   setPeerLoad(peer: string, load: ServerLoad, nowMs: number): void {
-    this.#peers.set(peer, load, nowMs);
+    this.#peerLoads.set(peer, load, nowMs);
   }
 
   /**
-   * @param model Name of a model.
-   * @returns Version of its weights here, as far as known.
+   * @param model Model name.
+   * @returns Version of the model's weights on this server, if known.
    */
   weights(model: string): number | undefined {
     return this.#weights.get(model);
   }
 
   /**
-   * Versions only rise: what says less is older.
+   * Records the version of a model's weights. Versions only increase; lower ones are outdated
+   * reports and are ignored.
    *
-   * @param model Name of a model.
-   * @param version Version of its weights here.
-   * @returns Whether this was news.
+   * @param model Model name.
+   * @param version Version of its weights on this server.
+   * @returns Whether the version was new.
    */
   learnWeights(model: string, version: number): boolean {
     const known = this.#weights.get(model);
@@ -196,77 +205,78 @@
   }
 
   /**
-   * Sends it nothing new for a while, because its weights are about to change.
+   * Sends no new requests to the server for a while, because its weights are about to change.
    *
-   * @param untilMs Until when, unless said again.
+   * @param untilMs When this expires unless it is renewed.
    */
   holdBack(untilMs: number): void {
     this.#heldBackUntilMs = untilMs;
   }
 
   /**
-   * Its weights change after those of the engines that are held back now.
+   * Marks the server as next to change its weights, after the engines that are held back now.
    *
-   * @param untilMs Until when, unless said again.
+   * @param untilMs When this expires unless it is renewed.
    */
   changesNext(untilMs: number): void {
     this.#changesNextUntilMs = untilMs;
   }
 
   /**
-   * @param nowMs The time.
-   * @returns Whether long answers should go elsewhere, so that its change need not wait for them.
+   * @param nowMs Current time.
+   * @returns Whether long answers should go to other servers, so that its change need not wait for
+   *   them.
    */
   isChangingNext(nowMs: number): boolean {
     return nowMs < this.#changesNextUntilMs;
   }
 
   /**
-   * Sends it nothing new for a moment, because it refused a request.
+   * Sends no new requests to the server for a short time, because it refused one.
    *
-   * @param untilMs Until when.
+   * @param untilMs When this expires.
    */
   refused(untilMs: number): void {
     this.#refusedUntilMs = untilMs;
   }
 
   /**
-   * @param nowMs The time.
-   * @returns Whether its weights are about to change.
+   * @param nowMs Current time.
+   * @returns Whether the server is held back for a weights change.
    */
   isChanging(nowMs: number): boolean {
     return nowMs < this.#heldBackUntilMs;
   }
 
   /**
-   * @param nowMs The time.
-   * @returns Whether it is to get nothing new.
+   * @param nowMs Current time.
+   * @returns Whether the server should get no new requests: its weights are about to change, or it
+   *   refused a request recently.
    */
   isHeldBack(nowMs: number): boolean {
     return this.isChanging(nowMs) || nowMs < this.#refusedUntilMs;
   }
 
-  /**
-   * @param nowMs The time.
-   */
+  /** @param nowMs When a byte of any answer arrived. */
   heard(nowMs: number): void {
-    this.#heardAtMs = nowMs;
+    this.#lastByteAtMs = nowMs;
   }
 
   /**
-   * @param tokens Tokens that a request generates at most.
-   * @returns Expected time from its first token to its last.
+   * @param tokens Maximum number of tokens that a request generates.
+   * @returns Expected time from the first token to the last.
    */
   outputMs(tokens: number): number {
     return tokens * this.#answerMs / this.#answerTokens;
   }
 
   /**
-   * Notes how long a whole answer took. Long answers count by their tokens: short ones, which wait
-   * for other prompts between a few tokens, would make all look several times as slow.
+   * Updates the moving averages with a complete answer. Answers are weighted by their tokens: short
+   * answers wait for the prefill of other prompts between a few tokens, and a plain mean of time
+   * per token would make all answers look several times slower.
    *
-   * @param tookMs Time from its first token to its last.
-   * @param tokens Tokens that it might have generated at most.
+   * @param tookMs Time from the first token to the last.
+   * @param tokens Maximum number of tokens that the answer might have had.
    */
   learnOutput(tookMs: number, tokens: number): void {
     if (tokens <= 0) return;
@@ -274,19 +284,19 @@
       TOKEN_MAX_MS * tokens,
       Math.max(TOKEN_MIN_MS * tokens, tookMs),
     );
-    this.#answerMs += TOKEN_SAMPLE_WEIGHT * (sampleMs - this.#answerMs);
-    this.#answerTokens += TOKEN_SAMPLE_WEIGHT * (tokens - this.#answerTokens);
+    this.#answerMs += SAMPLE_WEIGHT * (sampleMs - this.#answerMs);
+    this.#answerTokens += SAMPLE_WEIGHT * (tokens - this.#answerTokens);
   }
 
   /**
-   * Counts a request.
+   * Adds a request to the load count.
    *
-   * @param pendingTokens Tokens that it has to read first.
-   * @param isBound Whether it can't go on at another server.
-   * @returns What to tell of its progress.
+   * @param pendingTokens Tokens that the server has to prefill first.
+   * @param isBound Whether the request cannot be resumed on another server.
+   * @returns Ticket that tracks its progress.
    */
   begin(pendingTokens: number, isBound: boolean): LoadTicket {
-    const own = this.#own;
+    const own = this.#ownLoad;
     let pending = pendingTokens;
     let isRunning = true;
     own.pendingTokens += pending;
@@ -307,8 +317,8 @@
   }
 
   /**
-   * @param nowMs The time.
-   * @returns Its state, for dumps.
+   * @param nowMs Current time.
+   * @returns The server's state for state dumps.
    */
   state(nowMs: number): unknown {
     return {
@@ -328,7 +338,7 @@
     };
   }
 
-  #learnAll(weights: ReadonlyMap<string, number>): void {
+  #recordAllWeights(weights: ReadonlyMap<string, number>): void {
     for (const [model, version] of weights) this.learnWeights(model, version);
   }
 }
--- a/src/router/server_ends.ts
+++ b/src/router/server_ends.ts
@@ -1,97 +1,112 @@
 /**
- * Finds out whether a connection that was lost means that its backend server has ended. A server
- * that resets a connection, or stops a run, may well live.
+ * Determines whether a lost connection means that the backend server's process has ended. A server
+ * may also reset a connection or stop a run while it stays alive.
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import type { Clock } from "../base/mod.ts";
 import { connectTo } from "./probe.ts";
 import type { Server } from "./server.ts";
 
-/** Other connections to the server are lost within this time, and its port closes. */
-const GATHER_MS = 20;
-/** Pause between probes of one server, which may reset many connections and live. */
-const PROBE_PAUSE_MS = 200;
-/** A server that can't be reached either way may leave the store within this time. */
-const UNCLEAR_MS = 5000;
-/** Requests that are kept for one server. */
-const MAX_LOST = 64;
+/**
+ * Delay before the probe, in which other connections to an ended server break and its port closes.
+ */
+const PROBE_DELAY_MS = 20;
+/** Minimum time between probes of one server, which may reset many connections and stay alive. */
+const MIN_PROBE_INTERVAL_MS = 200;
+/**
+ * Time after a lost connection in which a server that leaves the store counts as ended, if probing
+ * it was inconclusive.
+ */
+const INCONCLUSIVE_MS = 5000;
+/** Maximum number of lost requests recorded per server. */
+const MAX_LOST_REQUESTS = 64;
 
-/** A request whose connection to a server was lost before its answer was whole. */
+/** A request whose connection was lost before its answer was complete. */
 export interface LostRequest {
   requestId: string;
   digest: string;
-  /** Time since the server had begun to answer it; left out: it had not. */
+  /** Time since the server started to answer; undefined if it had not started. */
   answeringMs?: number;
   /** When the connection was lost. */
   atMs: number;
-  /** Time from when it was sent. */
+  /** Time since the request was sent. */
   runMs: number;
 }
 
-/** What a {@link ServerEnds} works with. */
-export interface ServerEndsOptions {
+/** Dependencies of {@link ServerEndDetector}. */
+export interface ServerEndDetectorOptions {
   clock: Clock;
-  /** A server has ended while it had these requests. */
+  /** Called when a server has ended while these requests were in flight on it. */
   onEnd(server: Server, lost: LostRequest[]): void;
 }
 
-interface Unclear {
+interface PendingProbe {
   lost: LostRequest[];
   atMs: number;
 }
 
-/** Servers to which connections were lost. */
-export class ServerEnds {
-  readonly #options: ServerEndsOptions;
-  readonly #unclear = new Map<Server, Unclear>();
+/** Tracks servers with lost connections until it is known whether they have ended. */
+export class ServerEndDetector {
+  readonly #options: ServerEndDetectorOptions;
+  readonly #pending = new Map<Server, PendingProbe>();
   readonly #probedAtMs = new WeakMap<Server, number>();
 
-  private constructor(options: ServerEndsOptions) {
+  private constructor(options: ServerEndDetectorOptions) {
     this.#options = options;
   }
 
   /**
-   * @param options Clock, and who is told of ends.
-   * @returns Nothing was lost yet.
+   * Creates a tracker.
+   *
+   * @param options Clock and callback.
+   * @returns A tracker without lost connections.
    */
-  static create(options: ServerEndsOptions): ServerEnds {
-    return new ServerEnds(options);
+  static create(options: ServerEndDetectorOptions): ServerEndDetector {
+    return new ServerEndDetector(options);
   }
 
   /**
-   * @param server A server to which a connection was lost.
-   * @param request The request that was under way on it.
+   * Records a lost connection and starts a probe, unless one is pending.
+   *
+   * @param server The server.
+   * @param request The request that was in flight on the connection.
    */
   lost(server: Server, request: LostRequest): void {
     const nowMs = this.#options.clock.nowMs();
-    // One that was to go goes, whatever it still runs.
+    // A leaving server shuts down as planned, even if requests are still in flight.
     if (server.isLeaving(nowMs)) return;
-    const known = this.#unclear.get(server);
-    if (known && nowMs - known.atMs < UNCLEAR_MS) {
-      if (known.lost.length < MAX_LOST) known.lost.push(request);
+    const known = this.#pending.get(server);
+    if (known && nowMs - known.atMs < INCONCLUSIVE_MS) {
+      if (known.lost.length < MAX_LOST_REQUESTS) known.lost.push(request);
       return;
     }
-    const unclear = { lost: [request], atMs: nowMs };
-    this.#unclear.set(server, unclear);
-    void this.#find(server, unclear);
+    const pending = { lost: [request], atMs: nowMs };
+    this.#pending.set(server, pending);
+    void this.#probe(server, pending);
   }
 
-  /** @param server A server that has left the store, or whose address another one has. */
+  /**
+   * Handles the removal of a server. It counts as ended if a connection to it was lost recently, no
+   * probe has settled the question, and it was not leaving.
+   *
+   * @param server A server that left the store, restarted or whose address another server has
+   *   taken.
+   */
   left(server: Server): void {
-    const unclear = this.#unclear.get(server);
-    if (!unclear) return;
+    const pending = this.#pending.get(server);
+    if (!pending) return;
     const nowMs = this.#options.clock.nowMs();
-    const isRecent = nowMs - unclear.atMs < UNCLEAR_MS;
+    const isRecent = nowMs - pending.atMs < INCONCLUSIVE_MS;
     this.#settle(server, isRecent && !server.isLeaving(nowMs));
   }
 
-  async #find(server: Server, unclear: Unclear): Promise<void> {
+  async #probe(server: Server, pending: PendingProbe): Promise<void> {
     const { clock } = this.#options;
     const sinceMs = clock.nowMs() - (this.#probedAtMs.get(server) ?? -Infinity);
-    await sleep(Math.max(GATHER_MS, PROBE_PAUSE_MS - sinceMs));
+    await sleep(Math.max(PROBE_DELAY_MS, MIN_PROBE_INTERVAL_MS - sinceMs));
     this.#probedAtMs.set(server, clock.nowMs());
     const outcome = await connectTo(server.entry.address);
-    if (this.#unclear.get(server) !== unclear) return;
+    if (this.#pending.get(server) !== pending) return;
     switch (outcome) {
       case "reached":
         return this.#settle(server, false);
@@ -99,14 +114,14 @@
         server.health.refusedConnection(clock.nowMs());
         return this.#settle(server, true);
       case "unclear":
-        // The store may tell, or whoever has the address next.
+        // Removal from the store, or another server at the address, may still settle the question.
         return;
     }
   }
 
   #settle(server: Server, hasEnded: boolean): void {
-    const unclear = this.#unclear.get(server);
-    this.#unclear.delete(server);
-    if (unclear && hasEnded) this.#options.onEnd(server, unclear.lost);
+    const pending = this.#pending.get(server);
+    this.#pending.delete(server);
+    if (pending && hasEnded) this.#options.onEnd(server, pending.lost);
   }
 }
--- a/src/router/server_test.ts
+++ b/src/router/server_test.ts
@@ -2,8 +2,8 @@
 import { test } from "node:test";
 import { testServer } from "./_kit.ts";
 
-// Short answers wait for other prompts between their few tokens: a mean over answers of the time for
-// a token took long ones for several times as long as they were, and they were refused.
+// Short answers wait for other prompts between their few tokens. With a mean of time per token over
+// all answers, long answers seemed several times slower than they were, and were refused.
 test("short answers do not make long ones look slow", () => {
   const server = testServer("a");
   for (let i = 0; i < 200; i++) {
@@ -14,7 +14,7 @@
   assert.ok(server.outputMs(80) < 2 * 600 + 200, `${server.outputMs(80)}`);
 });
 
-test("odd answer does not decide how long others are expected to take", () => {
+test("single outlier has little effect on expected answer times", () => {
   const server = testServer("a");
   for (let i = 0; i < 100; i++) server.learnOutput(600, 80);
   server.learnOutput(60_000, 80);
--- a/src/router/several_test.ts
+++ b/src/router/several_test.ts
@@ -6,7 +6,7 @@
 
 const OTHER_KEY = { authorization: "Bearer other" };
 
-test("entry that the store turns away learns from its peer", async (t) => {
+test("entry without store contact learns from its peer", async (t) => {
   const world = await openWorld(t, { entryCount: 2 });
   const [, far] = world.entries;
   const worker = await world.worker("i-1");
@@ -23,12 +23,12 @@
   assert.equal(worker.runs.length, 0);
 });
 
-test("entry that the store turns away believes a deletion if its peer is served", async (t) => {
+test("entry without store contact applies a deletion told by a peer with contact", async (t) => {
   const world = await openWorld(t, { entryCount: 2 });
   const [away, served] = world.entries;
   const leaving = await world.worker("i-1");
   await until(() => knows(served!, "i-1"));
-  // Until the peer has been served for long enough to vouch for the store.
+  // Wait until the peer has had store contact long enough to vouch for the store's state.
   for (const version of [2, 3, 4]) {
     for (const { clock } of world.entries) clock.aheadMs += 1000;
     await world.store.configure({ ...CONFIG, version });
@@ -57,7 +57,7 @@
   assert.equal((await ask(again, "/book/a", OTHER_KEY)).status, 401);
 });
 
-test("entry without contact is not sure that a key is unknown", async (t) => {
+test("entry without store contact refuses unknown keys as unavailable", async (t) => {
   const world = await openWorld(t);
   await world.worker("i-1");
   assert.equal((await ask(world, "/book/a", OTHER_KEY)).status, 401);
@@ -72,7 +72,7 @@
   assert.equal((await ask(world, "/book/a")).status, 200);
 });
 
-test("holder of the lease that the store turns away is followed under a higher number", async (t) => {
+test("lease holder without store contact is succeeded under a higher fencing number", async (t) => {
   const orderTurnMs = 300;
   const world = await openWorld(t, { entryCount: 3, orderTurnMs });
   const workers = [await world.engine("i-1"), await world.engine("i-2")];
@@ -94,7 +94,7 @@
   }
 });
 
-test("frozen holder of the lease orders nothing once it is awake again", async (t) => {
+test("frozen lease holder gives no orders after it wakes up", async (t) => {
   const world = await openWorld(t, { entryCount: 2, orderTurnMs: 300 });
   const workers = [await world.engine("i-1"), await world.engine("i-2")];
   await world.store.put("op/version/m", { model: "m", version: 2 });
@@ -103,7 +103,7 @@
     knows(entry, '"holdsRollLease":true')
   );
   assert.ok(holder);
-  // To its clock the lease ended long ago, though nobody has told it.
+  // By the holder's own clock the lease has expired, although no message said so.
   holder.link.freezeOpen();
   holder.clock.aheadMs = 10_000;
   assert.ok(knows(holder, '"holdsRollLease":false'));
@@ -130,7 +130,7 @@
   }
   const requests = rounds * world.entries.length;
   const arrivals = workers.flatMap(({ runs }) => runs).length;
-  // The deployments' own bound: a fifth of the requests, and 54.
+  // Limit of the deployments: a fifth of the requests, plus 54.
   assert.ok(arrivals > requests);
   assert.ok(
     arrivals - requests <= requests * 0.2 + 54,
@@ -138,9 +138,9 @@
   );
 });
 
-// A process that has just started took its part of the shared budget for unspent: eight entries that
-// all started again between two lots of 80 requests sent 96 of these 160 once more, of 86 allowed.
-test("resends stay within the shared budget when all entries start again", async (t) => {
+// A restarted process treated its share of the common resend budget as unspent: eight entries that
+// restarted between two batches of 80 requests resent 96 of these 160, although 86 were allowed.
+test("resends stay within the shared budget when all entries restart", async (t) => {
   const world = await openWorld(t, { entryCount: 8 });
   const workers = [await world.worker("i-1"), await world.worker("i-2")];
   const meet = (entries: TestEntry[]) =>
@@ -168,7 +168,7 @@
   assert.ok(resends <= requests * 0.2 + 54, `${resends} of ${requests}`);
 });
 
-test("kept connections are answered or closed at a stop", async (t) => {
+test("kept-alive connections are answered or closed on shutdown", async (t) => {
   const world = await openWorld(t);
   const slow = await world.worker("i-1", {
     model: "m",
@@ -178,8 +178,8 @@
   await world.worker("i-2");
   const stream = ask(world, "/stream/a", PROMPT);
   await until(() => slow.runs.length === 1);
-  const silent = await Talk.open(world);
-  const kept = await Talk.open(world);
+  const silent = await ClientConnection.open(world);
+  const kept = await ClientConnection.open(world);
   kept.ask("/look/a");
   await until(() => kept.answers === 1);
   const stopped = world.router.drain();
@@ -193,8 +193,8 @@
   await stopped;
 });
 
-/** A client's connection, in plain text. */
-class Talk {
+/** A raw client connection. */
+class ClientConnection {
   readonly #socket: Socket;
   readonly closed: Promise<void>;
   text = "";
@@ -203,14 +203,16 @@
     this.#socket = socket;
     this.closed = new Promise((resolve) => socket.once("close", resolve));
     socket.on("data", (bytes) => this.text += bytes);
-    // A reset is a way of closing.
+    // A reset also counts as closed.
     socket.on("error", () => {});
   }
 
-  static async open({ ipAddress, clientPort }: TestEntry): Promise<Talk> {
+  static async open(
+    { ipAddress, clientPort }: TestEntry,
+  ): Promise<ClientConnection> {
     const socket = connect(clientPort, ipAddress);
     await new Promise((resolve) => socket.once("connect", resolve));
-    return new Talk(socket);
+    return new ClientConnection(socket);
   }
 
   get answers(): number {
--- a/src/router/silent_engine_test.ts
+++ b/src/router/silent_engine_test.ts
@@ -17,12 +17,12 @@
 } from "./_patient_world.ts";
 import { openWorld, until, useConfig, type World } from "./_world.ts";
 
-/** Longer than a stream may pause while another engine can go on with it. */
+/** Longer than a stream may pause while another engine could resume it. */
 const PAUSE_MS = 1800;
-const GONE_MS = 60_000;
+const HANG_MS = 60_000;
 
-/** An engine whose streams all pause behind an event. */
-function pausing(
+/** Starts an engine whose streams all pause after an event. */
+function startPausingEngine(
   world: World,
   id: string,
   afterEvent = 2,
@@ -31,28 +31,29 @@
   return world.worker(id, { model: "m", faults: { ...NO_FAULTS, stall } });
 }
 
-// A stream was cut after 1.2 s of its engine's silence though nobody could go on with it.
-test("stream of the only engine outlasts a pause, wherever it is", async (t) => {
+// A stream was closed after its engine was silent for 1.2 s, although no other engine could resume
+// it.
+test("stream of the only engine survives a pause at any event", async (t) => {
   for (const afterEvent of [0, 2, 3]) {
     const world = await openPatientWorld(t);
-    await pausing(world, "i-1", afterEvent);
+    await startPausingEngine(world, "i-1", afterEvent);
     assertWhole(await ask(world, "/stream/a", ASKED), `after ${afterEvent}`);
     assert.equal(runsOf(world), 1);
     await world.router.stop();
   }
 });
 
-test("stream that has no attempt left outlasts a pause", async (t) => {
+test("stream without attempts left survives a pause", async (t) => {
   const world = await openPatientWorld(t, { maxAttempts: 1 });
-  await pausing(world, "i-1");
-  await pausing(world, "i-2");
+  await startPausingEngine(world, "i-1");
+  await startPausingEngine(world, "i-2");
   assertWhole(await ask(world, "/stream/a", ASKED));
   assert.equal(runsOf(world), 1);
 });
 
-test("stream that was sent four times outlasts a pause", async (t) => {
+test("stream that was sent four times survives a pause", async (t) => {
   const world = await openPatientWorld(t);
-  // Whichever engines come first refuse.
+  // The first engines to get the request refuse it, whichever they are.
   const stall = { afterEvent: 2, pauseMs: PAUSE_MS };
   const faults = { ...NO_FAULTS, refuse: 3, stall };
   for (const id of ["i-1", "i-2", "i-3", "i-4", "i-5"]) {
@@ -62,16 +63,16 @@
   assert.equal(runsOf(world), 1);
 });
 
-test("stream without a budget to resend outlasts pauses", async (t) => {
-  // Each entry's part of the budget is one resend at first.
+test("stream without a resend budget survives pauses", async (t) => {
+  // Each entry's share of the budget is one resend at first.
   const world = await openPatientWorld(t, { entryCount: 16, maxAttempts: 9 });
-  for (const id of ["i-1", "i-2", "i-3"]) await pausing(world, id);
+  for (const id of ["i-1", "i-2", "i-3"]) await startPausingEngine(world, id);
   assertWhole(await ask(world, "/stream/a", ASKED));
 });
 
-test("stream that broke and paused at its last engine is whole", async (t) => {
+test("stream that broke and paused on its last engine is complete", async (t) => {
   const world = await openPatientWorld(t);
-  // Whichever engine is first breaks off.
+  // The first engine to get the request breaks the stream, whichever it is.
   const faults = {
     ...NO_FAULTS,
     cutAfterEvents: 1,
@@ -83,7 +84,7 @@
   assert.equal(runsOf(world), 2);
 });
 
-test("run whose copy was refused outlasts a pause where it goes on", async (t) => {
+test("run whose copy was refused survives a later pause", async (t) => {
   const world = await openPatientWorld(t);
   const { engines, answers } = await streamAtEach(world, { headers: ASKED });
   for (const { faults } of engines) {
@@ -97,20 +98,20 @@
   }
 });
 
-test("stream outlasts a pause while a configuration comes", async (t) => {
+test("stream survives a pause during a configuration change", async (t) => {
   const world = await openPatientWorld(t);
-  const engine = await pausing(world, "i-1");
+  const engine = await startPausingEngine(world, "i-1");
   const answer = ask(world, "/stream/a", ASKED);
   await until(() => engine.runs.length > 0);
   await useConfig(world, { ...CONFIG, version: 3 });
   assertWhole(await answer);
 });
 
-test("stream of an engine that is gone goes on elsewhere", async (t) => {
+test("stream of a hung engine resumes on another engine", async (t) => {
   for (const afterEvent of [0, 2]) {
     const world = await openPatientWorld(t);
-    // Whichever engine is first says nothing more.
-    const stalls = [{ afterEvent, pauseMs: GONE_MS }];
+    // The first engine to get the request goes silent, whichever it is.
+    const stalls = [{ afterEvent, pauseMs: HANG_MS }];
     const faults = {
       ...NO_FAULTS,
       get stall() {
@@ -125,7 +126,7 @@
   }
 });
 
-test("call that only one server can take is waited for", async (t) => {
+test("router waits for a call that only one server can take", async (t) => {
   const world = await openWorld(t);
   const worker = await world.worker("i-1");
   worker.faults.lateMs = PAUSE_MS;
@@ -134,8 +135,8 @@
   assert.equal(worker.runs.length, 1);
 });
 
-// The failure of the only server that had answered was kept back for one that said nothing.
-test("server's own failure is passed on beside a silent run", async (t) => {
+// The failure returned by the only server that answered was withheld while a silent run was open.
+test("failure of a server is returned despite a silent run on another", async (t) => {
   const world = await openWorld(t);
   const hangs = { ...NO_FAULTS, hang: 1 };
   const first = await world.worker("i-1", { faults: hangs });
--- a/src/router/turned_away_test.ts
+++ b/src/router/turned_away_test.ts
@@ -9,12 +9,12 @@
   useConfig,
 } from "./_world.ts";
 
-/** Requests may reach a server for this long after the store has taken that it leaves. */
+/** Requests may reach a server for this long after the store has accepted that it leaves. */
 const DRAIN_MS = 2000;
-/** A part of the time after which an entry that has just started is settled. */
-const PART_MS = 1000;
+/** Clock step: a part of the time after which a newly started entry counts as settled. */
+const STEP_MS = 1000;
 
-const LOSSES: Record<string, (entry: TestEntry) => void> = {
+const FAILURES: Record<string, (entry: TestEntry) => void> = {
   "refuses its calls": ({ link }) => {
     link.down();
     link.cutOpen();
@@ -23,20 +23,20 @@
 };
 
 /*
- * An entry that the store turned away, while it served the other ones, kept a server whose deletion a
- * peer told, as if the registration had lapsed: ten requests reached servers too late on one played
- * day. Such an entry is bound by what the store has told the others.
+ * An entry whose store calls failed while the store served other entries kept a server whose
+ * deletion a peer reported, as if the registration had lapsed; ten requests reached servers too
+ * late. Such an entry must apply what the store told the others.
  */
-for (const [loss, lose] of Object.entries(LOSSES)) {
+for (const [loss, lose] of Object.entries(FAILURES)) {
   for (const isTold of [true, false]) {
     const how = isTold ? "says that it leaves" : "is gone";
-    test(`entry whose store ${loss} lets go of a server that ${how} in time`, async (t) => {
+    test(`entry whose store ${loss} stops using a server that ${how} in time`, async (t) => {
       const world = await openWorld(t, { entryCount: 2 });
       const [away, served] = world.entries;
       assert.ok(away && served);
       for (const version of [2, 3]) {
-        away.clock.aheadMs += PART_MS;
-        served.clock.aheadMs += PART_MS;
+        away.clock.aheadMs += STEP_MS;
+        served.clock.aheadMs += STEP_MS;
         await useConfig(world, { ...CONFIG, version });
       }
       const worker = await world.worker("i-1");
@@ -47,7 +47,7 @@
       );
       lose(away);
       const key = "servers/i-1";
-      // What it does later, by its own clock, is too late; its loops go on.
+      // Stops the entry's clock, so that only what it does in time counts; its loops keep running.
       setTimeout(() => away.clock.stop(), DRAIN_MS).unref();
       if (isTold) {
         await world.store.put(
