--- a/src/router/_answering_kit.ts
+++ b/src/router/_answering_kit.ts
@@ -1,4 +1,4 @@
-/** An answering whose servers, client and clock a test plays. */
+/** Test setup of an {@link Answering} with fake servers, a fake client and a test clock. */
 import type { TestContext } from "node:test";
 import { setImmediate as turn } from "node:timers/promises";
 import { silentLog, TestClock, testServer } from "./_kit.ts";
@@ -19,36 +19,36 @@
 import type { Wake } from "./wake.ts";
 import { WantedVersions } from "./wanted_weights.ts";
 
-/** Far more than the tests let pass. */
-const TIME_MS = 30_000;
-/** After so many turns of the event loop a task waits for a timer, or for what a test does next. */
-const TURNS = 5;
+/** Time until the request's deadline; far more than the tests let pass. */
+const DEADLINE_MS = 30_000;
+/** Event loop turns after which a task waits only for a timer or for the test's next action. */
+const SETTLE_TURNS = 5;
 
-/** What a test plays, and what it sees. */
+/** Inputs that a test controls, and outputs that it checks. */
 export interface Played {
   parts: AnsweringParts;
   task: AnsweringTask;
   clock: TestClock;
-  /** Where each send goes. */
+  /** Server to which each send goes. */
   choice: Choice;
-  /** Whether a request that has run finds a server. */
+  /** Whether a server is available for resends. */
   isServerReady: boolean;
   sends: Send[];
-  /** Events that the client has got. */
+  /** Events that the client has received. */
   written: string[];
-  /** Runs beyond the first that the workspace was charged for. */
+  /** Number of runs beyond the first for which the workspace was charged. */
   charged: number;
-  /** A part of a send's answer has come. */
+  /** Delivers a part of the response to the nth send. */
   comes(nth: number, part: AnswerPart): void;
-  /** The client goes. */
+  /** Disconnects the client. */
   leave(): void;
-  /** Lets time pass. With none, what is not waited for is done. */
+  /** Advances the clock; with 0, only completes pending work that needs no timer. */
   pass(ms: number): Promise<void>;
 }
 
 /**
- * @param t The test; timers stand still in it, but for what it lets pass.
- * @returns A resumable stream that was not sent yet, and a server that is free.
+ * @param t Test whose timers are mocked; they advance with {@link Played.pass} only.
+ * @returns A resumable stream request that was not sent yet, and a free server.
  */
 export function play(t: TestContext): Played {
   t.mock.timers.enable({ apis: ["setTimeout"] });
@@ -59,10 +59,10 @@
     facts: { requestId: "r-1" },
     service: "engines",
     arrivedAtMs: clock.nowMs(),
-    answerByMs: clock.nowMs() + TIME_MS,
+    answerByMs: clock.nowMs() + DEADLINE_MS,
   } as unknown as RoutedRequest;
-  const client = playClient();
-  const engine = playEngine(clock);
+  const client = fakeClient();
+  const engine = fakeEngine(clock);
   const played: Played = {
     parts: {
       clock,
@@ -76,7 +76,7 @@
         hasOther: () => true,
         fleet: { has: () => true },
       }),
-      mover: neverMoves(),
+      mover: inactiveMover(),
       quarantine: {
         verdict: () => ({ kind: "clear" }),
         answered: () => {},
@@ -116,15 +116,15 @@
 }
 
 /**
- * @param nth Number of an event.
- * @returns It, as a part of an answer.
+ * @param nth Number of the event.
+ * @returns The event as a part of a response.
  */
 export function event(nth: number): AnswerPart {
   const bytes = Buffer.from(`id: ${nth}\n\n`);
   return { kind: "events", bytes, lastEventId: `${nth}` };
 }
 
-/** @returns A stream that has begun. */
+/** @returns The response of a stream that has started. */
 export function begunAnswer(): PartialAnswer {
   return {
     head: { status: 200, headers: {} },
@@ -134,14 +134,14 @@
 }
 
 /**
- * @param mover What differs from one that moves nothing.
+ * @param mover Methods that replace those of a mover that moves nothing.
  * @returns A mover.
  */
 export function moverOf(mover: Partial<RunMover>): RunMover {
-  return { ...neverMoves(), ...mover } as unknown as RunMover;
+  return { ...inactiveMover(), ...mover } as unknown as RunMover;
 }
 
-function neverMoves(): RunMover {
+function inactiveMover(): RunMover {
   return {
     isDue: () => false,
     move: () => Promise.resolve({ kind: "not_moved" }),
@@ -150,10 +150,10 @@
 }
 
 async function settle(): Promise<void> {
-  for (let i = 0; i < TURNS; i++) await turn();
+  for (let i = 0; i < SETTLE_TURNS; i++) await turn();
 }
 
-function playClient() {
+function fakeClient() {
   const written: string[] = [];
   const listeners: (() => void)[] = [];
   let isGone = false;
@@ -178,7 +178,7 @@
   return { sink, written, leave };
 }
 
-function playEngine(clock: TestClock) {
+function fakeEngine(clock: TestClock) {
   const sends: Send[] = [];
   const wakes: Wake[] = [];
   const parts: AnswerPart[][] = [];
--- a/src/router/answer_order.ts
+++ b/src/router/answer_order.ts
@@ -1,46 +1,46 @@
-/** In which order a server begins its answers: whether a request without one waits for its turn. */
+/** Tracks the order in which a server starts responses, to tell whether a request is still queued. */
 
-/** What decides about a request's turn at a server. */
+/** Properties of a request that determine its position in a server's queue. */
 export interface QueuedRequest {
   sentAtMs: number;
   /** 0 is served first. */
   priority: number;
 }
 
-/** The answers that one server has begun. */
+/** Responses that one server has started. */
 export class AnswerOrder {
-  #beganAtMs = -Infinity;
-  /** When the request was sent last whose answer has begun, by priority. */
-  readonly #sentAtMs = new Map<number, number>();
+  #lastStartAtMs = -Infinity;
+  /** By priority: latest send time of the requests whose response has started. */
+  readonly #lastSentAtMs = new Map<number, number>();
 
   private constructor() {}
 
-  /** @returns The order at a server that has not answered yet. */
+  /** @returns The state of a server that has not responded yet. */
   static create(): AnswerOrder {
     return new AnswerOrder();
   }
 
   /**
-   * The server began to answer.
+   * Records that the server has started a response.
    *
-   * @param request The request.
-   * @param nowMs The time.
+   * @param request Request that is answered.
+   * @param nowMs Current time.
    */
   began({ sentAtMs, priority }: QueuedRequest, nowMs: number): void {
-    this.#beganAtMs = nowMs;
-    const lastMs = this.#sentAtMs.get(priority) ?? -Infinity;
-    this.#sentAtMs.set(priority, Math.max(lastMs, sentAtMs));
+    this.#lastStartAtMs = nowMs;
+    const lastMs = this.#lastSentAtMs.get(priority) ?? -Infinity;
+    this.#lastSentAtMs.set(priority, Math.max(lastMs, sentAtMs));
   }
 
   /**
-   * @param request A request without an answer.
-   * @returns Whether it seems to wait for others: answers have begun since it was sent, and none to a
-   * request that was sent later and is no more urgent.
+   * @param request Request without a response.
+   * @returns Whether the request is probably queued behind others: the server has started responses
+   * since it was sent, and none for a later request of the same or a less urgent priority.
    */
   isQueued({ sentAtMs, priority }: QueuedRequest): boolean {
-    if (this.#beganAtMs < sentAtMs) return false;
-    for (const [other, otherSentAtMs] of this.#sentAtMs) {
-      if (other >= priority && otherSentAtMs > sentAtMs) return false;
+    if (this.#lastStartAtMs < sentAtMs) return false;
+    for (const [other, startedSentAtMs] of this.#lastSentAtMs) {
+      if (other >= priority && startedSentAtMs > sentAtMs) return false;
     }
     return true;
   }
--- a/src/router/answer_order_test.ts
+++ b/src/router/answer_order_test.ts
@@ -2,9 +2,9 @@
 import { test } from "node:test";
 import { AnswerOrder } from "./answer_order.ts";
 
-// A request was taken back 1.6 s after it was sent, from an engine that answered others in turn, and
-// waited as long at the end of another's queue: it ran at neither.
-test("request waits for its turn where earlier ones have begun since", () => {
+// Guards against cancelling a request that is queued at an engine which serves others in order: after
+// 1.6 s it was moved to the end of another engine's queue, and ran at neither.
+test("request is queued if earlier ones have started since it was sent", () => {
   const order = AnswerOrder.create();
   const late = { sentAtMs: 100, priority: 5 };
   assert.equal(order.isQueued(late), false);
@@ -14,13 +14,13 @@
   assert.equal(order.isQueued(late), true);
 });
 
-test("request that was overtaken does not wait for its turn", () => {
+test("request that was overtaken is not queued", () => {
   const order = AnswerOrder.create();
   order.began({ sentAtMs: 150, priority: 5 }, 200);
   assert.equal(order.isQueued({ sentAtMs: 100, priority: 5 }), false);
 });
 
-test("more urgent requests don't overtake", () => {
+test("more urgent requests don't count as overtaking", () => {
   const order = AnswerOrder.create();
   order.began({ sentAtMs: 150, priority: 0 }, 200);
   assert.equal(order.isQueued({ sentAtMs: 100, priority: 5 }), true);
--- a/src/router/answer_rules.ts
+++ b/src/router/answer_rules.ts
@@ -1,9 +1,9 @@
-/** What may be done with a request again, and which answers of servers may be passed on. */
+/** Rules on which requests may be repeated and which responses may be forwarded to clients. */
 import { type AnswerFacts, RequestKind, type Route } from "./model.ts";
 
 /**
- * @param route A route.
- * @returns Whether its requests may run more than once.
+ * @param route Route of a request.
+ * @returns Whether requests of this route may run more than once.
  */
 export function isIdempotent(route: Route): boolean {
   switch (route.kind) {
@@ -17,15 +17,15 @@
 }
 
 /**
- * @param facts Head of a server's answer.
- * @returns Why it can't be passed on as the server's own; nothing if it can.
+ * @param facts Head of a server's response.
+ * @returns Why the response can't be forwarded as the server's own; undefined if it can.
  */
 export function problemOf(facts: AnswerFacts): string | undefined {
   if (facts.encoded) return "encoded_answer";
   const isSuccess = facts.status >= 200 && facts.status < 300;
   if (isSuccess && !facts.signed) return "unsigned_answer";
   if (isSuccess && !facts.framed) return "unframed_answer";
-  // These would promise that the request did not run, which the server has not said.
+  // These statuses tell a client that the request did not run, which the server has not confirmed.
   if ([408, 421, 429, 503].includes(facts.status)) {
     return `status_${facts.status}`;
   }
@@ -33,9 +33,9 @@
 }
 
 /**
- * @param ids Ids of events, which are numbers that rise.
- * @param lastEventId The event before them, if there is one.
- * @returns Whether each comes behind the one before.
+ * @param ids Ids of consecutive events; numeric ids must be ascending.
+ * @param lastEventId Id of the preceding event, if there is one.
+ * @returns Whether every numeric id is higher than the one before it.
  */
 export function follows(
   ids: string[],
--- a/src/router/answer_writer.ts
+++ b/src/router/answer_writer.ts
@@ -1,19 +1,19 @@
-/** Writes to a client what the runs of its request answer. */
+/** Writes the response of a request's runs to its client. */
 import { answerHeaders } from "../platform/mod.ts";
 import type { Progress, Send } from "./attempt.ts";
 import type { AnswerPart } from "./read_answer.ts";
 import type { AnswerSink } from "./request.ts";
 
-/** Where an answer goes. */
+/** Destination of a response and the state of its request. */
 export interface AnswerWriterTask {
   sink: AnswerSink;
   progress: Progress;
 }
 
-/** Writes one request's answer. */
+/** Writes the response of one request. */
 export class AnswerWriter {
   readonly #task: AnswerWriterTask;
-  /** A failure of a server's own, which is better than none. */
+  /** Error response of a server, used if no run delivers a better one. */
   #failure: { send: Send; body: Buffer } | undefined;
 
   private constructor(task: AnswerWriterTask) {
@@ -21,59 +21,63 @@
   }
 
   /**
-   * @param task Where the answer goes.
-   * @returns A writer that has written nothing.
+   * @param task Destination of the response.
+   * @returns A writer that has written nothing yet.
    */
   static create(task: AnswerWriterTask): AnswerWriter {
     return new AnswerWriter(task);
   }
 
   /**
-   * @param send Whose events they are.
-   * @param events Whole events behind the last one.
+   * @param send Send whose run produced the events.
+   * @param events Complete events that follow the last one written.
    */
-  async events(
+  async writeEvents(
     send: Send,
     { bytes, lastEventId }: Extract<AnswerPart, { kind: "events" }>,
   ): Promise<void> {
     const { sink, progress } = this.#task;
-    this.#begin(send);
+    this.#writeHead(send);
     progress.lastEventId = lastEventId ?? progress.lastEventId;
     await sink.write(bytes);
   }
 
-  /** @param send Whose stream is complete. */
-  endOfStream(send: Send): void {
-    this.#begin(send);
+  /** @param send Send whose stream is complete. */
+  endStream(send: Send): void {
+    this.#writeHead(send);
     this.#task.sink.end();
   }
 
   /**
-   * @param send Whose answer it is.
-   * @param body All of it.
+   * @param send Send whose response is written.
+   * @param body Its complete body.
    */
-  whole({ answer }: Send, body: Buffer): void {
+  writeWhole({ answer }: Send, body: Buffer): void {
     const { head } = answer!;
     this.#task.sink.send(head.status, answerHeaders(head.headers), body);
   }
 
   /**
-   * @param send Whose failure is kept in case no other answer comes.
-   * @param body All of it.
+   * @param send Send whose error response is kept in case no other response arrives.
+   * @param body Its complete body.
    */
   keepFailure(send: Send, body: Buffer): void {
     this.#failure = { send, body };
   }
 
-  /** @returns Status of the failure that was kept and is written now; nothing if there is none. */
-  failure(): number | undefined {
+  /**
+   * Writes the error response that was kept, unless a stream has started.
+   *
+   * @returns Its status; undefined if nothing was written.
+   */
+  writeKeptFailure(): number | undefined {
     if (!this.#failure || this.#task.progress.begun) return undefined;
     const { send, body } = this.#failure;
-    this.whole(send, body);
+    this.writeWhole(send, body);
     return send.answer!.head.status;
   }
 
-  #begin({ answer }: Send): void {
+  #writeHead({ answer }: Send): void {
     const { sink, progress } = this.#task;
     if (progress.begun) return;
     progress.begun = true;
--- a/src/router/answering.ts
+++ b/src/router/answering.ts
@@ -1,12 +1,13 @@
 /**
- * One request from its first send to its answer. Silence ends no run: another server is asked beside
- * the silent one, both runs stay open, and the one that answers first goes on. A run is closed only
- * - when another run of the request has answered, or goes on with the answer,
- * - when its engine has stopped it to move it,
- * - before it begins on weights that may begin no answer any more,
- * - when its client has gone or its time is over.
- * A stream that nobody runs, and that may be sent again, waits for a server and for the budget while
- * its client waits.
+ * Serves one request from its first send to its final response. A silent run is not cancelled: the
+ * request is also sent to another server, both runs stay open, and the first one that responds
+ * continues. A run is closed only
+ * - when another run of the request has responded or continues the stream,
+ * - when its engine has stopped it in order to move it,
+ * - before it starts on weights that were replaced too long ago to begin a response,
+ * - when the client has disconnected or the deadline has passed.
+ * A started stream without an open run, if it may be sent again, waits for a server and for the resend
+ * budget while its client stays connected.
  */
 import type { Logger } from "../base/mod.ts";
 import { AnswerWriter } from "./answer_writer.ts";
@@ -31,101 +32,103 @@
 import { Wake } from "./wake.ts";
 import type { WantedVersions } from "./wanted_weights.ts";
 
-/** Longest pause between looks at what may change while a server is waited for. */
-const LOOK_MS = 250;
-/** The same for a stream that nobody runs. */
-const LOOK_ALONE_MS = 100;
-/** Pause before a stream that nobody runs is sent again after a refusal; it doubles with each. */
+/** Longest wait before the open runs and the available servers are checked again. */
+const POLL_MS = 250;
+/** Interval at which a started stream without an open run looks for a server. */
+const POLL_NO_RUN_MS = 100;
+/** First backoff after a refusal for a started stream without an open run; it doubles each time. */
 const RETRY_MIN_MS = 25;
-/** The same while a run is open, and its answer may still come. */
+/** First backoff while another run is open and may still respond. */
 const RETRY_OPEN_MIN_MS = 250;
+/** Upper limit of both backoffs. */
 const RETRY_MAX_MS = 1000;
 
-/** Reason of refusals for want of a server. */
+/** Refusal reason: no server is available. */
 const NO_SERVER = "no_server";
-/** Reason of refusals for want of time. */
+/** Refusal reason: the response would miss its deadline. */
 export const TOO_LATE = "too_late";
-/** Reason of refusals of requests under which servers have ended. */
+/** Refusal reason: several servers terminated while they ran the request. */
 export const QUARANTINED = "quarantined";
 
-/** How the answering of a request ended. */
+/** Result of serving a request. */
 export type AnswerEnd =
   | { kind: "answered"; status: number }
   | { kind: "client_gone" }
-  /** Its client has no whole answer, and gets none. */
+  /** The client has received no complete response and no server will deliver one. */
   | { kind: "given_up"; reason: string; refusal: ResendRefusal };
 
-/** What an {@link Answering} works with. */
+/** Dependencies of an {@link Answering}. */
 export interface AnsweringParts extends OpenRunsParts {
   log: Logger;
   wanted: WantedVersions;
   servers: NextServer;
-  /** Whether a first send is not bound to be late. */
+  /** Whether the first send of a request can still meet the deadline. */
   isWorthSending(request: RoutedRequest, choice: Choice): boolean;
-  /** A server has gone silent; other entries are told. */
+  /** Called when a server has become silent, to notify the other routers. */
   onSilent(serverId: string): void;
 }
 
-/** Answers one request. */
+/** Serves one request, with retries and additional sends beside silent runs. */
 export class Answering {
   readonly #parts: AnsweringParts;
   readonly #task: AnsweringTask;
   readonly #wake = Wake.create();
-  readonly #open: OpenRuns;
+  readonly #runs: OpenRuns;
   readonly #writer: AnswerWriter;
-  /** Not sent again before. */
-  #nextAtMs = -Infinity;
-  /** Times in a row that it was refused. */
+  /** Earliest time of the next send. */
+  #nextSendAtMs = -Infinity;
+  /** Number of consecutive refusals, which sets the backoff. */
   #refusedCount = 0;
+  /** Reason to report if the request is given up. */
   #reason = NO_SERVER;
 
   private constructor(parts: AnsweringParts, task: AnsweringTask) {
     this.#parts = parts;
     this.#task = task;
-    this.#open = OpenRuns.create(parts, task, { wake: this.#wake });
+    this.#runs = OpenRuns.create(parts, task, { wake: this.#wake });
     this.#writer = AnswerWriter.create(task);
   }
 
   /**
-   * @param parts Servers and helpers.
-   * @param task The request.
-   * @returns Its answering, which has not begun.
+   * @param parts Dependencies.
+   * @param task The request and the sink for its response.
+   * @returns An instance that has sent nothing yet.
    */
   static create(parts: AnsweringParts, task: AnsweringTask): Answering {
     return new Answering(parts, task);
   }
 
-  /** @returns How it ended; where it was given up, its client is yet to be told. */
+  /** @returns The result. If it is `given_up`, the caller must still respond to the client. */
   async run(): Promise<AnswerEnd> {
     const { sink } = this.#task;
     sink.onGone(() => {
-      this.#open.abort();
+      this.#runs.abort();
       this.#wake.notify();
     });
     while (!sink.gone) {
       const end = await this.#step();
       if (!end) continue;
-      this.#open.closeAll(CloseReason.deadline);
+      this.#runs.closeAll(CloseReason.deadline);
       if (end.kind !== "given_up") return end;
-      const status = this.#writer.failure();
+      const status = this.#writer.writeKeptFailure();
       return status === undefined ? end : { kind: "answered", status };
     }
-    this.#open.closeAll(CloseReason.clientGone);
+    this.#runs.closeAll(CloseReason.clientGone);
     return { kind: "client_gone" };
   }
 
-  /** Takes what has come; else does what is due, and waits. */
+  /** Handles the next part of a response; if there is none, performs due actions and waits. */
   async #step(): Promise<AnswerEnd | undefined> {
-    const read = this.#open.read();
-    if (read) return await this.#take(read.send, read.part);
-    if (this.#nowMs >= this.#task.request.answerByMs) return this.#endLate();
-    const [first] = this.#open.all;
+    const read = this.#runs.read();
+    if (read) return await this.#onPart(read.send, read.part);
+    if (this.#nowMs >= this.#task.request.answerByMs) return this.#timeOut();
+    const [first] = this.#runs.all;
     if (first && this.#isMoveDue(first)) {
-      // What comes during the call is read before anything else is done.
+      // Parts that arrive during this call are read first in the next step.
       first.move = await this.#parts.mover.move(first);
       return undefined;
     }
-    for (const send of this.#open.all) this.#tend(send);
+    for (const send of this.#runs.all) this.#checkRun(send);
     const end = this.#sendIfDue();
     if (!end) await this.#wake.wait(this.#wakeAtMs() - this.#nowMs);
     return end;
@@ -135,78 +138,81 @@
     return this.#parts.clock.nowMs();
   }
 
-  async #take(send: Send, part: AnswerPart): Promise<AnswerEnd | undefined> {
+  async #onPart(
+    send: Send,
+    part: AnswerPart,
+  ): Promise<AnswerEnd | undefined> {
     switch (part.kind) {
       case "began":
-        // The other runs are closed once there is something to go on with.
+        // The other runs stay open until this one delivers events.
         return undefined;
       case "events":
-        this.#goOnWith(send);
-        await this.#writer.events(send, part);
+        this.#continueWith(send);
+        await this.#writer.writeEvents(send, part);
         send.quietSinceMs = this.#nowMs;
         return undefined;
       case "stream_end":
-        this.#goOnWith(send);
-        this.#learnOutput(send);
-        this.#writer.endOfStream(send);
-        return this.#answered(send);
+        this.#continueWith(send);
+        this.#recordOutputTime(send);
+        this.#writer.endStream(send);
+        return this.#finish(send);
       case "whole":
-        return this.#takeWhole(send, part.body);
+        return this.#handleWhole(send, part.body);
       case "over":
-        this.#over(send, part.end);
+        this.#endRun(send, part.end);
         return undefined;
     }
   }
 
-  #learnOutput({ choice, headAtMs }: Send): void {
+  #recordOutputTime({ choice, headAtMs }: Send): void {
     const tookMs = this.#nowMs - headAtMs!;
     const { prompt } = this.#task.request.facts;
     choice.server.learnOutput(tookMs, prompt?.outputTokens ?? 0);
   }
 
-  #takeWhole(send: Send, body: Buffer): AnswerEnd | undefined {
+  #handleWhole(send: Send, body: Buffer): AnswerEnd | undefined {
     const { request, progress } = this.#task;
     const { status } = send.answer!.facts;
-    const isReplaced = status >= 500 && (this.#open.count > 1 ||
+    const isReplaced = status >= 500 && (this.#runs.count > 1 ||
       this.#parts.resends.mayReplace(request, progress));
     if (isReplaced) this.#writer.keepFailure(send, body);
-    // Only a stream goes on with a stream.
+    // A started stream can be continued only by another stream.
     if (isReplaced || progress.begun) {
-      this.#over(send, { kind: "unknown", reason: `status_${status}` });
+      this.#endRun(send, { kind: "unknown", reason: `status_${status}` });
       return undefined;
     }
-    this.#goOnWith(send);
-    this.#writer.whole(send, body);
-    return this.#answered(send);
+    this.#continueWith(send);
+    this.#writer.writeWhole(send, body);
+    return this.#finish(send);
   }
 
-  #answered(send: Send): AnswerEnd {
-    this.#open.answered(send);
+  #finish(send: Send): AnswerEnd {
+    this.#runs.answered(send);
     return { kind: "answered", status: send.answer!.facts.status };
   }
 
-  #goOnWith(send: Send): void {
+  #continueWith(send: Send): void {
     this.#refusedCount = 0;
-    this.#nextAtMs = -Infinity;
-    this.#open.goOnWith(send);
+    this.#nextSendAtMs = -Infinity;
+    this.#runs.goOnWith(send);
   }
 
   #isMoveDue(send: Send): boolean {
-    return this.#open.count === 1 && this.#parts.mover.isDue(send);
+    return this.#runs.count === 1 && this.#parts.mover.isDue(send);
   }
 
-  /** Does what follows from a server's silence. */
-  #tend(send: Send): void {
+  /** Closes a run whose wait has expired, or marks its silent server as suspected. */
+  #checkRun(send: Send): void {
     const nowMs = this.#nowMs;
     const { move } = send;
     if (move?.kind === "copied") {
       if (nowMs < movedAtMs(send)) return;
-      return this.#over(send, { kind: "moved", choice: move.choice });
+      return this.#endRun(send, { kind: "moved", choice: move.choice });
     }
     if (send.answer) return;
     if (nowMs >= beginUntilMs(send, { wanted: this.#parts.wanted, nowMs })) {
-      // Taken back by closing the connection, before the engine begins it.
-      return this.#over(send, endClosed(send, CloseReason.weightsRetired));
+      // Closing the connection cancels the request before the engine starts it.
+      return this.#endRun(send, endClosed(send, CloseReason.weightsRetired));
     }
     if (!send.isSuspected && nowMs >= suspectAtMs(send)) this.#suspect(send);
   }
@@ -225,27 +231,28 @@
     });
   }
 
-  /** Sends the request if no run of it is open, or all are silent. */
+  /** Sends the request if it has no open run, or if all of them are silent. */
   #sendIfDue(): AnswerEnd | undefined {
     const nowMs = this.#nowMs;
-    if (nowMs < this.#nextAtMs) return undefined;
-    if (this.#open.all.some((send) => !isSilent(send, nowMs))) return undefined;
+    if (nowMs < this.#nextSendAtMs) return undefined;
+    if (this.#runs.all.some((send) => !isSilent(send, nowMs))) return undefined;
     const refusal = this.#sendNext();
     if (!refusal) return undefined;
-    // Clients that have nothing yet are better off when they come back.
+    // A client that has received nothing yet is better off with an error that it can retry.
     const mayWait = this.#task.progress.begun && mayPass(refusal);
-    if (this.#open.count === 0 && !mayWait) {
+    if (this.#runs.count === 0 && !mayWait) {
       return { kind: "given_up", reason: this.#reason, refusal };
     }
-    this.#nextAtMs = nowMs + (this.#open.count > 0 ? LOOK_MS : LOOK_ALONE_MS);
+    this.#nextSendAtMs = nowMs +
+      (this.#runs.count > 0 ? POLL_MS : POLL_NO_RUN_MS);
     return undefined;
   }
 
-  /** Sends it to one more server; else says why not. */
+  /** Sends the request to one more server, or returns why it can't. */
   #sendNext(): ResendRefusal | undefined {
     const { request, progress } = this.#task;
     const { resends, isWorthSending } = this.#parts;
-    const open = { count: this.#open.count, isAnyUp: this.#isAnyUp };
+    const open = { count: this.#runs.count, isAnyUp: this.#isAnyUp };
     const refusal = resends.refusalOf(request, progress, open);
     if (refusal) return refusal;
     if (this.#isQuarantined()) return ResendRefusal.quarantined;
@@ -258,24 +265,24 @@
     const payment = resends.pay(request, progress, open);
     if (payment.kind === "refused") return ResendRefusal.noBudget;
     if (open.count > 0) progress.sendsBeside++;
-    this.#open.open(choice, payment);
+    this.#runs.open(choice, payment);
     return undefined;
   }
 
-  /** Whether a run is open at a server that is up. */
+  /** Whether a run is open at a server that is not down. */
   get #isAnyUp(): boolean {
-    return this.#open.all.some(({ choice }) => !choice.server.health.isDown);
+    return this.#runs.all.some(({ choice }) => !choice.server.health.isDown);
   }
 
   #choose(): Choice | undefined {
     const { servers } = this.#parts;
     const { request, progress } = this.#task;
-    return progress.begun || this.#open.count > 0
-      ? servers.ready(request, progress, this.#open.servers)
+    return progress.begun || this.#runs.count > 0
+      ? servers.ready(request, progress, this.#runs.servers)
       : servers.any(request, progress);
   }
 
-  /** Looked at before each send: servers may have ended under this very attempt. */
+  /** Checked before each send, as servers may have terminated during this very attempt. */
   #isQuarantined(): boolean {
     const { request, progress } = this.#task;
     const verdict = this.#parts.quarantine.verdict(request);
@@ -293,38 +300,38 @@
     }
   }
 
-  /** A send is over without a whole answer. */
-  #over(send: Send, end: SendEnd): void {
-    this.#open.over(send, end);
+  /** Handles a send that ended without a complete response. */
+  #endRun(send: Send, end: SendEnd): void {
+    this.#runs.over(send, end);
     switch (end.kind) {
       case "moved":
-        return this.#open.open(
+        return this.#runs.open(
           end.choice,
           this.#parts.resends.payReserved(this.#task.progress),
         );
       case "not_run":
         this.#reason = end.reason;
-        // A server that was not reached is known to be down, and another one may be free.
-        if (!end.isUnsent) this.#noteRefused();
+        // An unreachable server is marked as down, so another one may be tried without backoff.
+        if (!end.isUnsent) this.#backOff();
         return;
       case "unknown":
         this.#reason = end.reason;
-        this.#nextAtMs = -Infinity;
+        this.#nextSendAtMs = -Infinity;
     }
   }
 
-  /** A request that can wait is not sent again at once. */
-  #noteRefused(): void {
-    const isOpen = this.#open.count > 0;
+  /** Delays the next send if the stream has started or another run is open. */
+  #backOff(): void {
+    const isOpen = this.#runs.count > 0;
     if (!this.#task.progress.begun && !isOpen) return;
     const minMs = isOpen ? RETRY_OPEN_MIN_MS : RETRY_MIN_MS;
     const pauseMs = Math.min(RETRY_MAX_MS, minMs * 2 ** this.#refusedCount);
     this.#refusedCount++;
-    this.#nextAtMs = this.#nowMs + pauseMs;
+    this.#nextSendAtMs = this.#nowMs + pauseMs;
   }
 
-  #endLate(): AnswerEnd {
-    if (this.#open.count > 0) this.#reason = CloseReason.deadline;
+  #timeOut(): AnswerEnd {
+    if (this.#runs.count > 0) this.#reason = CloseReason.deadline;
     const reason = this.#reason;
     return { kind: "given_up", reason, refusal: ResendRefusal.noTime };
   }
@@ -332,13 +339,13 @@
   #wakeAtMs(): number {
     const { wanted } = this.#parts;
     const nowMs = this.#nowMs;
-    const times = [this.#task.request.answerByMs, this.#nextAtMs];
-    for (const send of this.#open.all) {
+    const times = [this.#task.request.answerByMs, this.#nextSendAtMs];
+    for (const send of this.#runs.all) {
       times.push(nextLookAtMs(send, { wanted, nowMs }));
     }
     return times.reduce(
       (first, atMs) => atMs > nowMs ? Math.min(first, atMs) : first,
-      nowMs + LOOK_MS,
+      nowMs + POLL_MS,
     );
   }
 }
--- a/src/router/answering_test.ts
+++ b/src/router/answering_test.ts
@@ -12,12 +12,12 @@
   kind: "over",
   end: { kind: "unknown", reason: "ECONNRESET", isBroken: true },
 };
-/** A stream without an event for this long is asked for elsewhere. */
+/** After this time without an event, a stream is also sent to another server. */
 const GAP_MS = 1200;
-/** A copied run is taken for stopped after less than this. */
+/** Longer than the time after which a copied run counts as stopped. */
 const COPY_MS = 300;
 
-/** A stream whose first event has come. */
+/** Starts a stream and delivers its first event. */
 async function begin(played: Played): Promise<{ ended: Promise<AnswerEnd> }> {
   const ended = Answering.create(played.parts, played.task).run();
   await played.pass(0);
@@ -26,8 +26,8 @@
   return { ended };
 }
 
-// Its run went on at the engine that it had been copied to, though nobody was there to read it.
-test("run whose client goes while it is copied is not sent on", async (t) => {
+// Guards against a run that continues on the target of its copy after the client has disconnected.
+test("run whose client disconnects while it is copied is not resumed", async (t) => {
   const played = play(t);
   const { clock, choice } = played;
   played.parts.mover = moverOf({
@@ -43,8 +43,8 @@
   assert.deepEqual(await ended, { kind: "client_gone" });
 });
 
-// What had come during the call was left until the next look at the run.
-test("event that comes during a call to move is passed on before any wait", async (t) => {
+// Guards against parts that arrive during the call but are not read before the next wait ends.
+test("event that arrives during a move call is forwarded without a wait", async (t) => {
   const played = play(t);
   let calls = 0;
   played.parts.mover = moverOf({
@@ -56,20 +56,20 @@
       return Promise.resolve({ kind: "not_moved" });
     },
   });
-  // Timers stand still: a wait would not end.
+  // Timers are mocked and not advanced, so a wait would never end.
   const { ended } = await begin(played);
   assert.equal(calls, 1);
   assert.deepEqual(played.written, ["id: 1\n\n", "id: 2\n\n"]);
   assert.deepEqual(await ended, { kind: "answered", status: 200 });
 });
 
-// The pause after refusals, up to a second, went on though nobody ran the stream any more.
-test("stream whose run breaks is sent on at once, however long the pause is", async (t) => {
+// Guards against a backoff after refusals, up to 1 s, that continues once the last open run has broken.
+test("stream whose last run breaks is resent at once despite a backoff", async (t) => {
   const played = play(t);
   const { ended } = await begin(played);
   assert.equal(played.written.length, 1);
   await played.pass(GAP_MS);
-  // Asked beside the silent run, others refuse; the pauses grow.
+  // Other servers refuse the sends beside the silent run, and the backoff grows.
   for (const [nth, pauseMs] of [[1, 250], [2, 500], [3, 0]] as const) {
     assert.equal(played.sends.length, nth + 1);
     played.comes(nth, REFUSED);
@@ -84,8 +84,8 @@
   assert.deepEqual(await ended, { kind: "answered", status: 200 });
 });
 
-// The pauses between looks for a server grew, and one that had come was seen late.
-test("stream that nobody runs is sent soon after a server comes, however late", async (t) => {
+// Guards against growing poll intervals, with which a new server is noticed late.
+test("stream without a run is resent soon after a server becomes available", async (t) => {
   const played = play(t);
   const { ended } = await begin(played);
   assert.equal(played.written.length, 1);
--- a/src/router/channel.ts
+++ b/src/router/channel.ts
@@ -1,53 +1,53 @@
 /**
- * Connections to one backend server. Each carries one request at a time and is used again only
- * after an answer that came whole and as announced.
+ * Connections to one backend server. Each connection carries one request at a time and is reused only
+ * after a complete, well-framed response.
  */
 import type { IncomingHttpHeaders } from "node:http";
 import { connect, type Socket } from "node:net";
 import { type buildConnector, Client, type Dispatcher } from "undici";
 import { Wake } from "./wake.ts";
 
-/** What is sent over a channel. */
+/** A request to send over a channel. */
 export interface ChannelRequest {
   method: string;
   target: string;
-  /** Names and values in turn. */
+  /** Alternating names and values. */
   headers: string[];
   body: Buffer | undefined;
 }
 
-/** Why an answer did not come whole. */
+/** Why a response is incomplete. */
 export type ChannelFailure =
-  /** No connection could be made; the request was not sent. */
+  /** No connection could be established; the request was not sent. */
   | { kind: "unreachable"; message: string }
-  /** It was sent, in whole or in part. */
+  /** The connection failed after the request was sent, completely or in part. */
   | { kind: "broken"; message: string };
 
-/** Head of an answer. */
+/** Status and headers of a response. */
 export interface AnswerHead {
   status: number;
-  /** Names in lower case. */
+  /** Header names are in lower case. */
   headers: IncomingHttpHeaders;
 }
 
-/** One step of an answer. */
+/** One step of reading a response. */
 export type AnswerStep =
   | { kind: "head"; head: AnswerHead }
   | { kind: "data"; bytes: Buffer }
   | { kind: "end" }
   | { kind: "failed"; failure: ChannelFailure };
 
-/** A process that is behind by less has read what has come. */
-const READ_MS = 50;
-/** Bytes of an answer that wait for their reader before the server is held back. */
-const READ_AHEAD_BYTES = 64 * 1024;
+/** With less lag than this, the process has read everything that has arrived. */
+const MIN_LAG_MS = 50;
+/** Unread bytes of a response above which reading from the connection is paused (backpressure). */
+const MAX_UNREAD_BYTES = 64 * 1024;
 
-/** One request and its answer, read step by step. */
+/** One request and its response, which is read step by step. */
 export class Exchange implements Dispatcher.DispatchHandler {
   readonly #channel: Channel;
   readonly #steps: AnswerStep[] = [];
   #controller: Dispatcher.DispatchController | undefined;
-  #queuedBytes = 0;
+  #unreadBytes = 0;
   readonly #wake: Wake;
   #aborted: Error | undefined;
   #sent = false;
@@ -66,28 +66,28 @@
   /**
    * Waits for the next step.
    *
-   * @param waitMs Longest time to wait.
-   * @returns The step, or nothing if none came in time.
+   * @param waitMs Timeout.
+   * @returns The step, or undefined after the timeout.
    */
   async next(waitMs: number): Promise<AnswerStep | undefined> {
     if (this.#steps.length === 0) await this.#wake.wait(waitMs);
     return this.take();
   }
 
-  /** @returns The next step, if it has come. */
+  /** @returns The next step, if it has arrived. */
   take(): AnswerStep | undefined {
     const step = this.#steps.shift();
-    if (step?.kind === "data") this.#taken(step.bytes.length);
+    if (step?.kind === "data") this.#consumed(step.bytes.length);
     return step;
   }
 
-  /** Ends the exchange; its connection is closed, so that the server drops the request. */
+  /** Cancels the exchange and closes its connection, so that the server drops the request. */
   abort(): void {
     if (this.#done) return;
     const reason = new ExchangeAborted();
     this.#aborted = reason;
     this.#controller?.abort(reason);
-    this.#finish(failed(this.#sent ? "broken" : "unreachable", reason.name));
+    this.#end(failed(this.#sent ? "broken" : "unreachable", reason.name));
   }
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
@@ -112,14 +112,14 @@
     controller: Dispatcher.DispatchController,
     chunk: Buffer,
   ): void {
-    this.#queuedBytes += chunk.length;
-    if (this.#queuedBytes > READ_AHEAD_BYTES) controller.pause();
+    this.#unreadBytes += chunk.length;
+    if (this.#unreadBytes > MAX_UNREAD_BYTES) controller.pause();
     this.#push({ kind: "data", bytes: chunk });
   }
 
   onResponseEnd(): void {
-    this.#finish(
-      // A body without a length ends with its connection; after a reset it is not known to be whole.
+    this.#end(
+      // A body without a length ends when the connection closes; after a reset it may be incomplete.
       this.#channel.wasReset
         ? failed("broken", "Connection reset before the end")
         : { kind: "end" },
@@ -132,10 +132,10 @@
   ): void {
     const code = (error as { code?: string }).code ?? error.name;
     const kind = this.#sent ? "broken" : "unreachable";
-    this.#finish(failed(kind, code));
+    this.#end(failed(kind, code));
   }
 
-  #finish(step: AnswerStep): void {
+  #end(step: AnswerStep): void {
     if (this.#done) return;
     this.#done = true;
     this.#channel.release(step.kind === "end");
@@ -147,23 +147,23 @@
     this.#wake.notify();
   }
 
-  #taken(bytes: number): void {
-    this.#queuedBytes -= bytes;
-    if (this.#controller?.paused && this.#queuedBytes < READ_AHEAD_BYTES / 2) {
+  #consumed(bytes: number): void {
+    this.#unreadBytes -= bytes;
+    if (this.#controller?.paused && this.#unreadBytes < MAX_UNREAD_BYTES / 2) {
       this.#controller.resume();
     }
   }
 }
 
-/** One connection, opened with its first request and again where the server closed it. */
+/** One connection, opened by its first request and reopened after the server has closed it. */
 export class Channel {
   readonly #client: Client;
-  readonly #onRelease: (channel: Channel, isSound: boolean) => void;
+  readonly #onRelease: (channel: Channel, isReusable: boolean) => void;
   #wasReset = false;
 
   constructor(
     options: ChannelOptions,
-    onRelease: (channel: Channel, isSound: boolean) => void,
+    onRelease: (channel: Channel, isReusable: boolean) => void,
   ) {
     this.#onRelease = onRelease;
     this.#client = new Client(`http://${options.address}`, {
@@ -174,21 +174,21 @@
       connect: (_target, callback) =>
         dial(options, (...result) => {
           const socket = result[1];
-          if (socket) this.#observe(socket);
+          if (socket) this.#detectReset(socket);
           callback(...result);
         }),
     });
   }
 
-  /** Whether the present connection ended by a reset. */
+  /** Whether the current connection ended with a reset. */
   get wasReset(): boolean {
     return this.#wasReset;
   }
 
   /**
-   * @param request What to send.
-   * @param wake Told of each step of the answer.
-   * @returns The exchange, to be read to its end or aborted.
+   * @param request Request to send.
+   * @param wake Notified of each step of the response.
+   * @returns The exchange, which must be read to its end or aborted.
    */
   send(request: ChannelRequest, wake: Wake): Exchange {
     const exchange = new Exchange(this, wake);
@@ -201,19 +201,19 @@
     return exchange;
   }
 
-  /** @param isSound Whether the connection may carry another request. */
-  release(isSound: boolean): void {
-    this.#onRelease(this, isSound);
+  /** @param isReusable Whether the connection may carry another request. */
+  release(isReusable: boolean): void {
+    this.#onRelease(this, isReusable);
   }
 
   /** Closes the connection. */
   close(): void {
-    // Nothing waits for its end: the exchange on it is over.
+    // Nothing needs to await this: the connection carries no exchange any more.
     void this.#client.destroy();
   }
 
-  /** The client takes a reset for the end of a body without a length; this tells them apart. */
-  #observe(socket: Socket): void {
+  /** Detects resets, which undici reports as the end of a body without a length. */
+  #detectReset(socket: Socket): void {
     this.#wasReset = false;
     socket.prependListener("error", () => {
       this.#wasReset = true;
@@ -226,9 +226,9 @@
   /** `ip:port`. */
   address: string;
   connectMs: number;
-  /** Time after which an idle connection is closed, unless the server names a shorter one. */
+  /** Time after which an idle connection is closed, unless the server announces a shorter one. */
   idleMs: number;
-  /** How far this process is behind with what has arrived; left out: not at all. */
+  /** How long arrived data waits until this process reads it; defaults to 0. */
   lagMs?: () => number;
 }
 
@@ -244,51 +244,51 @@
   }
 
   /**
-   * @param options Address and times.
+   * @param options Address and timeouts.
    * @returns A set without connections.
    */
   static create(options: ChannelOptions): ChannelSet {
     return new ChannelSet(options);
   }
 
-  /** Connections that carry a request. */
+  /** Number of connections that carry a request. */
   get busy(): number {
     return this.#busy.size;
   }
 
-  /** Channels made so far. */
+  /** Number of channels created so far. */
   get opened(): number {
     return this.#opened;
   }
 
   /**
-   * @param request What to send.
-   * @param wake Told of each step of the answer.
-   * @returns The exchange, to be read to its end or aborted.
+   * @param request Request to send.
+   * @param wake Notified of each step of the response.
+   * @returns The exchange, which must be read to its end or aborted.
    */
   send(request: ChannelRequest, wake = Wake.create()): Exchange {
-    // The most recently used one, so that the others can time out.
+    // The most recently used channel is taken, so that the others can reach their idle timeout.
     const channel = this.#idle.pop() ?? this.#open();
     this.#busy.add(channel);
     return channel.send(request, wake);
   }
 
-  /** Closes the connections that are idle now. */
+  /** Closes all idle connections. */
   closeIdle(): void {
     for (const channel of this.#idle.splice(0)) channel.close();
   }
 
   #open(): Channel {
     this.#opened++;
-    return new Channel(this.#options, (channel, isSound) => {
+    return new Channel(this.#options, (channel, isReusable) => {
       this.#busy.delete(channel);
-      if (isSound) this.#idle.push(channel);
+      if (isReusable) this.#idle.push(channel);
       else channel.close();
     });
   }
 }
 
-/** Undici's own connector looks at its timeouts every half second only. */
+/** Replaces undici's connector, which checks its timeouts only every half second. */
 function dial(
   { address, connectMs, lagMs }: ChannelOptions,
   callback: buildConnector.Callback,
@@ -300,9 +300,9 @@
   let timer: NodeJS.Timeout;
   const wait = (ms: number) => {
     timer = setTimeout(() => {
-      // While this process is behind, the answer may have come and not been read.
-      const leftMs = lagMs?.() ?? 0;
-      if (leftMs > READ_MS) wait(leftMs);
+      // While this process lags, the connection may be established without being noticed yet.
+      const currentLagMs = lagMs?.() ?? 0;
+      if (currentLagMs > MIN_LAG_MS) wait(currentLagMs);
       else socket.destroy(new ConnectTimeout());
     }, ms);
   };
--- a/src/router/channel_test.ts
+++ b/src/router/channel_test.ts
@@ -8,7 +8,7 @@
 const WAIT_MS = 5000;
 const REQUEST = { method: "GET", target: "/", headers: [], body: undefined };
 
-/** A server that runs `answer` for each chunk of bytes it reads. */
+/** Starts a server that calls `answer` for each chunk of bytes that it reads. */
 async function listen(
   t: TestContext,
   answer: (socket: Socket, asked: number) => void,
@@ -42,7 +42,7 @@
   const steps: AnswerStep[] = [];
   while (true) {
     const step = await exchange.next(WAIT_MS);
-    assert.ok(step, "No step came");
+    assert.ok(step, "no step arrived in time");
     steps.push(step);
     if (step.kind === "end" || step.kind === "failed") return steps;
   }
@@ -62,7 +62,7 @@
   assert.deepEqual(kinds(steps), ["head", "data", "end"]);
 });
 
-test("body without a length that is reset is broken", async (t) => {
+test("body without a length is broken if the connection is reset", async (t) => {
   const { channels } = await listen(t, (socket) => {
     socket.write(`${HEAD}connection: close\r\n\r\nhalf`, () => {
       setTimeout(() => socket.resetAndDestroy(), 20);
@@ -72,7 +72,7 @@
   assert.deepEqual(kinds(steps), ["head", "data", "failed"]);
 });
 
-test("body shorter than announced is broken", async (t) => {
+test("body shorter than its declared length is broken", async (t) => {
   const { channels } = await listen(t, (socket) => {
     socket.end(`${HEAD}content-length: 10\r\n\r\nhalf`);
   });
@@ -80,7 +80,7 @@
   assert.equal(steps.at(-1)?.kind, "failed");
 });
 
-test("kept connection carries the next request", async (t) => {
+test("idle connection is reused for the next request", async (t) => {
   const { channels, connections } = await listen(t, (socket) => {
     socket.write(`${HEAD}content-length: 2\r\n\r\nok`);
   });
@@ -89,7 +89,7 @@
   assert.equal(connections(), 1);
 });
 
-test("bytes behind an answer end its connection", async (t) => {
+test("extra bytes after a response close the connection", async (t) => {
   const { channels, connections } = await listen(t, (socket, asked) => {
     const answer = `${HEAD}content-length: 2\r\n\r\nok`;
     socket.write(asked === 0 ? answer + answer : answer);
@@ -101,7 +101,7 @@
   assert.equal(connections(), 2);
 });
 
-test("connection that can't be made leaves the request unsent", async () => {
+test("request is not sent if the connection can't be established", async () => {
   const channels = ChannelSet.create({
     address: "127.0.0.1:1",
     connectMs: 1000,
@@ -127,9 +127,10 @@
   await closed;
 });
 
-// A process that stood still ended streams whose events waited unread in its sockets.
-test("answer that came while the process stood still is not taken for late", async (t) => {
-  // In another thread, so that it answers meanwhile.
+// Guards against a process that was paused and then treats streams as timed out, although their events
+// are waiting unread in its sockets.
+test("data that arrives while the process is paused does not time out", async (t) => {
+  // The server runs in another thread, so that it responds while this one is blocked.
   const server = new Worker(
     `const { parentPort } = require("node:worker_threads");
     const server = require("node:net").createServer((socket) => {
--- a/src/router/control.ts
+++ b/src/router/control.ts
@@ -1,18 +1,18 @@
-/** The control address: other entries, metrics and the state dump. */
+/** HTTP servers of the control address (for other routers and operators) and of the readiness check. */
 import { createServer, type Server as HttpServer } from "node:http";
 import { LESSONS_PATH } from "./lessons.ts";
 import { RELAY_PATH } from "./relay.ts";
 import type { SocketAddress } from "./settings.ts";
 
-/** What the control address serves. */
+/** Content that the control address serves. */
 export interface ControlOptions {
-  /** What a peer lacks beyond a revision, as JSON. */
+  /** Changes of the store's content after a revision, for another router, as JSON. */
   relay(after: bigint): string;
-  /** What caches are expected to hold, as JSON. */
-  lessons(): string;
-  /** Prometheus text. */
+  /** Prompts that the servers' caches are expected to hold, as JSON. */
+  expectedCaches(): string;
+  /** Metrics in Prometheus text format. */
   metrics(): string;
-  /** State of the process. */
+  /** State of the process, for the state dump. */
   state(): unknown;
 }
 
@@ -22,8 +22,10 @@
 export const STATE_PATH = "/state";
 
 /**
- * @param address Where to listen.
- * @param options What to serve.
+ * Serves the control address.
+ *
+ * @param address Address to listen on.
+ * @param options Content to serve.
  * @returns The server, once it listens.
  */
 export function serveControl(
@@ -41,9 +43,11 @@
 }
 
 /**
- * @param address Where to listen.
- * @param path The balancer's path.
- * @param isReady Asked at each request.
+ * Serves the readiness check of the load balancer.
+ *
+ * @param address Address to listen on.
+ * @param path Path that the load balancer requests.
+ * @param isReady Called at each request.
  * @returns The server, once it listens.
  */
 export function serveReadiness(
@@ -60,8 +64,8 @@
 }
 
 /**
- * @param server A server of this module.
- * @returns Resolves once it no longer listens; its connections are closed.
+ * @param server Server that this module created.
+ * @returns Resolves once the server has stopped listening and its connections are closed.
  */
 export function closeServer(server: HttpServer): Promise<void> {
   const closed = new Promise<void>((resolve) => server.close(() => resolve()));
@@ -69,13 +73,16 @@
   return closed;
 }
 
-interface Text {
+interface TextResponse {
   type: string;
   text: string;
 }
 
-function answerOf(target: string, options: ControlOptions): Text | undefined {
-  // Not parsed as a URL: others may send what is none.
+function answerOf(
+  target: string,
+  options: ControlOptions,
+): TextResponse | undefined {
+  // The target is not parsed as a URL: clients may send an invalid one, and `new URL` would throw.
   const [path, query] = target.split("?", 2);
   switch (path) {
     case RELAY_PATH: {
@@ -84,7 +91,7 @@
       return { type: "application/json", text: options.relay(BigInt(after)) };
     }
     case LESSONS_PATH:
-      return { type: "application/json", text: options.lessons() };
+      return { type: "application/json", text: options.expectedCaches() };
     case METRICS_PATH:
       return { type: "text/plain; version=0.0.4", text: options.metrics() };
     case STATE_PATH:
--- a/src/router/control_test.ts
+++ b/src/router/control_test.ts
@@ -5,13 +5,13 @@
 import { closeServer, serveControl } from "./control.ts";
 
 /*
- * The control address answers whoever reaches it. A target that is no URL, such as `//`, threw out
- * of the server's listener and ended the process.
+ * The control address serves any client that can reach it. An invalid request target such as `//` must
+ * not throw in the server's listener, which would end the process.
  */
-test("target that is no URL is not found", async (t) => {
+test("request target that is not a valid URL gets 404", async (t) => {
   const server = await serveControl({ ipAddress: "127.0.0.1", port: 0 }, {
     relay: (after) => `{"after":"${after}"}`,
-    lessons: () => "{}",
+    expectedCaches: () => "{}",
     metrics: () => "",
     state: () => ({}),
   });
--- a/src/router/event_splitter.ts
+++ b/src/router/event_splitter.ts
@@ -1,48 +1,48 @@
-/** Splits a stream of server-sent events, so that only whole events are passed on. */
+/** Splits a stream of server-sent events, so that only complete events are forwarded. */
 
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
 const ID_FIELD = Buffer.from("id:");
 
-/** Whole events that were cut off the front of the stream. */
+/** Complete events that were read from the stream. */
 export interface WholeEvents {
   bytes: Buffer;
-  /** Ids of these events, in order; an event without an id has none. */
+  /** Ids of these events, in order; events without an id are left out. */
   ids: string[];
 }
 
-/** Collects bytes until an event is whole. */
+/** Buffers bytes until an event is complete. */
 export class EventSplitter {
-  #rest: Buffer = Buffer.alloc(0);
+  #remainder: Buffer = Buffer.alloc(0);
 
   private constructor() {}
 
-  /** @returns A splitter that has seen nothing. */
+  /** @returns A splitter with an empty buffer. */
   static create(): EventSplitter {
     return new EventSplitter();
   }
 
-  /** Bytes of an event that is not whole yet. */
+  /** Buffered bytes of an incomplete event. */
   get rest(): Buffer {
-    return this.#rest;
+    return this.#remainder;
   }
 
   /**
-   * @param chunk The next bytes.
-   * @returns All events that are whole now.
+   * @param chunk Next bytes of the stream.
+   * @returns All events that are complete now.
    */
   push(chunk: Buffer): WholeEvents {
-    const all = this.#rest.length === 0
+    const all = this.#remainder.length === 0
       ? chunk
-      : Buffer.concat([this.#rest, chunk]);
+      : Buffer.concat([this.#remainder, chunk]);
     const end = endOfLastEvent(all);
-    this.#rest = all.subarray(end);
+    this.#remainder = all.subarray(end);
     const bytes = all.subarray(0, end);
     return { bytes, ids: readIds(bytes) };
   }
 }
 
-/** Offset behind the last empty line. */
+/** Returns the offset after the last empty line, or 0 if there is none. */
 function endOfLastEvent(bytes: Buffer): number {
   for (let at = bytes.length - 1; at > 0; at--) {
     if (bytes[at] !== LINE_FEED) continue;
--- a/src/router/event_splitter_test.ts
+++ b/src/router/event_splitter_test.ts
@@ -5,7 +5,7 @@
 
 const SEED = 20_261_202;
 
-test("only whole events are given out", () => {
+test("only complete events are returned", () => {
   const splitter = EventSplitter.create();
   const first = splitter.push(Buffer.from("id: 1\ndata: a\n\nid: 2\nda"));
   assert.equal(first.bytes.toString(), "id: 1\ndata: a\n\n");
@@ -16,42 +16,46 @@
   assert.equal(splitter.rest.length, 0);
 });
 
-test("cut event stays behind", () => {
+test("incomplete event stays in the buffer", () => {
   const splitter = EventSplitter.create();
   splitter.push(Buffer.from("id: 1\ndata: a\n"));
   assert.equal(splitter.rest.toString(), "id: 1\ndata: a\n");
 });
 
-test("lines may end in carriage return and line feed", () => {
+test("lines may end with carriage return and line feed", () => {
   const splitter = EventSplitter.create();
   const whole = splitter.push(Buffer.from("id: 7\r\ndata: a\r\n\r\nid"));
   assert.deepEqual(whole.ids, ["7"]);
   assert.equal(splitter.rest.toString(), "id");
 });
 
-test("field that only contains the word is no id", () => {
+test("id: within another field is not an event id", () => {
   const splitter = EventSplitter.create();
   const whole = splitter.push(Buffer.from("data: x id: 9\nid: 1\n\n"));
   assert.deepEqual(whole.ids, ["1"]);
 });
 
-test("any cut of a stream gives the same events", () => {
+test("events don't depend on how the stream is split into chunks", () => {
   const events = fc.array(fc.stringMatching(/^[a-z]{0,8}$/), { minLength: 1 });
   fc.assert(
     fc.property(events, fc.array(fc.nat(), { maxLength: 20 }), (data, cuts) => {
-      const text = data.map((one, i) => `id: ${i}\ndata: ${one}\n\n`).join("");
+      const text = data.map((item, i) => `id: ${i}\ndata: ${item}\n\n`).join(
+        "",
+      );
       const splitter = EventSplitter.create();
       const ids: string[] = [];
-      let given = "";
-      const places = cuts.map((cut) => cut % text.length).sort((a, b) => a - b);
+      let output = "";
+      const offsets = cuts.map((cut) => cut % text.length).sort((a, b) =>
+        a - b
+      );
       let from = 0;
-      for (const to of [...places, text.length]) {
+      for (const to of [...offsets, text.length]) {
         const whole = splitter.push(Buffer.from(text.slice(from, to)));
-        given += whole.bytes.toString();
+        output += whole.bytes.toString();
         ids.push(...whole.ids);
         from = to;
       }
-      assert.equal(given, text);
+      assert.equal(output, text);
       assert.deepEqual(ids, data.map((_, i) => String(i)));
     }),
     { seed: SEED },
--- a/src/router/listeners.ts
+++ b/src/router/listeners.ts
@@ -1,4 +1,4 @@
-/** Where a router process answers others than clients: the balancer, operators and other entries. */
+/** Opens the listeners of a router for the load balancer, for operators and for other routers. */
 import type { Lifecycle } from "../base/mod.ts";
 import { READINESS_PATH } from "../platform/mod.ts";
 import {
@@ -9,16 +9,16 @@
 } from "./control.ts";
 import type { RouterSettings } from "./settings.ts";
 
-/** What {@link openListeners} serves. */
+/** Content that {@link openListeners} serves. */
 export interface ListenerOptions extends ControlOptions {
-  /** Asked by the balancer. */
+  /** Whether the load balancer may send connections; called at each readiness request. */
   isReady(): boolean;
 }
 
 /**
- * @param lifecycle Closes what is opened.
- * @param settings Addresses.
- * @param options What is served there.
+ * @param lifecycle Closes the listeners when the process stops.
+ * @param settings Addresses to listen on.
+ * @param options Content to serve.
  */
 export async function openListeners(
   lifecycle: Lifecycle,
--- a/src/router/main.ts
+++ b/src/router/main.ts
@@ -1,13 +1,13 @@
-/** The router as a process: settings from the environment, JSON lines on standard output. */
+/** Entry point of the router process: reads settings from the environment, logs JSON lines to stdout. */
 import process from "node:process";
 import { createLogger } from "../base/log.ts";
 import { Router } from "./router.ts";
 import { readSettings } from "./settings.ts";
 
-/** Exit code for settings that are not allowed. */
-const BAD_SETTINGS = 78;
-/** Exit code for a failure that nothing handles. */
-const FAILED = 70;
+/** Exit code for invalid settings. */
+const EXIT_BAD_SETTINGS = 78;
+/** Exit code for an uncaught exception. */
+const EXIT_UNCAUGHT = 70;
 
 async function main(): Promise<void> {
   const settings = readSettings(process.env);
@@ -17,7 +17,7 @@
         JSON.stringify({ event: "bad_setting", ...fault }) + "\n",
       );
     }
-    process.exitCode = BAD_SETTINGS;
+    process.exitCode = EXIT_BAD_SETTINGS;
     return;
   }
   const { instance, logLevel } = settings.value;
@@ -33,16 +33,16 @@
       message: error.message,
       stack: error.stack,
     });
-    log.flush(() => process.exit(FAILED));
+    log.flush(() => process.exit(EXIT_UNCAUGHT));
   });
-  // Node's own listener writes plain text.
+  // Node's default listener prints plain text, which is no JSON log line.
   process.removeAllListeners("warning");
   process.on("warning", ({ name, message, stack }) => {
     log.warn({ event: "process_warning", name, message, stack });
   });
   const router = await Router.create({ settings: settings.value, log });
   process.on("SIGHUP", () => {
-    // Settings come from the environment and hold as long as the process does.
+    // Settings come from the environment and can't change while the process runs.
     log.info({ event: "reload_asked" });
   });
   process.once("SIGTERM", () => {
--- a/src/router/read_answer.ts
+++ b/src/router/read_answer.ts
@@ -1,4 +1,4 @@
-/** Reads a backend server's answer, checks it, and learns from it. */
+/** Reads and validates a backend server's response, and updates the server's state from it. */
 import type { Clock } from "../base/mod.ts";
 import { readAnswer } from "../platform/mod.ts";
 import { follows, problemOf } from "./answer_rules.ts";
@@ -10,37 +10,37 @@
 import { type AnswerFacts, type BackendServer, RequestKind } from "./model.ts";
 import type { Server } from "./server.ts";
 
-/** A server whose weights are being changed refuses; it is left alone for this long. */
+/** How long a server that refused a request, e.g. as its weights are being changed, gets no other. */
 const REFUSED_HOLD_MS = 250;
-/** Nothing listens at the server's address. */
+/** Error code of a connection attempt if nothing listens at the server's address. */
 const REFUSED_CODE = "ECONNREFUSED";
-/** Answers that are not streams are passed on once they are whole; larger ones are failed. */
+/** Largest response other than a stream; such responses are buffered until they are complete. */
 const MAX_ANSWER_BYTES = 16 * 1024 * 1024;
 
-/** One part of an answer. */
+/** One part of a response. */
 export type AnswerPart =
-  /** The server runs the request, and its stream begins. */
+  /** The server runs the request and has started the stream. */
   | { kind: "began" }
-  /** Whole events. */
+  /** Complete events. */
   | { kind: "events"; bytes: Buffer; lastEventId: string | undefined }
   /** The stream is complete. */
   | { kind: "stream_end" }
-  /** An answer that is no stream, complete. */
+  /** A complete response other than a stream. */
   | { kind: "whole"; body: Buffer }
-  /** The send is over without a whole answer. */
+  /** The send ended without a complete response. */
   | { kind: "over"; end: SendEnd };
 
-/** What an {@link AnswerReader} works with. */
+/** Dependencies of an {@link AnswerReader}. */
 export interface AnswerReaderOptions {
   clock: Clock;
   fleet: Fleet;
-  /** A server has gone silent or refuses connections; other entries are told. */
+  /** Called when a server refuses connections, to notify the other routers. */
   onSilent(serverId: string): void;
-  /** Another server has its address; other entries are told. */
+  /** Called when another server uses a server's address, to notify the other routers. */
   onGone(server: BackendServer): void;
 }
 
-/** Reads answers. */
+/** Reads the responses of backend servers. */
 export class AnswerReader {
   readonly #options: AnswerReaderOptions;
 
@@ -49,7 +49,7 @@
   }
 
   /**
-   * @param options Clock, servers, and who is told of what is learned.
+   * @param options Dependencies.
    * @returns A reader.
    */
   static create(options: AnswerReaderOptions): AnswerReader {
@@ -57,43 +57,43 @@
   }
 
   /**
-   * @param send A send that is not over.
-   * @returns The next part of its answer, if it has come.
+   * @param send Send that has not ended.
+   * @returns The next part of its response, if it has arrived.
    */
   read(send: Send): AnswerPart | undefined {
     while (true) {
       const step = send.exchange.take();
       if (!step) return undefined;
-      const part = this.#partOf(send, step);
+      const part = this.#handleStep(send, step);
       if (part) return part;
     }
   }
 
-  #partOf(send: Send, step: AnswerStep): AnswerPart | undefined {
+  #handleStep(send: Send, step: AnswerStep): AnswerPart | undefined {
     switch (step.kind) {
       case "failed":
-        return over(this.#failed(send, step.failure));
+        return over(this.#endOfFailure(send, step.failure));
       case "head":
-        return this.#begin(send, step.head);
+        return this.#handleHead(send, step.head);
       case "data":
       case "end":
-        return this.#goOn(send, step);
+        return this.#handleBody(send, step);
     }
   }
 
-  #begin(send: Send, head: AnswerHead): AnswerPart | undefined {
+  #handleHead(send: Send, head: AnswerHead): AnswerPart | undefined {
     const { request, choice, progress } = send;
     const facts = readAnswer(head.status, head.headers);
     const nowMs = this.#options.clock.nowMs();
     choice.server.heard(nowMs);
-    this.#hearOf(choice.server, facts, nowMs);
+    this.#recordAnnouncements(choice.server, facts, nowMs);
     if (isForeign(facts, request.facts.requestId)) {
-      // A late answer to an earlier request: this request's own may still follow.
+      // A late response to an earlier request: the one to this request may still follow.
       choice.server.health.failed(nowMs);
       return over({ kind: "unknown", reason: "foreign_answer" });
     }
-    if (facts.notRun) return over(this.#refused(send, facts));
-    this.#learn(send, facts, nowMs);
+    if (facts.notRun) return over(this.#endOfRefusal(send, facts));
+    this.#recordResponse(send, facts, nowMs);
     send.headAtMs = nowMs;
     send.quietSinceMs = nowMs;
     progress.ttftMs ??= nowMs - request.arrivedAtMs;
@@ -110,7 +110,7 @@
       : { kind: "began" };
   }
 
-  #goOn(
+  #handleBody(
     send: Send,
     step: Extract<AnswerStep, { kind: "data" | "end" }>,
   ): AnswerPart | undefined {
@@ -126,9 +126,9 @@
       case "stream":
         if (step.kind === "end") return endOfStream(body);
         send.runsFromMs ??= nowMs;
-        return this.#eventsOf(send, body.splitter.push(step.bytes));
+        return this.#handleEvents(send, body.splitter.push(step.bytes));
       case "whole":
-        if (step.kind === "end") return this.#whole(send, facts, body);
+        if (step.kind === "end") return this.#endWhole(send, facts, body);
         body.chunks.push(step.bytes);
         body.sizeBytes += step.bytes.length;
         return body.sizeBytes > MAX_ANSWER_BYTES
@@ -137,7 +137,7 @@
     }
   }
 
-  #eventsOf(
+  #handleEvents(
     { choice, progress }: Send,
     { bytes, ids }: { bytes: Buffer; ids: string[] },
   ): AnswerPart | undefined {
@@ -149,7 +149,7 @@
     return { kind: "events", bytes, lastEventId: ids.at(-1) };
   }
 
-  #whole(
+  #endWhole(
     { choice }: Send,
     facts: AnswerFacts,
     { chunks }: Extract<PartialBody, { kind: "whole" }>,
@@ -163,20 +163,20 @@
       : { kind: "whole", body: Buffer.concat(chunks) };
   }
 
-  #failed(send: Send, { kind, message }: ChannelFailure): SendEnd {
+  #endOfFailure(send: Send, { kind, message }: ChannelFailure): SendEnd {
     const nowMs = this.#options.clock.nowMs();
     if (kind === "broken") return endBroken(send, message, nowMs);
     const { health, id } = send.choice.server;
-    // Idle as it seems, it would get the next requests of every entry. Other failures may be those
-    // of this entry's own links, or of one connection too many.
-    const hasEnded = message === REFUSED_CODE;
-    if (hasEnded && !health.isDown) this.#options.onSilent(id);
-    if (hasEnded) health.refusedConnection(nowMs);
+    // A server that refuses connections looks idle and would attract the next requests of every
+    // router. Other failures may come from this router's own links or from too many connections.
+    const isRefused = message === REFUSED_CODE;
+    if (isRefused && !health.isDown) this.#options.onSilent(id);
+    if (isRefused) health.refusedConnection(nowMs);
     else health.unreachable(nowMs);
     return { kind: "not_run", reason: message, isUnsent: true };
   }
 
-  #refused({ choice, request }: Send, facts: AnswerFacts): SendEnd {
+  #endOfRefusal({ choice, request }: Send, facts: AnswerFacts): SendEnd {
     const { server } = choice;
     const nowMs = this.#options.clock.nowMs();
     if (facts.serverId !== undefined && facts.serverId !== server.id) {
@@ -186,7 +186,8 @@
     }
     const { prompt } = request.facts;
     if (facts.status === 421 && prompt) {
-      // Which ones it has is for its report to say; taken for the newest, it would not be ordered them.
+      // The version is left to the server's own report: assuming the newest one here would keep the
+      // server from being ordered to load it.
       if (facts.weightsVersion === undefined) {
         server.refused(nowMs + REFUSED_HOLD_MS);
       } else server.learnWeights(prompt.model, facts.weightsVersion);
@@ -196,17 +197,21 @@
     return { kind: "not_run", reason: `refused_${facts.status}` };
   }
 
-  /** What an answer says of its server, whatever it says of the request. */
-  #hearOf(server: Server, facts: AnswerFacts, nowMs: number): void {
+  /** Records the server's announcements in a response: that it is leaving, or wants a pause. */
+  #recordAnnouncements(
+    server: Server,
+    facts: AnswerFacts,
+    nowMs: number,
+  ): void {
     const { leaving, notRun, status, retryAfterMs } = facts;
     if (leaving) this.#options.fleet.leaves(server, nowMs);
-    const isTurnedAway = notRun || status === 503;
-    if (isTurnedAway && retryAfterMs) {
+    const isRejected = notRun || status === 503;
+    if (isRejected && retryAfterMs) {
       server.announced.pause(nowMs, retryAfterMs);
     }
   }
 
-  #learn(send: Send, facts: AnswerFacts, nowMs: number): void {
+  #recordResponse(send: Send, facts: AnswerFacts, nowMs: number): void {
     const { choice, sentAtMs, ticket, request } = send;
     const { server } = choice;
     const baseMs = choice.expectedMs / server.health.slowness(nowMs);
@@ -228,7 +233,10 @@
     : { kind: "stream_end" };
 }
 
-/** Servers name the request in whatever they answer; a refusal runs nothing, whosever it is. */
+/**
+ * Servers put the request's id into every response. A refusal without an id is accepted all the same,
+ * because a refused request has not run.
+ */
 function isForeign({ requestId, notRun }: AnswerFacts, ownId: string): boolean {
   if (requestId !== undefined) return requestId !== ownId;
   return !notRun && ownId !== "";
--- a/src/router/response_sink.ts
+++ b/src/router/response_sink.ts
@@ -1,16 +1,16 @@
-/** Writes an answer to a client's connection. */
+/** Writes a response to a client's connection. */
 import type { ServerResponse } from "node:http";
 import type { AnswerSink } from "./request.ts";
 
-/** An answer to a client. */
+/** Response to a client over HTTP. */
 export class ResponseSink implements AnswerSink {
   readonly #response: ServerResponse;
   readonly #isDraining: () => boolean;
   #gone = false;
 
   /**
-   * @param response Where the answer is written.
-   * @param isDraining Whether the connection is to be closed behind the answer.
+   * @param response Node's response object, to which everything is written.
+   * @param isDraining Whether the connection is to be closed after the response.
    */
   constructor(response: ServerResponse, isDraining: () => boolean) {
     this.#response = response;
@@ -35,7 +35,7 @@
   }
 
   begin(status: number, headers: string[]): void {
-    this.#head(status, headers);
+    this.#writeHead(status, headers);
   }
 
   async write(bytes: Buffer): Promise<void> {
@@ -62,14 +62,14 @@
 
   send(status: number, headers: string[], body: Buffer): void {
     if (this.#gone) return;
-    // A body that must not be there must not be announced either.
+    // Responses with these statuses have no body and must not declare a length.
     const isBodiless = status === 204 || status === 304;
     const length = isBodiless ? [] : ["content-length", String(body.length)];
-    this.#head(status, [...headers, ...length]);
+    this.#writeHead(status, [...headers, ...length]);
     this.#response.end(body);
   }
 
-  #head(status: number, headers: string[]): void {
+  #writeHead(status: number, headers: string[]): void {
     if (this.#isDraining()) this.#response.shouldKeepAlive = false;
     this.#response.writeHead(status, headers);
   }
--- a/src/router/response_sink_test.ts
+++ b/src/router/response_sink_test.ts
@@ -4,8 +4,8 @@
 import { test } from "node:test";
 import { ResponseSink } from "./response_sink.ts";
 
-// Each write that waited for its client left a listener, and Node warned of a leak.
-test("sink keeps no listeners of writes that are over", async () => {
+// Guards against a listener leak: each write that waited for the client left its listeners behind.
+test("sink removes the listeners of completed writes", async () => {
   const response = Object.assign(new EventEmitter(), {
     write: () => false,
     writableFinished: false,
--- a/src/router/router.ts
+++ b/src/router/router.ts
@@ -1,4 +1,4 @@
-/** One router process: everything it runs, put together. */
+/** Creates and connects all components of a router process. */
 import {
   type Clock,
   Lifecycle,
@@ -34,15 +34,15 @@
 import { LAST_ROLL_KEY, ROLL_LEASE_KEY } from "./roll_lease.ts";
 import { WeightsRoll } from "./weights_roll.ts";
 
-/** Left of the grace time, for the process's own end. */
+/** Part of the grace period that is reserved for the exit of the process. */
 const EXIT_MARGIN_MS = 700;
 
-/** What a {@link Router} runs with. */
+/** Dependencies of a {@link Router}. */
 export interface RouterOptions {
   settings: RouterSettings;
   log: Logger;
   clock?: Clock;
-  /** 0 to 1. */
+  /** Returns a number from 0 to 1. */
   random?: () => number;
 }
 
@@ -104,7 +104,7 @@
     this.#quotas = Quotas.create({
       ...this.#parts(),
       metrics: this.#metrics,
-      // Seeds may be stale, and would have their parts for good.
+      // Seeds are not counted: a stale one would hold a share of the quotas permanently.
       entryCount: () => Math.max(this.#peers.count, this.#registration.count),
     });
     this.#fleet = this.#createFleet();
@@ -155,7 +155,7 @@
   }
 
   /**
-   * Starts a router. It listens at once, and answers 503 until it knows a configuration.
+   * Starts a router. It listens at once and responds with 503 until it has a configuration.
    *
    * @param options Settings and log.
    * @returns The router, once it listens.
@@ -166,7 +166,7 @@
     return router;
   }
 
-  /** Stops in order: requests under way are answered first, within the grace time. */
+  /** Stops gracefully: requests in flight are completed first, within the grace period. */
   async drain(): Promise<void> {
     this.#log.info({ event: "stopping", active: this.#ingress.active });
     this.#roll.retire();
@@ -178,12 +178,12 @@
     this.#log.info({ event: "stopped" });
   }
 
-  /** Stops at once. */
+  /** Stops without waiting for requests in flight. */
   stop(): Promise<void> {
     return this.#lifecycle.stop();
   }
 
-  /** @returns The state of the process, for dumps. */
+  /** @returns The state of the process for the state dump. */
   state(): unknown {
     const nowMs = this.#clock.nowMs();
     return {
@@ -220,9 +220,9 @@
       ...this.#parts(),
       serverOptions: (service) => this.#serverOptions(service),
       outage: () =>
-        this.#isOutageOwn ? undefined : this.#follower.contact.outage,
+        this.#isOutageLocal ? undefined : this.#follower.contact.outage,
       awaitsReturns: () =>
-        !this.#isOutageOwn && this.#follower.contact.awaitsReturns,
+        !this.#isOutageLocal && this.#follower.contact.awaitsReturns,
       onLeft: (server) => this.#quarantine.left(server),
     });
   }
@@ -312,7 +312,7 @@
     lifecycle.own({ name: "store", close: () => this.#store.close() });
     await openListeners(lifecycle, settings, {
       relay: (after) => relayAnswer(this.#mirror, after),
-      lessons: () => this.#learner.answer(this.#inForce.books()),
+      expectedCaches: () => this.#learner.answer(this.#inForce.books()),
       metrics: () => this.#metrics.render(),
       state: () => this.state(),
       isReady: () =>
@@ -331,13 +331,13 @@
     lifecycle.task("roll", (signal) => this.#roll.run(signal));
     lifecycle.task("suspects", (signal) => this.#suspectRecord.run(signal));
     const { contact } = this.#follower;
-    const swept = { ...this.#parts(), contact, fleet: this.#fleet };
-    lifecycle.task("sweep", (signal) => sweepServers(swept, signal));
+    const sweepOptions = { ...this.#parts(), contact, fleet: this.#fleet };
+    lifecycle.task("sweep", (signal) => sweepServers(sweepOptions, signal));
     this.#log.info({ event: "listening", zone: settings.zone });
   }
 
-  /** The store served another entry while it didn't answer this one. */
-  get #isOutageOwn(): boolean {
+  /** Whether the store served another router while it didn't respond to this one. */
+  get #isOutageLocal(): boolean {
     const { contact } = this.#follower;
     return contact.isServedElsewhere(this.#peers.storeServedPeerAtMs);
   }
--- a/src/router/run_mover.ts
+++ b/src/router/run_mover.ts
@@ -1,8 +1,8 @@
 /**
- * Moves long runs, with what they have read and generated, off an engine whose weights are about to
- * change. The change waits for the runs, and meanwhile the engine takes nothing new: for 2 to 4 s on
- * busy days without moves. Mean worth of eight played days 0.583 before and 0.604 with moves, of
- * another eight 0.651 and 0.665.
+ * Moves long runs, with the memory of their prompt and output tokens, off an engine whose weights are
+ * about to change. The change waits for open runs, and the engine takes no new requests meanwhile:
+ * without moves, for 2 to 4 s under high load. Moves raised the mean score of eight simulated days from
+ * 0.583 to 0.604, and of another eight from 0.651 to 0.665.
  */
 import type { Clock, Logger } from "../base/mod.ts";
 import { dropCopy, type MoveAnswer, moveRun } from "../platform/mod.ts";
@@ -16,20 +16,20 @@
 import type { Server } from "./server.ts";
 import type { WantedVersions } from "./wanted_weights.ts";
 
-/** Time for the call: a large prompt is copied in 60 ms, between zones in twice that, after others. */
-const MOVE_MS = 600;
-/** Less time than this is not worth a move. */
+/** Call timeout: a large prompt takes 60 ms, twice that across zones, and copies are queued. */
+const MOVE_TIMEOUT_MS = 600;
+/** A run with less time left until its deadline is not moved. */
 const MIN_LEFT_MS = 400;
-/** Tokens to be read that hold up a run as one more running request does. */
+/** Number of unread prompt tokens that delay a run as much as one more running request. */
 const PENDING_TOKENS_PER_RUN = 400;
-/** An engine that could not take a run is left alone for this long. */
-const NO_ROOM_MS = 250;
-/** An engine in another zone gets the run if it has this many fewer. */
-const FAR_RUNS = 2;
-/** Requests that generate more than this run for a second and longer. */
+/** How long an engine that could not take a run gets no new requests. */
+const REFUSED_HOLD_MS = 250;
+/** Load penalty, in running requests, of an engine in another availability zone. */
+const OTHER_ZONE_PENALTY_RUNS = 2;
+/** Requests that may generate more tokens than this run for a second or longer. */
 const LONG_OUTPUT_TOKENS = 32;
 
-/** What a {@link RunMover} works with. */
+/** Dependencies of a {@link RunMover}. */
 export interface RunMoverOptions {
   clock: Clock;
   log: Logger;
@@ -37,13 +37,13 @@
   wanted: WantedVersions;
   zone: string;
   random: () => number;
-  /** Requests under which servers ended stay where they are. */
+  /** Runs of requests under which servers have terminated are not moved. */
   quarantine: Pick<Quarantine, "verdict">;
-  /** Sets the sends aside that a move may need; not if the request may not be sent so often. */
+  /** Reserves the resends that a move may need; false if the request may not be sent that often. */
   reserve(request: RoutedRequest, progress: Progress): boolean;
 }
 
-/** Moves runs. */
+/** Moves runs between engines. */
 export class RunMover {
   readonly #options: RunMoverOptions;
 
@@ -52,7 +52,7 @@
   }
 
   /**
-   * @param options Servers and budget.
+   * @param options Dependencies.
    * @returns A mover.
    */
   static create(options: RunMoverOptions): RunMover {
@@ -60,7 +60,7 @@
   }
 
   /**
-   * @param send A send whose stream has begun.
+   * @param send Send whose stream has started.
    * @returns Whether its run should be moved now.
    */
   isDue({ choice, request, progress, move, answer }: Send): boolean {
@@ -68,7 +68,7 @@
     const { facts, answerByMs } = request;
     return move === undefined && answer !== undefined &&
       progress.begun && progress.lastEventId !== undefined &&
-      // If the copy can't be used after all, it goes on behind the last event.
+      // If the copy can't be used after all, the run is repeated from the last event on.
       isIdempotent(request.route) &&
       choice.server.isChanging(nowMs) &&
       (facts.prompt?.outputTokens ?? 0) > LONG_OUTPUT_TOKENS &&
@@ -77,10 +77,10 @@
   }
 
   /**
-   * Copies a run's memory to another engine, and stops the run.
+   * Copies a run's memory to another engine and stops the run.
    *
-   * @param send A send for which {@link RunMover.isDue} holds.
-   * @returns What became of it.
+   * @param send Send for which {@link RunMover.isDue} holds.
+   * @returns The result of the move.
    */
   async move(send: Send): Promise<RunMove> {
     const { clock, log, reserve } = this.#options;
@@ -91,47 +91,49 @@
     const answer = await moveRun(choice.server.entry, {
       requestId: request.facts.requestId,
       targetAddress: target.entry.address,
-    }, { callMs: MOVE_MS });
-    const said = answer.isOk ? answer.value : undefined;
+    }, { callMs: MOVE_TIMEOUT_MS });
+    const reply = answer.isOk ? answer.value : undefined;
     log.info({
       event: "run_moved",
       id: request.facts.requestId,
       from: choice.server.id,
       to: target.id,
-      answer: said?.kind ?? (answer.isErr ? answer.error.kind : undefined),
+      answer: reply?.kind ?? (answer.isErr ? answer.error.kind : undefined),
       tookMs: Math.round(clock.nowMs() - startMs),
     });
-    return said ? this.#settle(send, target, said) : { kind: "not_moved" };
+    return reply
+      ? this.#applyReply(send, target, reply)
+      : { kind: "not_moved" };
   }
 
   /**
-   * Frees a copy from which no run goes on: it takes room from others.
+   * Frees a copy that no run continues from, because it takes memory from other runs.
    *
-   * @param copy Memory of a run; left out: there is none.
+   * @param copy Copy of a run's memory, if there is one.
    */
   free(copy: RunCopy | undefined): void {
     if (!copy) return;
-    // Without an answer the engine frees it by itself, after its own time.
-    void dropCopy(copy.source, copy.copyId, { callMs: MOVE_MS });
+    // If the call fails, the engine frees the copy after its own timeout.
+    void dropCopy(copy.source, copy.copyId, { callMs: MOVE_TIMEOUT_MS });
   }
 
-  #settle({ choice }: Send, target: Server, said: MoveAnswer): RunMove {
-    switch (said.kind) {
+  #applyReply({ choice }: Send, target: Server, reply: MoveAnswer): RunMove {
+    switch (reply.kind) {
       case "copied":
         if (
           !this.#options.fleet.has(target) ||
           target.isLeaving(this.#options.clock.nowMs())
         ) {
-          // It has started again or left, and the copy is gone, or it is about to leave.
-          this.free({ source: choice.server.entry, copyId: said.copyId });
+          // The target has restarted or left, so that the copy is lost, or it is about to leave.
+          this.free({ source: choice.server.entry, copyId: reply.copyId });
           return { kind: "stopped" };
         }
         return {
           kind: "copied",
-          choice: this.#continueAt(target, choice, said.copyId),
+          choice: this.#choiceAt(target, choice, reply.copyId),
         };
       case "stopped":
-        target.refused(this.#options.clock.nowMs() + NO_ROOM_MS);
+        target.refused(this.#options.clock.nowMs() + REFUSED_HOLD_MS);
         return { kind: "stopped" };
       case "not_running":
       case "refused":
@@ -139,7 +141,7 @@
     }
   }
 
-  #continueAt(server: Server, from: Choice, copyId: string): Choice {
+  #choiceAt(server: Server, from: Choice, copyId: string): Choice {
     return {
       server,
       expectedMs: 0,
@@ -151,12 +153,13 @@
     };
   }
 
-  /** The engine with the same weights that has least to do. */
+  /** Returns the least loaded engine with the same weights. */
   #findTarget({ choice, request, progress }: Send): Server | undefined {
     const { fleet, clock, zone, random, wanted } = this.#options;
     const nowMs = clock.nowMs();
     const model = request.facts.prompt?.model ?? "";
-    // A run that goes on elsewhere begins there, and its copy takes its time.
+    // For the target, the moved run is a new one, and copying it takes time: its weights must still be
+    // allowed to begin a response.
     const ageMs = wanted.replacedForMs(model, choice.weightsVersion ?? 0);
     if (ageMs >= wanted.limits.retiredFromMs) return undefined;
     let best: { server: Server; score: number } | undefined;
@@ -166,7 +169,7 @@
       if (server.weights(model) !== choice.weightsVersion) continue;
       const { running, pendingTokens } = server.load(nowMs);
       const score = running + pendingTokens / PENDING_TOKENS_PER_RUN +
-        (server.entry.zone === zone ? 0 : FAR_RUNS) + random();
+        (server.entry.zone === zone ? 0 : OTHER_ZONE_PENALTY_RUNS) + random();
       if (!best || score < best.score) best = { server, score };
     }
     return best?.server;
--- a/src/router/settings.ts
+++ b/src/router/settings.ts
@@ -1,10 +1,10 @@
-/** Settings of a router process, from environment variables; all faults are named at once. */
+/** Reads the settings of a router process from environment variables and reports all invalid ones. */
 import { Result } from "true-myth";
 import { LOG_LEVELS, type LogLevel } from "../base/log.ts";
 import { ChoiceName } from "./choose.ts";
 import type { ResendLimits } from "./resend_budget.ts";
 
-/** An address to listen at, or to connect to. */
+/** Address to listen on or to connect to. */
 export interface SocketAddress {
   ipAddress: string;
   port: number;
@@ -15,33 +15,33 @@
   instance: string;
   zone: string;
   ipAddress: string;
-  /** Where clients connect. */
+  /** Address for clients. */
   clientAddress: SocketAddress;
-  /** Where the balancer asks whether this process takes connections. */
+  /** Address of the readiness check of the load balancer. */
   readinessAddress: SocketAddress;
-  /** Where other entries, metrics and state dumps are served. */
+  /** Address that serves other routers, metrics and the state dump. */
   controlAddress: SocketAddress;
-  /** UDP port of entries. */
+  /** UDP port on which routers exchange gossip. */
   peerPort: number;
-  /** Entries that may know the state when the store doesn't answer. */
+  /** Other routers, which are asked for the store's content while the store doesn't respond. */
   seedAddresses: SocketAddress[];
   storeAddress: SocketAddress;
-  /** Time from a planned stop to the end of the process. */
+  /** Time from a stop signal until the process must have exited. */
   graceMs: number;
-  /** Holders of the weights lease may not take turns within this time. */
+  /** Minimum time before another holder of the weights lease may give orders. */
   orderTurnMs: number;
-  /** Answers may not begin on weights that were replaced this long ago. */
+  /** Age of a replacement from which the replaced weights may begin no response. */
   weightsBoundMs: number;
-  /** Pause between a server's writes of its registration. */
+  /** Interval at which a server writes its registration. */
   heartbeatMs: number;
-  /** Whether engines refuse an order with a lower fencing number than one they have seen. */
+  /** Whether engines reject orders whose fencing number is lower than one that they have seen. */
   enginesCheckFences: boolean;
   resendLimits: ResendLimits;
   logLevel: LogLevel;
   choice: ChoiceName;
 }
 
-/** A variable that is missing or has a value that is not allowed. */
+/** Variable that is missing or has an invalid value. */
 export interface SettingsFault {
   variable: string;
   value: string | undefined;
@@ -53,7 +53,7 @@
 
 const PREFIX = "CICADAHITCH_";
 const IP_PORT = "ip:port";
-/** The deployments' own bounds. */
+/** Defaults; the deployments have the same limits. */
 const ORDER_TURN_MS = 3000;
 const WEIGHTS_BOUND_MS = 10_000;
 const HEARTBEAT_MS = 1200;
@@ -61,7 +61,7 @@
 
 /**
  * @param env Environment variables; those without the prefix `CICADAHITCH_` are ignored.
- * @returns The settings, or every fault.
+ * @returns The settings, or all variables that are missing or invalid.
  */
 export function readSettings(
   env: Environment,
@@ -78,8 +78,8 @@
     if (parsed === undefined) faults.push({ variable, value, allowed });
     return parsed as T;
   };
-  // A platform leaves empty what it does not say.
-  const readGiven = (
+  // The platform sets variables to the empty string if it has no value for them.
+  const readNumberOr = (
     name: string,
     fallback: number,
     parse: (value: string) => number | undefined,
@@ -96,30 +96,30 @@
     seedAddresses: read("SEED_ADDRESSES", `${IP_PORT},…`, parseAddresses),
     storeAddress: read("STORE_ADDRESS", IP_PORT, parseAddress),
     graceMs: read("GRACE_S", "seconds", parseSeconds),
-    orderTurnMs: readGiven("ORDER_TURN_MS", ORDER_TURN_MS, parseNumber),
-    weightsBoundMs: readGiven(
+    orderTurnMs: readNumberOr("ORDER_TURN_MS", ORDER_TURN_MS, parseNumber),
+    weightsBoundMs: readNumberOr(
       "WEIGHTS_BOUND_MS",
       WEIGHTS_BOUND_MS,
       parsePositive,
     ),
-    heartbeatMs: readGiven("HEARTBEAT_MS", HEARTBEAT_MS, parsePositive),
+    heartbeatMs: readNumberOr("HEARTBEAT_MS", HEARTBEAT_MS, parsePositive),
     enginesCheckFences: read(
       "ENGINES_CHECK_FENCES",
       "true, false or empty",
       parseFlag,
     ),
     resendLimits: {
-      ratio: readGiven("RESEND_RATIO", RESEND_LIMITS.ratio, parseNumber),
-      slack: readGiven("RESEND_SLACK", RESEND_LIMITS.slack, parseNumber),
-      windowMs: readGiven(
+      ratio: readNumberOr("RESEND_RATIO", RESEND_LIMITS.ratio, parseNumber),
+      slack: readNumberOr("RESEND_SLACK", RESEND_LIMITS.slack, parseNumber),
+      windowMs: readNumberOr(
         "RESEND_WINDOW_S",
         RESEND_LIMITS.windowMs,
         parsePositiveSeconds,
       ),
     },
-    logLevel: readOr(env, "LOG_LEVEL", { faults, values: LOG_LEVELS }) ??
+    logLevel: readOneOf(env, "LOG_LEVEL", { faults, values: LOG_LEVELS }) ??
       "info",
-    choice: readOr(env, "CHOICE", {
+    choice: readOneOf(env, "CHOICE", {
       faults,
       values: Object.values(ChoiceName),
     }) ?? ChoiceName.cost,
@@ -127,14 +127,14 @@
   return faults.length > 0 ? Result.err(faults) : Result.ok(settings);
 }
 
-/** @returns An address as `ip:port`. */
+/** @returns The address in the form `ip:port`. */
 export function textOf({ ipAddress, port }: SocketAddress): string {
   return `${ipAddress}:${port}`;
 }
 
 /**
- * @param settings Settings of a process.
- * @returns IP numbers of the other entries that they name.
+ * @param settings Settings of a router process.
+ * @returns IP addresses of the seeds other than this router itself.
  */
 export function otherSeeds(
   { seedAddresses, ipAddress }: RouterSettings,
@@ -143,7 +143,8 @@
     .filter((other) => other !== ipAddress);
 }
 
-function readOr<T extends string>(
+/** Reads an optional variable whose value must be one of a list. */
+function readOneOf<T extends string>(
   env: Environment,
   name: string,
   { faults, values }: { faults: SettingsFault[]; values: readonly T[] },
@@ -200,7 +201,7 @@
   return parseSeconds(value) || undefined;
 }
 
-/** The platform leaves empty what it does not say. */
+/** Reads an empty value, which the platform sets if it has none, as false. */
 function parseFlag(value: string): boolean | undefined {
   if (value === "true") return true;
   return value === "false" || value === "" ? false : undefined;
--- a/src/router/sweep.ts
+++ b/src/router/sweep.ts
@@ -1,29 +1,31 @@
-/** Looks again and again at servers that may be gone, and at those that may be back. */
+/** Periodically removes servers whose registration has expired and probes servers that are down. */
 import type { Clock } from "../base/mod.ts";
 import type { Fleet } from "./fleet.ts";
 import { probe } from "./probe.ts";
 import type { StoreContact } from "./store_contact.ts";
 
-/** Pause between looks at registrations that lapsed and servers that are down. */
-const SWEEP_MS = 100;
+/** Interval of the sweep. */
+const SWEEP_INTERVAL_MS = 100;
 
-/** What {@link sweepServers} looks at. */
-export interface Swept {
+/** Dependencies of {@link sweepServers}. */
+export interface SweepOptions {
   clock: Clock;
   contact: StoreContact;
   fleet: Fleet;
 }
 
 /**
- * @param swept The servers, and when the store answered.
- * @param signal Ends the work.
+ * Runs the sweep until it is aborted.
+ *
+ * @param options The servers, and the state of the connection to the store.
+ * @param signal Stops the sweep.
  */
 export async function sweepServers(
-  { clock, contact, fleet }: Swept,
+  { clock, contact, fleet }: SweepOptions,
   signal: AbortSignal,
 ): Promise<void> {
   while (!signal.aborted) {
-    await clock.sleep(SWEEP_MS, signal);
+    await clock.sleep(SWEEP_INTERVAL_MS, signal);
     contact.tick();
     fleet.sweep();
     for (const server of fleet.all()) {
--- a/src/router/wake.ts
+++ b/src/router/wake.ts
@@ -1,37 +1,38 @@
-/** Lets a task wait for whichever of several sources has something first. */
+/** Lets one task wait for the first notification from several sources. */
 
-/** One waiting task. */
+/** Wake-up signal of one task. */
 export class Wake {
   #settle: (() => void) | undefined;
 
   private constructor() {}
 
-  /** @returns A wake for which nobody waits. */
+  /** @returns A signal on which no task waits. */
   static create(): Wake {
     return new Wake();
   }
 
-  /** Something is there: the task goes on. */
+  /** Wakes the waiting task; without one, does nothing. */
   notify(): void {
     this.#settle?.();
   }
 
   /**
-   * @param waitMs Longest time to wait.
-   * @returns Resolves with the next {@link Wake.notify}, or when the time is over.
+   * @param waitMs Timeout.
+   * @returns Resolves at the next {@link Wake.notify} or after the timeout.
    */
   wait(waitMs: number): Promise<void> {
     return new Promise((resolve) => {
-      let turn: NodeJS.Immediate | undefined;
+      let immediate: NodeJS.Immediate | undefined;
       const settle = () => {
         clearTimeout(timer);
-        clearImmediate(turn);
+        clearImmediate(immediate);
         this.#settle = undefined;
         resolve();
       };
-      // Timers run before sockets are read: in a process that stood still something may be there already.
-      const readThenSettle = () => turn = setImmediate(settle);
-      const timer = setTimeout(readThenSettle, Math.max(0, waitMs));
+      // Node runs expired timers before it reads sockets, so after a pause of the process unread data
+      // may be waiting: it is read before the task continues.
+      const settleAfterRead = () => immediate = setImmediate(settle);
+      const timer = setTimeout(settleAfterRead, Math.max(0, waitMs));
       this.#settle = settle;
     });
   }
