--- a/src/router/_answering_kit.ts
+++ b/src/router/_answering_kit.ts
@@ -63,7 +63,7 @@
   } as unknown as RoutedRequest;
   const client = fakeClient();
   const engine = fakeEngine(clock);
-  const played: Played = {
+  const setup: Played = {
     parts: {
       clock,
       log: silentLog,
@@ -83,13 +83,13 @@
         broken: () => {},
       } as unknown as Quarantine,
       quotas: {
-        runsAgain: () => void played.charged++,
-        giveBack: () => void played.charged--,
+        runsAgain: () => void setup.charged++,
+        giveBack: () => void setup.charged--,
       },
       wanted: WantedVersions.create({ clock, boundMs: 10_000 }),
       servers: {
-        any: () => played.choice,
-        ready: () => played.isServerReady ? played.choice : undefined,
+        any: () => setup.choice,
+        ready: () => setup.isServerReady ? setup.choice : undefined,
       } as unknown as NextServer,
       isWorthSending: () => true,
       onSilent: () => {},
@@ -101,8 +101,8 @@
     sends: engine.sends,
     written: client.written,
     charged: 0,
-    comes: engine.comes,
-    leave: client.leave,
+    comes: engine.deliver,
+    leave: client.disconnect,
     pass: async (ms) => {
       await settle();
       for (let i = 0; i < ms; i++) {
@@ -112,7 +112,7 @@
       }
     },
   };
-  return played;
+  return setup;
 }
 
 /**
@@ -171,11 +171,11 @@
     breakOff: () => {},
     send: () => {},
   };
-  const leave = () => {
+  const disconnect = () => {
     isGone = true;
     for (const listener of listeners) listener();
   };
-  return { sink, written, leave };
+  return { sink, written, disconnect };
 }
 
 function fakeEngine(clock: TestClock) {
@@ -214,13 +214,13 @@
       return part;
     },
   };
-  const comes = (nth: number, part: AnswerPart) => {
+  const deliver = (nth: number, part: AnswerPart) => {
     partsOf(nth).push(part);
     wakes[nth]?.notify();
   };
   return {
     sends,
-    comes,
+    deliver,
     sender: sender as Sender,
     reader: reader as AnswerReader,
   };
--- a/src/router/answering.ts
+++ b/src/router/answering.ts
@@ -138,10 +138,7 @@
     return this.#parts.clock.nowMs();
   }
 
-  async #onPart(
-    send: Send,
-    part: AnswerPart,
-  ): Promise<AnswerEnd | undefined> {
+  async #onPart(send: Send, part: AnswerPart): Promise<AnswerEnd | undefined> {
     switch (part.kind) {
       case "began":
         // The other runs stay open until this one delivers events.
--- a/src/router/broken_answer_test.ts
+++ b/src/router/broken_answer_test.ts
@@ -1,6 +1,4 @@
-/**
- * Streams whose engine breaks off: they go on as soon as an engine takes them, within their time.
- */
+/** Streams whose engine breaks off must be resumed as soon as another engine accepts them. */
 import assert from "node:assert/strict";
 import { setTimeout as sleep } from "node:timers/promises";
 import { test, type TestContext } from "node:test";
@@ -30,25 +28,25 @@
 } from "./_patient_world.ts";
 import { knows, until } from "./_world.ts";
 
-/** As long as an engine or its place in the store may need to come back. */
-const AWAY_MS = 500;
+/** Time for which an engine or its registration in the store is unavailable. */
+const UNAVAILABLE_MS = 500;
 const ENTRY_COUNTS = [1, 16];
-/** Longer than the pause between two refusals while a run is open. */
+/** Longer than the backoff between two refusals while a run is open. */
 const SILENT_MS = 2500;
-/** Streams at the engines that end together. */
+/** Number of streams at the engines that terminate together. */
 const STREAM_COUNT = 8;
-/** Streams at the engine that is left, beforehand. */
+/** Number of streams that run at the remaining engine beforehand. */
 const BUSY_COUNT = 6;
 
 interface Open {
   world: PatientWorld;
   engine: StandinPlatformWorker;
   answer: Promise<Asked>;
-  /** Opened, the engine breaks the stream off behind two events. */
+  /** Once opened, the engine breaks the stream off after two events. */
   gate: Gate;
 }
 
-/** A stream at the only engine, which will break it off. */
+/** Starts a stream at the only engine, which breaks it off once the gate is opened. */
 async function openStream(
   t: TestContext,
   options: PatientWorldOptions & { path?: string } = {},
@@ -64,30 +62,31 @@
 }
 
 for (const entryCount of ENTRY_COUNTS) {
-  // The sends were used up within milliseconds at an engine that refused for a moment.
-  test(`engine breaks off, the only other one refuses for a while, ${entryCount} entries`, async (t) => {
+  // Guards against using up all sends within milliseconds at an engine that refuses briefly.
+  test(`stream is resumed although the only other engine refuses for a while, ${entryCount} entries`, async (t) => {
     const { world, answer, gate } = await openStream(t, { entryCount });
     const other = await world.engine("i-2");
-    refuseFor(other, AWAY_MS);
+    refuseFor(other, UNAVAILABLE_MS);
     gate.open();
     assertAllWhole(world, [await answer]);
     assert.equal(runsOf(world), 2);
   });
 
-  // Refused connections used up the sends, though nothing had arrived.
-  test(`engine breaks off while the other one's port is closed, ${entryCount} entries`, async (t) => {
+  // Guards against counting refused connections as sends, although no request reached a server.
+  test(`stream is resumed although the other engine's port is closed for a while, ${entryCount} entries`, async (t) => {
     const { world, answer, gate } = await openStream(t, { entryCount });
     const other = await world.engine("i-2");
     await other.down();
     gate.open();
-    await sleep(AWAY_MS);
+    await sleep(UNAVAILABLE_MS);
     await other.up();
     assertAllWhole(world, [await answer]);
     assert.equal(runsOf(world), 2);
   });
 
-  // Streams of engines that ended together were sent to one that had ended as well, and cut.
-  test(`several engines end at once and one is left, ${entryCount} entries`, async (t) => {
+  // Guards against cutting streams of engines that terminate together, because each is resent to
+  // another terminated engine.
+  test(`streams are resumed when all engines but one terminate at once, ${entryCount} entries`, async (t) => {
     const world = await openPatientWorld(t, { entryCount });
     const takers = world.entries.slice(0, STREAM_COUNT);
     const askAt = (count: number, prefix: number) =>
@@ -96,7 +95,7 @@
         (_, i) => askOther(world, prefix + i, takers[i % takers.length]),
       );
     const slow = { model: "m", events: 100, eventMs: 20 };
-    // The one that is left has most to do, so it looks worst.
+    // The remaining engine has the highest load, so it is the last choice.
     const left = await world.worker("i-1", slow);
     await until(() => takers.every((entry) => knows(entry, "i-1")));
     const busy = askAt(BUSY_COUNT, 100);
@@ -117,48 +116,49 @@
   });
 }
 
-// An engine that wants a pause is not asked, and the answer was cut as if nobody were left.
-test("engine breaks off while the only other one wants a pause", async (t) => {
+// Guards against cutting a stream because the only other engine has asked for a pause.
+test("stream is resumed although the only other engine asks for a pause", async (t) => {
   const { world, answer, gate } = await openStream(t);
   const other = await world.engine("i-2");
-  other.faults.pauseS = AWAY_MS / 1000;
+  other.faults.pauseS = UNAVAILABLE_MS / 1000;
   gate.open();
   await until(() => other.turnedAway > 0);
-  await sleep(AWAY_MS);
+  await sleep(UNAVAILABLE_MS);
   other.faults.pauseS = undefined;
   assertAllWhole(world, [await answer]);
   assert.equal(runsOf(world), 2);
 });
 
-// A begun answer ended as soon as no engine was there to go on with it.
-test("engine ends, and another one registers a moment later", async (t) => {
+// Guards against cutting a started stream as soon as no engine is available to resume it.
+test("stream is resumed when another engine registers after the first terminated", async (t) => {
   const { world, engine, answer } = await openStream(t);
   await engine.down();
   await world.store.delete("servers/i-1");
-  await sleep(AWAY_MS);
+  await sleep(UNAVAILABLE_MS);
   await world.engine("i-2");
   assertAllWhole(world, [await answer]);
   assert.equal(runsOf(world), 2);
 });
 
-// The same where the engine itself comes back under another id, at its address.
-test("engine starts again under a new id", async (t) => {
+// The same if the engine itself restarts at its address with another id.
+test("stream is resumed when its engine restarts under a new id", async (t) => {
   const { world, engine, answer } = await openStream(t);
   const listenAddress = engine.address;
   await engine.down();
-  await sleep(AWAY_MS);
+  await sleep(UNAVAILABLE_MS);
   await world.store.delete("servers/i-1");
   await world.worker("i-1-again", { model: "m", listenAddress });
   assertAllWhole(world, [await answer]);
   assert.equal(runsOf(world), 2);
 });
 
-// A begun answer ended for want of a budget that other requests earned a moment later.
-test("budget of resends is empty when an engine breaks off", async (t) => {
+// Guards against cutting a started stream because the resend budget is empty, although other requests
+// refill it shortly afterwards.
+test("stream waits for the resend budget if it is empty when the engine breaks off", async (t) => {
   const { world, engine, answer, gate } = await openStream(t, {
     entryCount: 16,
   });
-  // The entry's part of the budget goes to requests that nobody takes.
+  // Refused requests use up this router's share of the budget.
   engine.faults.refuse = Infinity;
   for (const i of [1, 2, 3]) {
     const headers = { ...ASKED, "attempt-id": `refused-${i}` };
@@ -173,14 +173,14 @@
   assertAllWhole(world, [asked], { requests: 24 });
 });
 
-// A run whose copy was refused was broken off where the other engine refused for a moment, too.
-test("copy of a moved run is refused, and the other engine refuses for a while", async (t) => {
+// Guards against cutting a moved stream if both the copy and the resend are refused for a while.
+test("stream is resumed although its copy is refused and the other engine refuses too", async (t) => {
   const world = await openPatientWorld(t);
   const { engines, answers } = await streamAtEach(world, { headers: ASKED });
   for (const { faults } of engines) faults.refuse = Infinity;
   await world.store.put("op/version/m", { model: "m", version: 2 });
   await until(() => engines.some(({ refused }) => refused > 0));
-  for (const engine of engines) refuseFor(engine, AWAY_MS);
+  for (const engine of engines) refuseFor(engine, UNAVAILABLE_MS);
   const asked = await Promise.all(answers);
   assert.ok(
     world.lines.some(({ event, answer }) =>
@@ -190,8 +190,8 @@
   assertAllWhole(world, asked, { events: LONG_EVENTS });
 });
 
-// What may run once is not run again, however much of its time is left.
-test("stream that may run once is cut where its engine breaks off", async (t) => {
+// A request that may run only once is not repeated, however much time is left.
+test("stream that may run only once is cut when its engine breaks off", async (t) => {
   for (
     const [path, maxAttempts] of [["/stream/a", 1], ["/once/a", 2]] as const
   ) {
@@ -207,8 +207,8 @@
   }
 });
 
-// The same before its first event: its connection ends without an answer.
-test("stream that may run once is failed where its answer is lost", async (t) => {
+// The same before the first event: the connection closes without a response.
+test("stream that may run only once fails when its response is lost", async (t) => {
   for (
     const [path, maxAttempts] of [["/stream/a", 1], ["/once/a", 2]] as const
   ) {
@@ -223,8 +223,8 @@
   }
 });
 
-// Streams under which a second engine ended were cut for want of attempts.
-test("engines that have ended are none of a route's attempts", async (t) => {
+// Guards against cutting a stream for lack of attempts after a second engine has terminated.
+test("runs at terminated engines don't count as attempts of a route", async (t) => {
   const world = await openPatientWorld(t, { maxAttempts: 2 });
   const stall = { afterEvent: 2, pauseMs: 0, opened: shutGate().opened };
   const answer = askOther(world, 1);
@@ -239,8 +239,8 @@
   assert.equal(runsOf(world), 3);
 });
 
-// The same where another engine has the address by then, so that connections are not refused.
-test("engine whose address another one has is none of a route's attempts", async (t) => {
+// The same if another engine uses the address by then, so that connections are not refused.
+test("runs at an engine whose address was reused don't count as attempts of a route", async (t) => {
   const world = await openPatientWorld(t, { maxAttempts: 1 });
   const gate = shutGate();
   const stall = { afterEvent: 2, pauseMs: 0, opened: gate.opened };
@@ -273,7 +273,7 @@
 });
 
 // Waiting for an engine must not lead to more runs than the route allows.
-test("stream that breaks off everywhere runs as often as its route allows", async (t) => {
+test("stream that breaks off at every engine runs as often as its route allows", async (t) => {
   const world = await openPatientWorld(t, { maxAttempts: 2 });
   for (const id of ["i-1", "i-2", "i-3", "i-4"]) {
     const faults = { ...NO_FAULTS, cutAfterEvents: 1 };
--- a/src/router/moved_runs_test.ts
+++ b/src/router/moved_runs_test.ts
@@ -1,11 +1,11 @@
-/** Streams that run while the weights of their engines change. */
+/** Streams that are moved while the weights of their engines change. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { type Asked, streamOf } from "../standin/mod.ts";
 import { LONG_EVENTS, streamAtEach } from "./_patient_world.ts";
 import { openWorld, until, type World } from "./_world.ts";
 
-test("long runs go on elsewhere when their engine's weights are to change", async (t) => {
+test("long runs continue at another engine when their engine's weights change", async (t) => {
   for (const moveFull of [0, 9]) {
     const world = await openWorld(t);
     const { engines, answers } = await streamAtEach(world);
@@ -26,10 +26,10 @@
   }
 });
 
-// A run was moved, the engine refused it, and the budget of resends had room for the move only: the
-// answer ended in the middle ("broken_off", "refused_503", servers 2, 13.3 s left).
-test("run is moved only if it can be sent on once more", async (t) => {
-  // Each entry's part of the budget is one resend at first.
+// Guards against moving a run if the resend budget allows the move but no further send: if the target
+// then refuses the run, the stream is cut although it has time left (13.3 s in the case seen).
+test("run is moved only if the budget allows one more resend", async (t) => {
+  // With this many routers, the initial share of each is one resend.
   const world = await openWorld(t, { entryCount: 16 });
   const answers = await answersOfMovedRuns(world);
   for (const { isWhole, body } of answers) {
@@ -38,7 +38,7 @@
   }
 });
 
-test("copy that its engine does not take is freed, and the run resumed", async (t) => {
+test("copy that the target engine refuses is freed, and the run is resumed", async (t) => {
   const world = await openWorld(t);
   const answers = await answersOfMovedRuns(world);
   for (const { isWhole, body } of answers) {
@@ -49,7 +49,7 @@
   assert.equal(freed.length, 1);
 });
 
-test("run that may not be repeated ends where it began", async (t) => {
+test("run that may not be repeated is not moved", async (t) => {
   const world = await openWorld(t);
   const { engines, answers } = await streamAtEach(world, { route: "once" });
   await world.store.put("op/version/m", { model: "m", version: 2 });
@@ -59,7 +59,7 @@
   assert.equal(engines.flatMap(({ runs }) => runs).length, 2);
 });
 
-/** Two streams whose weights change while they run; the engines refuse the next run each. */
+/** Runs two streams while their weights change; each engine refuses its next run. */
 async function answersOfMovedRuns(world: World): Promise<Asked[]> {
   const { engines, answers } = await streamAtEach(world);
   for (const { faults } of engines) faults.refuse = 1;
--- a/src/router/router_test.ts
+++ b/src/router/router_test.ts
@@ -21,7 +21,7 @@
   type World,
 } from "./_world.ts";
 
-test("call passes to its service and back, without the key", async (t) => {
+test("call is forwarded to its service without the API key", async (t) => {
   const world = await openWorld(t);
   const worker = await world.worker("i-1");
   const asked = await ask(world, "/book/a?b=%2F", {
@@ -47,7 +47,7 @@
   assert.ok(Number(run.headers["deadline-ms"]) <= 4000);
 });
 
-test("stream passes whole, under the workspace's own salt", async (t) => {
+test("stream is forwarded completely, with the workspace's cache salt", async (t) => {
   const world = await openWorld(t);
   const worker = await world.engine("i-1");
   const asked = await ask(world, "/stream/a", PROMPT);
@@ -58,9 +58,9 @@
   assert.equal(headers["expect-version"], "1");
 });
 
-test("broken stream goes on at another server behind the last event", async (t) => {
+test("broken stream is resumed at another server after the last event", async (t) => {
   const world = await openWorld(t);
-  // Whichever engine is first breaks off.
+  // Either engine breaks off its first stream.
   const faults = { ...NO_FAULTS, cutAfterEvents: 2 };
   const workers = [
     await world.worker("i-1", { model: "m", faults }),
@@ -77,7 +77,7 @@
   ]);
 });
 
-test("broken stream that may not be resumed ends broken, run once", async (t) => {
+test("broken stream that may not be resumed ends broken after one run", async (t) => {
   const world = await openWorld(t);
   const workers = [await world.engine("i-1"), await world.engine("i-2")];
   for (const worker of workers) worker.faults.cutAfterEvents = 2;
@@ -96,7 +96,7 @@
   assert.equal(workers.flatMap(({ runs }) => runs).length, 1);
 });
 
-test("idempotent call is sent to another server", async (t) => {
+test("failed idempotent call is sent to another server", async (t) => {
   const world = await openWorld(t);
   const workers = [await world.worker("i-1"), await world.worker("i-2")];
   for (const fault of ["loseAnswer", "fail", "unframed", "foreign"] as const) {
@@ -109,7 +109,7 @@
   }
 });
 
-test("refused call goes elsewhere, and is refused as not run if all refuse", async (t) => {
+test("refused call is sent to another server, and refused as not run if all refuse", async (t) => {
   const world = await openWorld(t);
   const workers = [await world.worker("i-1"), await world.worker("i-2")];
   workers[0]!.faults.refuse = 1;
@@ -122,7 +122,7 @@
   assert.equal(workers.flatMap(({ runs }) => runs).length, 1);
 });
 
-test("server's own failure passes with its signature", async (t) => {
+test("server's own error response is forwarded with its signature", async (t) => {
   const world = await openWorld(t);
   const worker = await world.worker("i-1");
   worker.faults.fail = 1;
@@ -131,28 +131,28 @@
   assert.equal(asked.headers["server-seal"], "seal-i-1");
 });
 
-test("answer without framing is not passed on as whole", async (t) => {
+test("response without framing is not forwarded as complete", async (t) => {
   const world = await openWorld(t);
   const worker = await world.worker("i-1");
   worker.faults.unframed = 1;
   assert.equal((await ask(world, "/book/a")).status, 502);
 });
 
-test("answer to another request reaches nobody", async (t) => {
+test("response to another request is not forwarded", async (t) => {
   const world = await openWorld(t);
   const worker = await world.worker("i-1");
   worker.faults.foreign = 1;
   assert.equal((await ask(world, "/book/a")).status, 502);
 });
 
-test("request gets its final answer at the route's time", async (t) => {
+test("request gets a final response at the route's timeout", async (t) => {
   const world = await openWorld(t);
   const worker = await world.worker("i-1");
   worker.faults.hang = 1;
   assert.equal((await ask(world, "/brief/a")).status, 504);
 });
 
-test("headers over the configured bound are refused", async (t) => {
+test("headers over the configured limit are refused", async (t) => {
   const world = await openWorld(t);
   const worker = await world.worker("i-1");
   const limits = { ...CONFIG.limits, max_header_bytes: 2000 };
@@ -165,7 +165,7 @@
   assert.equal(within.status, 200);
 });
 
-test("server with as many connections as it takes gets no further call", async (t) => {
+test("server at its connection limit gets no further call", async (t) => {
   const world = await openWorld(t);
   const worker = await world.worker("i-1");
   const services = CONFIG.services.map((service) => ({
@@ -181,14 +181,14 @@
   assert.equal((await ask(world, "/book/a")).status, 200);
 });
 
-test("without a server the request is refused as not run", async (t) => {
+test("request without an available server is refused as not run", async (t) => {
   const world = await openWorld(t);
   const asked = await ask(world, "/book/a");
   assert.equal(asked.status, 503);
   assert.ok(Number(asked.headers["retry-after"]) > 0);
 });
 
-test("unknown key, route and too large a body are refused", async (t) => {
+test("unknown key, unknown route and too large a body are refused", async (t) => {
   const world = await openWorld(t);
   await world.worker("i-1");
   const other = { authorization: "Bearer other" };
@@ -218,7 +218,7 @@
   });
 }
 
-test("server at an address that was used by another gets nothing", async (t) => {
+test("server whose address is used by another one gets no requests", async (t) => {
   const world = await openWorld(t);
   const worker = await world.worker("i-2");
   await world.store.put("servers/i-1", worker.entry("plain"));
@@ -231,7 +231,7 @@
   );
 });
 
-test("newer configuration is in force, an older one never again", async (t) => {
+test("newer configuration takes effect, an older one is ignored", async (t) => {
   const world = await openWorld(t);
   await world.worker("i-1");
   assert.equal((await ask(world, "/book/a")).status, 200);
@@ -243,7 +243,7 @@
   assert.equal((await ask(world, "/book/a")).status, 401);
 });
 
-test("malformed values are left aside", async (t) => {
+test("malformed values in the store are ignored", async (t) => {
   const world = await openWorld(t);
   await world.store.put("servers/i-bad", { service: 1 });
   await world.store.configure({ version: 9 });
@@ -252,7 +252,7 @@
   assert.equal(worker.runs.length, 1);
 });
 
-test("entry serves on while the store is down", async (t) => {
+test("router keeps serving while the store is down", async (t) => {
   const world = await openWorld(t);
   await world.worker("i-1");
   await world.store.down();
@@ -263,7 +263,7 @@
   await world.worker("i-2");
 });
 
-test("entry that knows no configuration refuses and is not ready", async (t) => {
+test("router without a configuration refuses requests and is not ready", async (t) => {
   const world = await openBareWorld(t);
   assert.equal(await readiness(world.readinessPort), 503);
   const asked = await ask(world, "/book/a");
@@ -275,7 +275,7 @@
   assert.equal((await ask(world, "/book/a")).status, 200);
 });
 
-test("stop fails readiness at once and ends what runs", async (t) => {
+test("stop fails readiness at once and completes requests in flight", async (t) => {
   const world = await openWorld(t);
   const worker = await world.worker("i-1");
   worker.faults.hang = 1;
@@ -287,7 +287,7 @@
   await stopped;
 });
 
-test("named weights are ordered under a fencing number by the lease's holder", async (t) => {
+test("lease holder orders the named weights with its fencing number", async (t) => {
   const world = await openWorld(t);
   const workers = [await world.engine("i-1"), await world.engine("i-2")];
   await world.store.put("op/version/m", { model: "m", version: 2 });
--- a/src/router/run_mover_test.ts
+++ b/src/router/run_mover_test.ts
@@ -13,16 +13,16 @@
 const COPY_ID = "copy-1";
 const BOUND_MS = 10_000;
 
-interface Made {
+interface Setup {
   clock: TestClock;
   fleet: Fleet;
   wanted: WantedVersions;
   mover: RunMover;
-  /** Moves that were tried. */
+  /** Number of attempted moves. */
   tried: number;
 }
 
-function create(): Made {
+function create(): Setup {
   const clock = new TestClock();
   const fleet = testFleet(clock);
   const wanted = WantedVersions.create({ clock, boundMs: BOUND_MS });
@@ -36,11 +36,11 @@
     quarantine: { verdict: () => ({ kind: "clear" }) },
     reserve: () => ++made.tried > 0,
   });
-  const made: Made = { clock, fleet, wanted, mover, tried: 0 };
+  const made: Setup = { clock, fleet, wanted, mover, tried: 0 };
   return made;
 }
 
-/** A send whose run, on version 1 of the weights, is under way at engine `from`. */
+/** Returns a send whose run is open at engine `from`, on version 1 of the weights. */
 function sendOf(fleet: Fleet): Send {
   return {
     request: {
@@ -52,7 +52,7 @@
   } as unknown as Send;
 }
 
-/** An engine that copies any run; returns its address, and what it was called for. */
+/** Starts an engine that copies any run; returns its address and the calls that it received. */
 async function copyingEngine(
   t: TestContext,
   onMove: () => void,
@@ -71,10 +71,10 @@
 }
 
 /*
- * A run was copied to an engine that started again meanwhile. The copy was gone, and the run was
- * sent there all the same.
+ * Guards against resuming a run at an engine that has restarted since the run was copied to it: the
+ * copy is lost.
  */
-test("run doesn't go on at an engine that has started again since it was copied", async (t) => {
+test("run is not resumed at an engine that restarted while it was copied", async (t) => {
   for (const restarts of [false, true]) {
     const { fleet, mover } = create();
     const { address, calls } = await copyingEngine(t, () => {
@@ -92,11 +92,11 @@
   }
 });
 
-/** Whether a move was tried some time after the weights' replacement. */
+/** Returns whether a move is attempted at this time after the replacement of the weights. */
 async function isMoved(ageMs: number): Promise<boolean> {
   const made = create();
   const { fleet, wanted, clock, mover } = made;
-  // Nothing listens there: what counts is whether a move was tried.
+  // No server listens at these addresses: only the attempt to move counts.
   for (const id of ["from", "to"]) fleet.put(registration(id));
   wanted.name({ model: "m", version: 2 }, { maxAgeMs: 0 });
   clock.advance(ageMs);
@@ -105,10 +105,10 @@
 }
 
 /*
- * The engine that a run goes to is picked before the copy is made, which takes up to 0.6 s; what it
- * said of itself meanwhile was not looked at again.
+ * Guards against ignoring that the target engine began to leave during the copy: the target is chosen
+ * before the copy, which takes up to 0.6 s.
  */
-test("run doesn't go on at an engine that began to leave while it was copied", async (t) => {
+test("run is not resumed at an engine that began to leave while it was copied", async (t) => {
   for (const isRegistered of [true, false]) {
     const { clock, fleet, mover } = create();
     const { address, calls } = await copyingEngine(t, () => {
@@ -130,8 +130,9 @@
   }
 });
 
-// A stream that was resumed and had no head yet was moved: its client had an event, its run had none.
-test("run that has not begun is not moved", () => {
+// Guards against moving a resumed stream whose new run has not responded yet, although its client has
+// received events of an earlier run.
+test("run that has not responded yet is not moved", () => {
   const { clock, fleet, mover } = create();
   fleet.put(registration("from"));
   const server = fleet.get("from");
@@ -151,16 +152,16 @@
   assert.equal(mover.isDue({ ...send, answer }), true);
 });
 
-test("run is moved to an engine whose weights may still begin answers", async () => {
+test("run is moved to an engine whose weights may still begin responses", async () => {
   assert.ok(await isMoved(0));
   assert.ok(await isMoved(8000));
 });
 
 /*
- * Runs were moved, with their memory, off an engine whose weights were about to change, to another
- * one that still had the old ones; 10.8 s and 10.9 s after these had been replaced they began anew
- * there. Only engines that a new request may still begin on are places to move to.
+ * Guards against moving runs to another engine with the same replaced weights, where they would begin
+ * too late: 10.8 s and 10.9 s after the replacement in the cases seen. A target must have weights that
+ * may still begin new requests.
  */
-test("run is not moved to an engine whose weights were replaced too long ago", async () => {
+test("run is not moved if its weights were replaced too long ago", async () => {
   assert.equal(await isMoved(9500), false);
 });
--- a/src/router/settings_test.ts
+++ b/src/router/settings_test.ts
@@ -23,7 +23,7 @@
   CICADAHITCH_RESEND_WINDOW_S: "5",
 };
 
-test("settings are read from variables of their own", () => {
+test("settings are read from the CICADAHITCH_ variables", () => {
   const settings = readSettings({ ...GOOD, PATH: "/bin" });
   assert.ok(settings.isOk);
   assert.equal(settings.value.graceMs, 7500);
@@ -40,13 +40,13 @@
   assert.equal(settings.value.choice, ChoiceName.cost);
 });
 
-test("no seeds are allowed", () => {
+test("seed addresses may be empty", () => {
   const settings = readSettings({ ...GOOD, CICADAHITCH_SEED_ADDRESSES: "" });
   assert.ok(settings.isOk);
   assert.deepEqual(settings.value.seedAddresses, []);
 });
 
-test("bounds that the platform does not give have defaults", () => {
+test("limits that the platform does not set have defaults", () => {
   const settings = readSettings({
     ...GOOD,
     CICADAHITCH_ORDER_TURN_MS: "",
@@ -57,18 +57,18 @@
   assert.equal(settings.value.weightsBoundMs, 10_000);
 });
 
-test("engines that are not said to check fences don't", () => {
-  for (const said of ["", "false"]) {
+test("engines don't check fencing numbers unless the setting says so", () => {
+  for (const value of ["", "false"]) {
     const settings = readSettings({
       ...GOOD,
-      CICADAHITCH_ENGINES_CHECK_FENCES: said,
+      CICADAHITCH_ENGINES_CHECK_FENCES: value,
     });
     assert.ok(settings.isOk);
     assert.equal(settings.value.enginesCheckFences, false);
   }
 });
 
-test("every fault is named at once, with what is allowed", () => {
+test("all invalid settings are reported at once, with the allowed values", () => {
   const { CICADAHITCH_ZONE: _, ...rest } = GOOD;
   const settings = readSettings({
     ...rest,
--- a/src/router/spoilt_answers_test.ts
+++ b/src/router/spoilt_answers_test.ts
@@ -7,18 +7,22 @@
 import { ask, type Asked, PROMPT } from "../standin/mod.ts";
 import { knows, openWorld, until, type World } from "./_world.ts";
 
-/** Answers with bytes; a server that answers nothing more has ended its connection by itself. */
-type Answer = (socket: Socket, attemptId: string, nth: number) => void;
+/** Writes raw bytes as the response to the nth request; may close the connection itself. */
+type RawResponder = (socket: Socket, attemptId: string, nth: number) => void;
 
-const SEALED = "HTTP/1.1 200 OK\r\nserver-seal: s\r\n";
-/** More than an entry needs to see the end of a connection. */
-const SEEN_MS = 50;
+const SEALED_HEAD = "HTTP/1.1 200 OK\r\nserver-seal: s\r\n";
+/** More than a router needs to notice that a connection was closed. */
+const NOTICE_MS = 50;
 
-/** Registers a server that writes bytes of the test's own; its service has no other one. */
+/** Registers a server that responds with raw bytes. */
 async function serveBytes(
   t: TestContext,
   world: World,
-  { id, service, answer }: { id: string; service: string; answer: Answer },
+  { id, service, answer }: {
+    id: string;
+    service: string;
+    answer: RawResponder;
+  },
 ): Promise<{ requests: string[]; connections: () => number }> {
   const requests: string[] = [];
   const sockets = new Set<Socket>();
@@ -61,7 +65,7 @@
   return { requests, connections: () => connections };
 }
 
-/** Rejections that nobody handles: a router's process ends by them, with all that it serves. */
+/** Records unhandled rejections, which would end a router's process and all requests in flight. */
 function watchRejections(t: TestContext): unknown[] {
   const rejections: unknown[] = [];
   const note = (reason: unknown) => rejections.push(reason);
@@ -70,45 +74,45 @@
   return rejections;
 }
 
-/** An entry that is behind, as on a busy machine, turns requests away, which it answers by itself. */
-async function askWhenTaken(
+/** Repeats a request while the router itself rejects it with 503, as it does under high load. */
+async function askUntilAccepted(
   world: World,
   path: string,
   headers: Record<string, string> = {},
 ): Promise<Asked> {
   while (true) {
     const asked = await ask(world, path, headers);
-    const isTurnedAway = asked.status === 503 &&
+    const isRejected = asked.status === 503 &&
       asked.headers["attempt-id"] === undefined;
-    if (!isTurnedAway) return asked;
-    await sleep(SEEN_MS);
+    if (!isRejected) return asked;
+    await sleep(NOTICE_MS);
   }
 }
 
-// An answer that ends early must not look complete, whatever its head says of its end.
-const CUT_ANSWERS: Record<string, (id: string) => string> = {
+// Truncated responses, by how they declare their end; none may look complete to the client.
+const TRUNCATED_RESPONSES: Record<string, (id: string) => string> = {
   "length, and closes": (id) =>
-    `${SEALED}attempt-id: ${id}\r\nconnection: close\r\ncontent-length: 9\r\n\r\nhalf`,
+    `${SEALED_HEAD}attempt-id: ${id}\r\nconnection: close\r\ncontent-length: 9\r\n\r\nhalf`,
   "chunks, and closes, cut in one": (id) =>
-    `${SEALED}attempt-id: ${id}\r\nconnection: close\r\n` +
+    `${SEALED_HEAD}attempt-id: ${id}\r\nconnection: close\r\n` +
     `transfer-encoding: chunked\r\n\r\n9\r\nhalf`,
   "chunks, and closes, cut between two": (id) =>
-    `${SEALED}attempt-id: ${id}\r\nconnection: close\r\n` +
+    `${SEALED_HEAD}attempt-id: ${id}\r\nconnection: close\r\n` +
     `transfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n`,
   "chunks, and closes, cut in the last": (id) =>
-    `${SEALED}attempt-id: ${id}\r\nconnection: close\r\n` +
+    `${SEALED_HEAD}attempt-id: ${id}\r\nconnection: close\r\n` +
     `transfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n0\r\n`,
-  "no length": (id) => `${SEALED}attempt-id: ${id}\r\n\r\nhalf`,
+  "no length": (id) => `${SEALED_HEAD}attempt-id: ${id}\r\n\r\nhalf`,
   "no length, of an older protocol": (id) =>
     `HTTP/1.0 200 OK\r\nserver-seal: s\r\nattempt-id: ${id}\r\n\r\nhalf`,
   "an encoding that is not chunked": (id) =>
-    `${SEALED}attempt-id: ${id}\r\ntransfer-encoding: identity\r\n\r\nhalf`,
+    `${SEALED_HEAD}attempt-id: ${id}\r\ntransfer-encoding: identity\r\n\r\nhalf`,
 };
 
-for (const [name, bytes] of Object.entries(CUT_ANSWERS)) {
+for (const [name, bytes] of Object.entries(TRUNCATED_RESPONSES)) {
   for (const isReset of [false, true]) {
     const end = isReset ? "reset" : "closed";
-    test(`answer that is cut is not passed on as whole: ${name}, ${end}`, async (t) => {
+    test(`truncated response is not forwarded as complete: ${name}, ${end}`, async (t) => {
       const world = await openWorld(t);
       await serveBytes(t, world, {
         id: "i-raw",
@@ -122,12 +126,12 @@
           });
         },
       });
-      assert.equal((await askWhenTaken(world, "/book/a")).status, 502);
+      assert.equal((await askUntilAccepted(world, "/book/a")).status, 502);
     });
   }
 }
 
-test("interim answers are no answers", async (t) => {
+test("interim responses are skipped", async (t) => {
   for (const interim of ["103 Early Hints", "102 Processing"]) {
     const world = await openWorld(t);
     await serveBytes(t, world, {
@@ -136,11 +140,11 @@
       answer: (socket, id) => {
         socket.write(`HTTP/1.1 ${interim}\r\nserver-seal: no\r\n\r\n`);
         socket.write(
-          `${SEALED}attempt-id: ${id}\r\ncontent-length: 4\r\n\r\ndone`,
+          `${SEALED_HEAD}attempt-id: ${id}\r\ncontent-length: 4\r\n\r\ndone`,
         );
       },
     });
-    const asked = await askWhenTaken(world, "/book/a");
+    const asked = await askUntilAccepted(world, "/book/a");
     assert.equal(asked.status, 200);
     assert.equal(asked.headers["server-seal"], "s");
     assert.equal(asked.body, "done");
@@ -148,8 +152,9 @@
   }
 });
 
-// An extra answer may come where the next request's is expected; it bears the id of its own request.
-test("late extra answer to an earlier request reaches nobody", async (t) => {
+// A server may send an extra response where the one to the next request is expected. It carries the id
+// of its own request, so it can be told apart.
+test("late extra response to an earlier request is not forwarded", async (t) => {
   const world = await openWorld(t);
   const { requests } = await serveBytes(t, world, {
     id: "i-raw",
@@ -157,31 +162,31 @@
     answer: (socket, id, nth) => {
       const of = nth === 2 ? "attempt-0" : id;
       const answer =
-        `${SEALED}attempt-id: ${of}\r\ncontent-length: 4\r\n\r\ndone`;
+        `${SEALED_HEAD}attempt-id: ${of}\r\ncontent-length: 4\r\n\r\ndone`;
       socket.write(answer);
     },
   });
-  assert.equal((await askWhenTaken(world, "/book/a")).status, 200);
-  assert.equal((await askWhenTaken(world, "/book/a")).status, 502);
-  assert.equal((await askWhenTaken(world, "/book/a")).status, 200);
+  assert.equal((await askUntilAccepted(world, "/book/a")).status, 200);
+  assert.equal((await askUntilAccepted(world, "/book/a")).status, 502);
+  assert.equal((await askUntilAccepted(world, "/book/a")).status, 200);
   assert.equal(requests.length, 3);
 });
 
-test("answer that names no request is nobody's", async (t) => {
+test("response without a request id is not forwarded", async (t) => {
   const world = await openWorld(t);
   await serveBytes(t, world, {
     id: "i-raw",
     service: "plain",
     answer: (socket, id, nth) => {
       const name = nth === 2 ? "" : `attempt-id: ${id}\r\n`;
-      socket.write(`${SEALED}${name}content-length: 4\r\n\r\ndone`);
+      socket.write(`${SEALED_HEAD}${name}content-length: 4\r\n\r\ndone`);
     },
   });
-  assert.equal((await askWhenTaken(world, "/book/a")).status, 200);
-  assert.equal((await askWhenTaken(world, "/book/a")).status, 502);
+  assert.equal((await askUntilAccepted(world, "/book/a")).status, 200);
+  assert.equal((await askUntilAccepted(world, "/book/a")).status, 502);
 });
 
-test("bytes behind an answer are not the next request's answer", async (t) => {
+test("extra bytes after a response are not read as the next response", async (t) => {
   for (const behindMs of [0, 1, 20]) {
     const world = await openWorld(t);
     const { connections } = await serveBytes(t, world, {
@@ -189,18 +194,18 @@
       service: "plain",
       answer: (socket, id, nth) => {
         socket.write(
-          `${SEALED}attempt-id: ${id}\r\ncontent-length: 4\r\n\r\ndone`,
+          `${SEALED_HEAD}attempt-id: ${id}\r\ncontent-length: 4\r\n\r\ndone`,
         );
         if (nth > 1) return;
         const extra =
-          `${SEALED}attempt-id: ${id}\r\ncontent-length: 4\r\n\r\nevil`;
+          `${SEALED_HEAD}attempt-id: ${id}\r\ncontent-length: 4\r\n\r\nevil`;
         if (behindMs === 0) socket.write(extra);
         else setTimeout(() => socket.write(extra), behindMs);
       },
     });
-    assert.equal((await askWhenTaken(world, "/book/a")).body, "done");
-    await sleep(SEEN_MS);
-    const second = await askWhenTaken(world, "/book/b", {
+    assert.equal((await askUntilAccepted(world, "/book/a")).body, "done");
+    await sleep(NOTICE_MS);
+    const second = await askUntilAccepted(world, "/book/b", {
       "attempt-id": "attempt-2",
     });
     assert.equal(second.status, 200);
@@ -210,33 +215,34 @@
   }
 });
 
-// The answer's head is written anew for the client, and Node refuses some bytes that may stand in one.
+// The router writes a new response head for the client, and Node rejects some bytes that a server's
+// header may contain.
 for (
   const [name, value] of [["beyond ASCII", "caf\xe9"], ["control", "a\x01b"]]
 ) {
-  test(`header with a byte ${name} in an answer doesn't end the process`, async (t) => {
+  test(`response header with a byte ${name} doesn't end the process`, async (t) => {
     const rejections = watchRejections(t);
     const world = await openWorld(t);
     await serveBytes(t, world, {
       id: "i-raw",
       service: "plain",
       answer: (socket, id) => {
-        const head = `${SEALED}attempt-id: ${id}\r\nx-note: ${value}\r\n`;
+        const head = `${SEALED_HEAD}attempt-id: ${id}\r\nx-note: ${value}\r\n`;
         socket.write(`${head}content-length: 4\r\n\r\ndone`, "latin1");
       },
     });
-    const asked = askWhenTaken(world, "/book/a");
+    const asked = askUntilAccepted(world, "/book/a");
     const answered = await Promise.race([asked, sleep(2000)]);
     assert.deepEqual(rejections, []);
-    assert.ok(answered, "No answer came");
+    assert.ok(answered, "no response arrived in time");
     assert.ok([200, 502].includes(answered.status));
   });
 }
 
-/** An engine's stream that breaks behind two events, unless it is resumed. */
-function breakFirst(resumed: (id: string) => string): Answer {
+/** Breaks the first stream after two events, and answers the resumed one with given bytes. */
+function breakFirst(resumed: (id: string) => string): RawResponder {
   return (socket, id, nth) => {
-    const head = `${SEALED}attempt-id: ${id}\r\n` +
+    const head = `${SEALED_HEAD}attempt-id: ${id}\r\n` +
       `content-type: text/event-stream\r\nweight-versions: 1\r\n`;
     if (nth > 1) return void socket.end(resumed(id), "latin1");
     const events = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n";
@@ -248,7 +254,7 @@
   };
 }
 
-/** Two engines, of which the one that is asked first breaks off; counts what they are asked. */
+/** Registers two engines, of which the first one asked breaks off; counts their requests. */
 async function serveBroken(
   t: TestContext,
   world: World,
@@ -266,8 +272,8 @@
   return asked;
 }
 
-// The client has the head of the stream already: another answer's head can't follow.
-const OTHER_ANSWERS: Record<string, (id: string) => string> = {
+// The client already has the head of the stream, so the head of another response can't follow.
+const NON_STREAM_RESPONSES: Record<string, (id: string) => string> = {
   "server's own failure": (id) =>
     `HTTP/1.1 500 Failed\r\nserver-seal: s\r\nattempt-id: ${id}\r\ncontent-length: 2\r\n\r\nno`,
   "refusal of the request": (id) =>
@@ -276,49 +282,49 @@
     `HTTP/1.1 204 None\r\nserver-seal: s\r\nattempt-id: ${id}\r\n\r\n`,
 };
 
-for (const [name, resumed] of Object.entries(OTHER_ANSWERS)) {
-  test(`broken stream whose next server answers otherwise ends broken: ${name}`, async (t) => {
+for (const [name, resumed] of Object.entries(NON_STREAM_RESPONSES)) {
+  test(`broken stream ends broken if the next server doesn't resume it: ${name}`, async (t) => {
     const rejections = watchRejections(t);
     const world = await openWorld(t);
     const asked = await serveBroken(t, world, resumed);
     const read = await Promise.race([
-      askWhenTaken(world, "/stream/a", PROMPT),
+      askUntilAccepted(world, "/stream/a", PROMPT),
       sleep(3000),
     ]);
     assert.deepEqual(rejections, []);
-    assert.ok(read, "The stream did not end");
+    assert.ok(read, "the stream did not end in time");
     assert.equal(asked.count, 2);
     assert.equal(read.isWhole, false);
     assert.equal(read.body, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
   });
 }
 
-test("events that a resumed stream repeats are not joined to those before", async (t) => {
+test("events that a resumed stream repeats are not forwarded", async (t) => {
   const world = await openWorld(t);
   const events = "id: 2\ndata: b\n\nid: 3\ndata: c\n\n";
   await serveBroken(
     t,
     world,
     (id) =>
-      `${SEALED}attempt-id: ${id}\r\ncontent-length: ${events.length}\r\n\r\n${events}`,
+      `${SEALED_HEAD}attempt-id: ${id}\r\ncontent-length: ${events.length}\r\n\r\n${events}`,
   );
-  const read = await askWhenTaken(world, "/stream/a", PROMPT);
+  const read = await askUntilAccepted(world, "/stream/a", PROMPT);
   assert.equal(read.isWhole, false);
   assert.equal(read.body, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
 });
 
-test("resumed stream that is cut between events ends broken", async (t) => {
+test("resumed stream that is truncated between events ends broken", async (t) => {
   const world = await openWorld(t);
   const events = "id: 3\ndata: c\n\n";
   await serveBroken(
     t,
     world,
     (id) =>
-      `${SEALED}attempt-id: ${id}\r\nconnection: close\r\n` +
+      `${SEALED_HEAD}attempt-id: ${id}\r\nconnection: close\r\n` +
       `transfer-encoding: chunked\r\n\r\n${
         events.length.toString(16)
       }\r\n${events}\r\n`,
   );
-  const read = await askWhenTaken(world, "/stream/a", PROMPT);
+  const read = await askUntilAccepted(world, "/stream/a", PROMPT);
   assert.equal(read.isWhole, false);
 });
--- a/src/router/start_test.ts
+++ b/src/router/start_test.ts
@@ -25,7 +25,7 @@
   CICADAHITCH_ENGINES_CHECK_FENCES: "",
 };
 
-/** What the platform runs on an entry instance. */
+/** Returns the arguments of the command that the platform runs to start a router. */
 function deployedCommand(): string[] {
   const text = readFileSync("deploy/system.toml", "utf8");
   const run = /^run = "node (.*)"$/m.exec(text)?.[1];
@@ -33,7 +33,7 @@
   return run.split(" ");
 }
 
-/** Emits a warning as soon as a byte comes in. */
+/** Module that emits a warning as soon as a byte arrives on stdin. */
 const WARN_ON_INPUT = "data:text/javascript," + encodeURIComponent(
   'process.stdin.once("data", () => process.emitWarning("Odd", "OddWarning"));',
 );
@@ -48,7 +48,7 @@
   return router;
 }
 
-test("deployed program starts, from code that the build compiled", async (t) => {
+test("deployed program starts from the compiled code of the build", async (t) => {
   execFileSync(process.execPath, ["deploy/build.mjs"]);
   assert.ok(existsSync("target/router.cache"));
   const router = startRouter(t);
@@ -59,20 +59,20 @@
   }
   assert.ok(events.includes("listening"));
   assert.ok(!events.includes("compiled_code_rejected"));
-  // The next test listens at the same addresses.
+  // The next test uses the same addresses.
   const ended = once(router, "exit");
   router.kill("SIGKILL");
   await ended;
 });
 
-// Node's own plain text stood among the log lines, and no tool that reads them knew of the warning.
-test("warning of Node is a log line, and no plain text", async (t) => {
+// Guards against Node's plain-text warnings between the log lines, which log tools can't read.
+test("Node warnings are written as log lines, not as plain text", async (t) => {
   const router = startRouter(t, ["--import", WARN_ON_INPUT]);
   const ended = once(router, "close");
   let plain = "";
   router.stderr.on("data", (chunk: Buffer) => {
     plain += chunk;
-    // Without its line the test would wait for nothing.
+    // Ends the test, which would otherwise wait for a log line that never comes.
     router.kill("SIGKILL");
   });
   const lines: { event: string; name?: string; message?: string }[] = [];
