--- a/src/router/confirmed_age_test.ts
+++ b/src/router/confirmed_age_test.ts
@@ -1,8 +1,8 @@
-// Entries without the store told each other how old their copies were, and each took the youngest
-// age that it heard, a little too young by the time that the news had taken. So two of them made
-// each other's copy younger and younger: 10 s after the store had answered anyone, the copies counted
-// as 4.2 to 8.0 s old (simulated), and a key or route that was not known could be denied, where an
-// entry that is not sure answers 503.
+// Guards against replicas that keep each other young. Entries without the store exchanged the ages of
+// their replicas, and each took the youngest one, which appeared too young by the transit time. Two
+// entries could thus lower each other's age again and again: in a simulation, 10 s after the last store
+// answer to anyone, replicas counted as 4.2 to 8.0 s old. An unknown key or route could then be
+// rejected, where an entry with an outdated replica must answer 503.
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
@@ -11,17 +11,17 @@
 import { RelayReader } from "./relay.ts";
 
 const SEED = 20_261_203;
-/** News takes as long as this to come, as where processes are short of processor time. */
-const DELAY_MAX_MS = 50;
-/** Pause between an entry's datagrams. */
-const TELL_MS = 50;
+/** Longest transit time of a datagram, as between processes that are short of CPU time. */
+const MAX_TRANSIT_MS = 50;
+/** Interval between an entry's datagrams. */
+const GOSSIP_INTERVAL_MS = 50;
 
 interface Entry {
   mirror: StoreMirror;
   relay: RelayReader;
 }
 
-/** A datagram on its way. */
+/** A datagram in flight. */
 interface Flight {
   to: Entry;
   knowledge: StoreMirror["knowledge"];
@@ -40,17 +40,17 @@
   return { mirror, relay };
 }
 
-/** The store's answer to an entry that has seen all. */
+/** Lets the store answer an entry that has all changes. */
 function answer({ mirror }: Entry): void {
-  mirror.follow({ kind: "progress", revision: 1n });
+  mirror.applyStep({ kind: "progress", revision: 1n });
 }
 
 /**
- * Lets entries tell each other; the store answers the first of them until a time.
+ * Simulates the gossip of entries; the store answers the first of them until a given time.
  *
- * @returns By how much too young a copy counted at most.
+ * @returns The most by which a replica's age was below its true age.
  */
-function mostTooYoungMs(
+function maxAgeErrorMs(
   { entryCount, servedForMs, untilMs, random }: {
     entryCount: number;
     servedForMs: number;
@@ -64,9 +64,9 @@
   for (const entry of entries) answer(entry);
   let lastAnswerMs = clock.nowMs();
   let flights: Flight[] = [];
-  let most = 0;
-  for (let ms = 0; ms < untilMs; ms += TELL_MS) {
-    clock.advance(TELL_MS);
+  let maxErrorMs = 0;
+  for (let ms = 0; ms < untilMs; ms += GOSSIP_INTERVAL_MS) {
+    clock.advance(GOSSIP_INTERVAL_MS);
     const nowMs = clock.nowMs();
     if (nowMs - startMs < servedForMs) {
       answer(entries[0]!);
@@ -82,18 +82,18 @@
       for (const to of entries) {
         // One in five datagrams is lost.
         if (to === from || random() < 0.2) continue;
-        const atMs = nowMs + random() * DELAY_MAX_MS;
+        const atMs = nowMs + random() * MAX_TRANSIT_MS;
         flights.push({ to, knowledge: from.mirror.knowledge, atMs });
       }
     }
     for (const { mirror } of entries) {
-      most = Math.max(most, nowMs - lastAnswerMs - mirror.ageMs);
+      maxErrorMs = Math.max(maxErrorMs, nowMs - lastAnswerMs - mirror.ageMs);
     }
   }
-  return most;
+  return maxErrorMs;
 }
 
-test("copies that entries confirm in a circle grow as old as the store's last answer", () => {
+test("replicas that entries confirm in a circle age from the store's last answer", () => {
   fc.assert(
     fc.property(
       fc.integer({ min: 2, max: 8 }),
@@ -105,14 +105,14 @@
       (entryCount, servedForMs, chances) => {
         let i = 0;
         const random = () => chances[i++ % chances.length]!;
-        const mostMs = mostTooYoungMs({
+        const mostMs = maxAgeErrorMs({
           entryCount,
           servedForMs,
           untilMs: 10_000,
           random,
         });
-        // Each step on the way from the store's answer hides its delay, and none comes twice.
-        const stepMs = DELAY_MAX_MS + TELL_MS;
+        // Each hop from the store's answer hides its delay, and each entry is passed only once.
+        const stepMs = MAX_TRANSIT_MS + GOSSIP_INTERVAL_MS;
         assert.ok(mostMs <= (entryCount - 1) * stepMs, `${mostMs} ms`);
       },
     ),
@@ -120,7 +120,7 @@
   );
 });
 
-test("entry that only a peer serves takes its copy for as old as the peer's", () => {
+test("replica confirmed only by a peer is as old as the peer's", () => {
   const clock = new TestClock();
   const [near, far] = [createEntry(clock), createEntry(clock)];
   answer(near);
--- a/src/router/follower.ts
+++ b/src/router/follower.ts
@@ -4,44 +4,51 @@
 import type { StoreMirror } from "./mirror.ts";
 import { StoreContact } from "./store_contact.ts";
 
-/** Shortest pause after a failed call. */
-const RETRY_MIN_MS = 100;
+/** Shortest backoff after a failed call. */
+const MIN_RETRY_MS = 100;
 /**
- * Time from one failed call to the next, doubled from {@link RETRY_MIN_MS} on: each call has a
- * price. A store that refuses calls is met within this time of its return. Calls to one that is
- * silent take longer than this by themselves, and are followed by the shortest pause.
+ * Longest interval from one failed call to the next; it doubles from {@link MIN_RETRY_MS} on, to limit
+ * the calls to a failing store. A store that refused calls is reached again within this time of its
+ * recovery. Calls to an unresponsive store take longer by themselves, and are followed by the shortest
+ * backoff.
  */
-const RETRY_MAX_MS = 500;
-/** Part of a pause that is left to chance, so that entries don't come together. */
-const RETRY_JITTER = 0.3;
-/** Each change wakes the watches of all entries, so they gather changes longer the more there are. */
-const GATHER_MS_PER_ENTRY = 20;
-/** Longest such pause, in heartbeat intervals: with a watch's wait, less than shows an outage. */
-const GATHER_INTERVALS = 0.5;
+const MAX_RETRY_MS = 500;
+/** Random fraction of each backoff, so that entries don't retry in step. */
+const RETRY_JITTER_RATIO = 0.3;
+/**
+ * Delay per entry for coalescing changes: each change wakes the watches of all entries, so the delay
+ * grows with their number.
+ */
+const COALESCE_MS_PER_ENTRY = 20;
+/**
+ * Longest coalescing delay, in heartbeat intervals: together with the wait of a watch it stays below
+ * the silence that counts as an outage.
+ */
+const MAX_COALESCE_INTERVALS = 0.5;
 
-/** What a {@link StoreFollower} works with. */
+/** Options of a {@link StoreFollower}. */
 export interface FollowerOptions {
   store: Pick<KeyValueStore, "list" | "watch">;
   mirror: StoreMirror;
-  /** Pause between writes of a server's registration. */
+  /** Interval at which servers write their registration. */
   heartbeatMs: number;
-  /** Pause after changes, so that those of the next moments come in one answer. */
+  /** Delay before the watch continues after changes, so that the next ones come in one answer. */
   gatherMs(): number;
   clock: Clock;
   log: Logger;
-  /** 0 to 1. */
+  /** Random number from 0 to 1. */
   random: () => number;
 }
 
-/** Follows the store until it is stopped. */
+/** Watches the store until it is stopped. */
 export class StoreFollower {
-  /** When the store answered, and what may have lapsed while it didn't. */
+  /** Tracks when the store answered, and the outages in which registrations may have lapsed. */
   readonly contact: StoreContact;
   readonly #options: FollowerOptions;
-  #retryMs = RETRY_MIN_MS;
+  #retryMs = MIN_RETRY_MS;
   #gatheredMs = 0;
   #needsList = true;
-  /** When the last call was sent; a watch calls again once it is answered. */
+  /** When the last call was sent; a watch sends its next call once one is answered. */
   #calledAtMs = -Infinity;
 
   private constructor(options: FollowerOptions) {
@@ -50,20 +57,22 @@
   }
 
   /**
-   * @param options Store, copy and helpers.
-   * @returns A follower that has not begun.
+   * @param options The store, its local replica, and the timing.
+   * @returns A follower that is not running yet.
    */
   static create(options: FollowerOptions): StoreFollower {
     return new StoreFollower(options);
   }
 
-  /** For how long what is heard now may have waited, because changes were gathered. */
+  /** Longest time that the changes received now may have been delayed by coalescing. */
   get gatheredMs(): number {
     return this.#gatheredMs;
   }
 
   /**
-   * @param signal Ends the work.
+   * Lists the store once, then watches it, and retries with backoff after failures.
+   *
+   * @param signal Stops the follower.
    */
   async run(signal: AbortSignal): Promise<void> {
     const { clock } = this.#options;
@@ -72,7 +81,7 @@
       const failure = this.#needsList ? await this.#list() : undefined;
       const ended = failure ?? await this.#watch(signal);
       if (signal.aborted) return;
-      await this.#recover(ended, signal);
+      await this.#backOff(ended, signal);
     }
   }
 
@@ -80,9 +89,9 @@
     const { store, mirror } = this.#options;
     const listing = await store.list("");
     if (listing.isErr) return listing.error;
-    this.#answered();
+    this.#onAnswer();
     mirror.replace(listing.value);
-    this.contact.caughtUp();
+    this.contact.markCaughtUp();
     this.#needsList = false;
     return undefined;
   }
@@ -95,15 +104,15 @@
       const step of store.watch("", mirror.revision + 1n, signal)
     ) {
       if (step.isErr) return step.error;
-      this.#answered();
-      mirror.follow(step.value);
+      this.#onAnswer();
+      mirror.applyStep(step.value);
       if (step.value.kind !== "progress") {
         hasChanged = true;
         continue;
       }
-      this.contact.caughtUp();
-      // The first answer of a watch costs the store little: it may fail at the next one again.
-      if (++answers > 1) this.#retryMs = RETRY_MIN_MS;
+      this.contact.markCaughtUp();
+      // The first answer of a watch does not show that the store recovered: the next call may fail.
+      if (++answers > 1) this.#retryMs = MIN_RETRY_MS;
       this.#gatheredMs = hasChanged ? gatherMs() : 0;
       if (hasChanged) await clock.sleep(this.#gatheredMs, signal);
       hasChanged = false;
@@ -111,7 +120,7 @@
     return undefined;
   }
 
-  async #recover(
+  async #backOff(
     failure: StoreFailure | undefined,
     signal: AbortSignal,
   ): Promise<void> {
@@ -120,23 +129,23 @@
       this.#options.log.info({ event: "store_history_gone" });
       return;
     }
-    if (failure) this.#lost(failure);
+    if (failure) this.#onFailure(failure);
     const { clock, random } = this.#options;
     const tookMs = clock.nowMs() - this.#calledAtMs;
-    const pauseMs = Math.max(RETRY_MIN_MS, this.#retryMs - tookMs);
+    const pauseMs = Math.max(MIN_RETRY_MS, this.#retryMs - tookMs);
     await clock.sleep(
-      pauseMs * (1 + RETRY_JITTER * (random() - 0.5)),
+      pauseMs * (1 + RETRY_JITTER_RATIO * (random() - 0.5)),
       signal,
     );
-    this.#retryMs = Math.min(RETRY_MAX_MS, this.#retryMs * 2);
+    this.#retryMs = Math.min(MAX_RETRY_MS, this.#retryMs * 2);
   }
 
-  #lost(failure: StoreFailure): void {
+  #onFailure(failure: StoreFailure): void {
     if (!this.contact.failed()) return;
     this.#options.log.warn({ event: "store_lost", failure: failure.kind });
   }
 
-  #answered(): void {
+  #onAnswer(): void {
     this.#calledAtMs = this.#options.clock.nowMs();
     const lostMs = this.contact.answered();
     if (lostMs === undefined) return;
@@ -148,11 +157,11 @@
 }
 
 /**
- * @param entryCount Entries that live.
- * @param heartbeatMs Pause between writes of a server's registration.
- * @returns How long an entry waits after changes before it watches again.
+ * @param entryCount Number of live entries.
+ * @param heartbeatMs Interval at which servers write their registration.
+ * @returns How long an entry waits after changes before it continues its watch.
  */
 export function gatherMs(entryCount: number, heartbeatMs: number): number {
-  const longestMs = heartbeatMs * GATHER_INTERVALS;
-  return Math.min(longestMs, entryCount * GATHER_MS_PER_ENTRY);
+  const longestMs = heartbeatMs * MAX_COALESCE_INTERVALS;
+  return Math.min(longestMs, entryCount * COALESCE_MS_PER_ENTRY);
 }
--- a/src/router/follower_test.ts
+++ b/src/router/follower_test.ts
@@ -14,13 +14,13 @@
 const HEARTBEAT_MS = 1200;
 const CALL_MS = 900;
 const WAIT_MS = 1300;
-/** Pause after changes. */
-const GATHER_MS = 120;
-/** The most that chance makes of a pause. */
-const WORST_CHANCE = 1.15;
+/** Coalescing delay after changes. */
+const COALESCE_MS = 120;
+/** Factor of the largest jitter on a backoff. */
+const MAX_JITTER_FACTOR = 1.15;
 const KEYS = ["a", "b", "c"];
 
-/** What becomes of one call to the store. */
+/** Outcome of one call to the store. */
 type Outcome =
   | { kind: "listed"; listing: Listing }
   | Watched
@@ -60,7 +60,7 @@
   return { key, value, modRevision: 1n, createRevision: 1n };
 }
 
-/** An answer of the watch, with keys that are gone. */
+/** Creates a watch answer in which keys are deleted. */
 function watched(revision: bigint, ...gone: string[]): Watched {
   const steps = gone.map((key): WatchStep => ({
     kind: "delete",
@@ -74,61 +74,61 @@
   };
 }
 
-/** What a follower did with the outcomes of its calls. */
-interface Followed {
-  /** Keys that were deleted, and whether they may have lapsed. */
+/** Observed behavior of a follower. */
+interface Observed {
+  /** Deleted keys, and whether each may have lapsed in an outage. */
   deletions: [string, boolean][];
-  /** For how long each of them may have been so. */
+  /** Longest time since each deletion was made. */
   agesMs: number[];
-  /** For how long each of them may have waited for the next call. */
+  /** Longest time that each deletion was delayed by coalescing. */
   gatheredMs: number[];
   events: unknown[];
   pausesMs: number[];
 }
 
-/** Runs a follower over calls with these outcomes; the first one is that of its list. */
-async function follow(outcomes: Outcome[]): Promise<Followed> {
+/** Runs a follower over calls with these outcomes; the first call is its listing. */
+async function runFollower(outcomes: Outcome[]): Promise<Observed> {
   const clock = new TestClock();
   const stop = new AbortController();
   const script = new ScriptedStore(outcomes, clock, stop);
   const { log, lines } = recordedLog();
   const mirror = StoreMirror.create(clock);
-  const followed: Followed = {
+  const observed: Observed = {
     deletions: [],
     agesMs: [],
     gatheredMs: [],
     events: [],
     pausesMs: [],
   };
-  const pausing = Object.assign(clock, {
+  const skippingClock = Object.assign(clock, {
     sleep: (ms: number) => {
       clock.advance(ms);
-      followed.pausesMs.push(ms);
+      observed.pausesMs.push(ms);
       return Promise.resolve();
     },
   });
   const follower = StoreFollower.create({
     store: script,
     mirror,
-    clock: pausing,
+    clock: skippingClock,
     log,
     random: () => 1,
     heartbeatMs: HEARTBEAT_MS,
-    gatherMs: () => GATHER_MS,
+    gatherMs: () => COALESCE_MS,
   });
   mirror.onChange((change) => {
     if (change.kind !== "delete") return;
     const mayHaveLapsed = follower.contact.outage !== undefined;
-    followed.deletions.push([change.key, mayHaveLapsed]);
-    followed.agesMs.push(follower.contact.maxAgeMs);
-    followed.gatheredMs.push(follower.gatheredMs);
+    observed.deletions.push([change.key, mayHaveLapsed]);
+    observed.agesMs.push(follower.contact.maxAgeMs);
+    observed.gatheredMs.push(follower.gatheredMs);
   });
   await follower.run(stop.signal);
-  followed.events = lines.map(({ event }) => event);
-  return followed;
+  observed.events = lines.map(({ event }) => event);
+  return observed;
 }
 
-/** A store whose calls end as a test says; behind the last one the follower is stopped. */
+/** A store with scripted call outcomes; after the last one it stops the follower. */
 class ScriptedStore {
   readonly #outcomes: Outcome[];
   readonly #clock: TestClock;
@@ -154,7 +154,7 @@
       assert.ok(outcome.kind !== "listed");
       if (outcome.kind === "failed") return yield this.#fail(outcome);
       for (const step of outcome.steps) yield Result.ok(step);
-      // Nothing happens for the longest time that a watch waits.
+      // No change arrives until the watch's wait is over.
       this.#clock.advance(outcome.waitMs);
     }
   }
@@ -172,8 +172,8 @@
   }
 }
 
-test("what is gone after a long outage may have lapsed, later deletions not", async () => {
-  const { deletions, events } = await follow([
+test("deletions right after a long outage may be lapses, later ones are not", async () => {
+  const { deletions, events } = await runFollower([
     listed(KEYS, 1n),
     watched(1n),
     SILENT,
@@ -186,8 +186,8 @@
   assert.deepEqual(events, ["store_lost", "store_regained"]);
 });
 
-test("events of one outage may come in several answers", async () => {
-  const { deletions } = await follow([
+test("lapses of one outage may arrive in several answers", async () => {
+  const { deletions } = await runFollower([
     listed(KEYS, 1n),
     SILENT,
     SILENT,
@@ -198,8 +198,8 @@
   assert.deepEqual(deletions, [["a", true]]);
 });
 
-test("what is gone after a connection was lost has not lapsed", async () => {
-  const { deletions, events } = await follow([
+test("deletions after a short connection loss are not lapses", async () => {
+  const { deletions, events } = await runFollower([
     listed(KEYS, 1n),
     watched(1n),
     watched(1n),
@@ -211,8 +211,8 @@
   assert.deepEqual(events, ["store_lost", "store_regained"]);
 });
 
-test("keys that a list lacks after an outage may have lapsed", async () => {
-  const { deletions } = await follow([
+test("keys missing from a listing after an outage may have lapsed", async () => {
+  const { deletions } = await runFollower([
     listed(KEYS, 1n),
     SILENT,
     SILENT,
@@ -226,13 +226,13 @@
   assert.deepEqual(deletions, [["a", true], ["b", false]]);
 });
 
-test("list that is answered ends an outage", async () => {
-  const { events } = await follow([SILENT, SILENT, listed(KEYS, 1n)]);
+test("answered listing ends an outage", async () => {
+  const { events } = await runFollower([SILENT, SILENT, listed(KEYS, 1n)]);
   assert.deepEqual(events, ["store_lost", "store_regained"]);
 });
 
-test("second outage is taken for itself", async () => {
-  const { deletions } = await follow([
+test("each outage is judged by its own length", async () => {
+  const { deletions } = await runFollower([
     listed(KEYS, 1n),
     SILENT,
     SILENT,
@@ -250,13 +250,13 @@
   assert.deepEqual(deletions, [["a", true], ["b", false], ["c", true]]);
 });
 
-test("pauses grow to their bound while the store refuses calls", async () => {
-  const { pausesMs } = await follow([
+test("backoff grows to its limit while the store refuses calls", async () => {
+  const { pausesMs } = await runFollower([
     listed(KEYS, 1n),
     ...repeat([REFUSED], 9),
   ]);
   assert.deepEqual(
-    pausesMs.slice(0, 5).map((ms) => Math.round(ms / WORST_CHANCE)),
+    pausesMs.slice(0, 5).map((ms) => Math.round(ms / MAX_JITTER_FACTOR)),
     [
       100,
       200,
@@ -267,37 +267,40 @@
   );
 });
 
-test("call to a silent store was pause enough", async () => {
-  const { pausesMs } = await follow([listed(KEYS, 1n), ...repeat([SILENT], 9)]);
+test("call that timed out is followed by the shortest backoff", async () => {
+  const { pausesMs } = await runFollower([
+    listed(KEYS, 1n),
+    ...repeat([SILENT], 9),
+  ]);
   assert.equal(pausesMs.length, 9);
-  assert.ok(pausesMs.every((ms) => ms === 100 * WORST_CHANCE));
+  assert.ok(pausesMs.every((ms) => ms === 100 * MAX_JITTER_FACTOR));
 });
 
-test("pauses grow while the store answers only the first call of a watch", async () => {
-  const { pausesMs } = await follow([
+test("backoff grows while the store answers only the first call of each watch", async () => {
+  const { pausesMs } = await runFollower([
     listed(KEYS, 1n),
     ...repeat([{ ...watched(1n), waitMs: 0 }, REFUSED], 9),
   ]);
-  assert.equal(pausesMs.at(-1), 500 * WORST_CHANCE);
+  assert.equal(pausesMs.at(-1), 500 * MAX_JITTER_FACTOR);
 });
 
-test("pauses begin anew once the store answers again", async () => {
-  const { pausesMs } = await follow([
+test("backoff is reset once the store answers again", async () => {
+  const { pausesMs } = await runFollower([
     listed(KEYS, 1n),
     ...repeat([REFUSED], 9),
     watched(1n),
     { ...watched(1n), waitMs: 0 },
     REFUSED,
   ]);
-  assert.equal(pausesMs.at(-1), 100 * WORST_CHANCE);
+  assert.equal(pausesMs.at(-1), 100 * MAX_JITTER_FACTOR);
 });
 
 function repeat(outcomes: Outcome[], count: number): Outcome[] {
   return Array.from({ length: count }, () => outcomes).flat();
 }
 
-test("what comes first after an outage may be old, what comes later is not", async () => {
-  const { agesMs } = await follow([
+test("first changes after an outage may be old, later ones are not", async () => {
+  const { agesMs } = await runFollower([
     listed(KEYS, 1n),
     watched(1n),
     SILENT,
@@ -310,33 +313,34 @@
   assert.equal(agesMs[1], 0);
 });
 
-test("watch is asked anew a moment after changes, and at once without any", async () => {
-  // Each change woke the watch of all entries: 31 of them called 100 times a second for 45 servers.
-  const { pausesMs } = await follow([
+test("watch continues after a delay if there were changes, else at once", async () => {
+  // Each change wakes the watches of all entries: without the delay, 31 entries with 45 servers made
+  // 100 calls per second.
+  const { pausesMs } = await runFollower([
     listed(KEYS, 1n),
     watched(2n, "a"),
     watched(2n),
     watched(3n, "b"),
   ]);
-  assert.deepEqual(pausesMs, [GATHER_MS, GATHER_MS]);
+  assert.deepEqual(pausesMs, [COALESCE_MS, COALESCE_MS]);
 });
 
-test("calls of all watches grow less than the number of entries", () => {
+test("coalescing delay limits the watch calls of all entries together", () => {
   const callsPerS = (entryCount: number) =>
     entryCount * 1000 / gatherMs(entryCount, HEARTBEAT_MS);
   assert.ok(callsPerS(30) <= callsPerS(6));
-  // Changes are known, and a silent store is noticed, before a registration lapses.
+  // Changes arrive, and an unresponsive store is detected, before a registration lapses.
   const longestMs = gatherMs(360, HEARTBEAT_MS) + 1.3 * HEARTBEAT_MS;
   assert.ok(longestMs < 2 * HEARTBEAT_MS);
 });
 
-test("change behind a pause may have waited, one that ends a watch's wait has not", async () => {
-  const { gatheredMs } = await follow([
+test("change after a coalescing delay may have waited, change during a watch's wait has not", async () => {
+  const { gatheredMs } = await runFollower([
     listed(KEYS, 1n),
     watched(2n, "a"),
     watched(3n, "b"),
     watched(3n),
     watched(4n, "c"),
   ]);
-  assert.deepEqual(gatheredMs, [0, GATHER_MS, 0]);
+  assert.deepEqual(gatheredMs, [0, COALESCE_MS, 0]);
 });
--- a/src/router/fuzz_test.ts
+++ b/src/router/fuzz_test.ts
@@ -13,19 +13,19 @@
 } from "../standin/mod.ts";
 import { openWorld, until, type World } from "./_world.ts";
 
-/** Seeds that are always run; `FUZZ_SEEDS=a,b` runs others. */
+/** Seeds of the runs without restarts; `FUZZ_SEEDS=a,b` replaces them. */
 const SEEDS = (process.env["FUZZ_SEEDS"] ?? "1,2,3,4").split(",").map(Number);
-/** Seeds of the runs in which servers start again, too. */
+/** Seeds of the runs in which servers also restart; `FUZZ_RESTART_SEEDS=a,b` replaces them. */
 const RESTART_SEEDS = (process.env["FUZZ_RESTART_SEEDS"] ?? "1,2").split(",")
   .map(Number);
-/** Steps of these runs that start a server again. */
+/** Fraction of the steps that restart a server, in runs with restarts. */
 const RESTART_SHARE = 0.08;
-/** Restarts that the store doesn't hear of before the end. */
+/** Fraction of the restarts that are not registered in the store before the run's end. */
 const UNREGISTERED_SHARE = 0.3;
 const STEPS = 60;
 const EVENTS = 12;
 const STEP_MS = 15;
-/** Statuses that promise that a request did not run. */
+/** Statuses which guarantee that the request did not run. */
 const NOT_RUN = new Set([408, 421, 429, 503]);
 
 const PATHS = ["/stream/", "/once/", "/book/", "/look/"] as const;
@@ -45,13 +45,13 @@
   answer: Promise<Asked | undefined>;
 }
 
-/** A world and its servers. */
-interface Place {
+/** A world and its backend servers. */
+interface Setup {
   world: World;
   workers: StandinPlatformWorker[];
 }
 
-/** One world under a series of random steps. */
+/** Applies random steps to a world: requests, faults, new weights and configurations, lost links. */
 class Fuzz {
   readonly #world: World;
   readonly #workers: StandinPlatformWorker[];
@@ -63,7 +63,7 @@
   readonly #restarts: boolean;
 
   constructor(
-    { world, workers }: Place,
+    { world, workers }: Setup,
     { random, restarts }: { random: () => number; restarts: boolean },
   ) {
     this.#world = world;
@@ -72,7 +72,7 @@
     this.#restarts = restarts;
   }
 
-  /** Version of the weights that was named last. */
+  /** Latest wanted version of the weights. */
   get weightsVersion(): number {
     return this.#weightsVersion;
   }
@@ -84,7 +84,7 @@
     }
     const roll = this.#random();
     if (roll < 0.7) return this.#send();
-    if (roll < 0.85) return this.#spoil();
+    if (roll < 0.85) return this.#injectFault();
     if (roll < 0.9) {
       const version = ++this.#weightsVersion;
       return await store.put("op/version/m", { model: "m", version });
@@ -98,8 +98,8 @@
     else link.up();
   }
 
-  /** Faults that are still to come, and links that are down, would keep requests waiting. */
-  async heal(): Promise<void> {
+  /** Clears pending faults, restores links and registers all servers, so that no request must wait. */
+  async clearFaults(): Promise<void> {
     for (const { link } of this.#world.entries) link.up();
     for (const { faults } of this.#workers) {
       for (const fault of FAULTS) faults[fault] = 0;
@@ -133,7 +133,7 @@
     this.sent.push({ id, path, answer });
   }
 
-  #spoil(): void {
+  #injectFault(): void {
     const { faults } = this.#pick(this.#workers);
     if (this.#random() < 0.3) {
       faults.cutAfterEvents = Math.floor(this.#random() * EVENTS);
@@ -147,7 +147,7 @@
   }
 }
 
-/** Checks one answer against what the servers ran. */
+/** Checks one answer against the runs that the servers recorded. */
 function checkAnswer(
   { id, path }: Sent,
   asked: Asked | undefined,
@@ -156,12 +156,12 @@
   const runs = workers.flatMap(({ runs }) => runs).filter((run) =>
     run.headers["attempt-id"] === id
   );
-  // A run that goes on from a copy of its memory is the same one.
+  // A run that continues from a copied cache is part of the same run.
   const own = runs.filter(({ headers }) => headers["kv-from"] === undefined);
   if (path === "/book/" || path === "/once/") {
     assert.ok(own.length <= 1, `${id} ran ${own.length} times`);
   }
-  // Two servers each, and the second only after the first.
+  // At most two servers run a request, one after the other.
   assert.ok(own.length <= 2, `${id} ran ${own.length} times`);
   assert.ok(asked, `${id} got no answer`);
   if (NOT_RUN.has(asked.status)) {
@@ -179,7 +179,7 @@
   else assert.ok(streamOf(EVENTS).startsWith(asked.body));
 }
 
-/** Numbers never fall at one server, and each belongs to one holder. */
+/** Checks that fencing tokens never decrease at a server, and that each has a single holder. */
 function checkOrders(workers: StandinPlatformWorker[]): void {
   const holders = new Map<number, string>();
   for (const { orders } of workers) {
@@ -193,7 +193,7 @@
   }
 }
 
-async function openPlace(t: TestContext): Promise<Place> {
+async function openSetup(t: TestContext): Promise<Setup> {
   const world = await openWorld(t, { entryCount: 3, orderTurnMs: 50 });
   const engine = { model: "m", events: EVENTS, eventMs: 5 };
   const workers = [
@@ -206,8 +206,8 @@
   return { world, workers };
 }
 
-/** Takes random steps, and checks what became of the requests and orders. */
-async function play(fuzz: Fuzz, { world, workers }: Place): Promise<void> {
+/** Runs random steps, and checks the answers to the requests, and the orders. */
+async function runSteps(fuzz: Fuzz, { world, workers }: Setup): Promise<void> {
   for (let i = 0; i < STEPS; i++) {
     await fuzz.step();
     await sleep(STEP_MS);
@@ -215,29 +215,29 @@
   for (const sent of fuzz.sent) {
     checkAnswer(sent, await sent.answer, workers);
   }
-  await fuzz.heal();
+  await fuzz.clearFaults();
   checkOrders(workers);
-  // What was spoilt is served again.
+  // After the faults are cleared, every entry serves again.
   for (const entry of world.entries) {
     await until(async () => (await ask(entry, "/look/end")).status === 200);
   }
 }
 
 for (const seed of SEEDS) {
-  test(`random steps keep the promises, seed ${seed}`, async (t) => {
-    const place = await openPlace(t);
+  test(`random steps violate no guarantee, seed ${seed}`, async (t) => {
+    const setup = await openSetup(t);
     const random = seededRandom(seed);
-    await play(new Fuzz(place, { random, restarts: false }), place);
+    await runSteps(new Fuzz(setup, { random, restarts: false }), setup);
   });
 }
 
 for (const seed of RESTART_SEEDS) {
-  test(`restarts of servers keep the promises, seed ${seed}`, async (t) => {
-    const place = await openPlace(t);
+  test(`restarts of servers violate no guarantee, seed ${seed}`, async (t) => {
+    const setup = await openSetup(t);
     const random = seededRandom(seed);
-    const fuzz = new Fuzz(place, { random, restarts: true });
-    await play(fuzz, place);
-    const engines = place.workers.filter(({ model }) => model);
+    const fuzz = new Fuzz(setup, { random, restarts: true });
+    await runSteps(fuzz, setup);
+    const engines = setup.workers.filter(({ model }) => model);
     await until(() =>
       engines.every(({ version }) => version === fuzz.weightsVersion)
     );
--- a/src/router/in_force.ts
+++ b/src/router/in_force.ts
@@ -1,4 +1,4 @@
-/** What the platform's store says, in force: configuration, servers, weights and the prompt stores. */
+/** Applies changes of the platform's store: configuration, servers, wanted weights, prompt stores. */
 import type { Logger } from "../base/mod.ts";
 import {
   decodeFact,
@@ -21,73 +21,73 @@
 import type { ServerLimits } from "./server.ts";
 import type { NamedAge, WantedVersions } from "./wanted_weights.ts";
 
-/** Part of an engine's memory that is expected to hold cached prompts. */
-const CACHE_SHARE = 0.8;
+/** Fraction of a configured cache capacity that is expected to hold cached prompts. */
+const USABLE_CACHE_RATIO = 0.8;
 
-/** What an {@link InForce} works with. */
+/** Options of {@link InForce}. */
 export interface InForceOptions {
   log: Logger;
   fleet: Fleet;
   wanted: WantedVersions;
-  /** For how long what the store says now may have been so; 0: it has just changed. */
+  /** Longest time since the changes received now were made, from lost contact or a stall; 0: none. */
   maxAgeMs(): number;
-  /** For how long what is heard now may have waited before the store was asked again. */
+  /** Longest time that the changes received now may have been delayed by coalescing. */
   gatheredMs(): number;
-  /** Ages of named weights, as the store's record has them, for those whose naming was not heard. */
+  /** Ages of wanted weights from the store's record, for versions named while this entry was away. */
   recordedAges(): NamedAge[];
-  /** The store's record of suspected requests is new. */
+  /** Called when the store's record of suspected requests has changed. */
   onSuspects(): void;
-  /** A newer configuration is in force. */
+  /** Called when a newer configuration was applied. */
   onConfig(config: RoutingConfig): void;
 }
 
-/** What is in force. */
+/** Current state by the store: routing table and prompt stores; servers and weights go to their owners. */
 export class InForce {
   readonly #options: InForceOptions;
   #table: RoutingTable | undefined;
-  /** By address. */
+  /** Prompt stores by address. */
   #promptStores = new Map<string, PromptStore>();
-  /** Keys whose value is malformed, so that each is logged once. */
-  readonly #malformed = new Set<string>();
+  /** Keys with a malformed value, so that each is logged once. */
+  readonly #malformedKeys = new Set<string>();
 
   private constructor(options: InForceOptions) {
     this.#options = options;
   }
 
   /**
-   * @param options Where servers and weights are kept.
-   * @returns Nothing is in force yet.
+   * @param options The fleet, the wanted weights, and callbacks.
+   * @returns State without a configuration.
    */
   static create(options: InForceOptions): InForce {
     return new InForce(options);
   }
 
-  /** The configuration, once one is known. */
+  /** Routing table of the current configuration; undefined until there is one. */
   get table(): RoutingTable | undefined {
     return this.#table;
   }
 
-  /** Where prompts are kept beside the engines' own caches. */
+  /** Stores that keep prompts outside the engines' own caches. */
   get promptStores(): PromptStore[] {
     return [...this.#promptStores.values()];
   }
 
-  /** @param change A change of the store; what is older than what is in force is ignored. */
+  /** @param change A change of the store; a configuration that is not newer is ignored. */
   take(change: MirrorChange): void {
-    if (change.kind === "delete") return this.#remove(change.key);
+    if (change.kind === "delete") return this.#applyRemoval(change.key);
     const { key, value } = change.entry;
     const fact = decodeFact(key, value);
-    if (fact.isErr) return this.#refuse(fact.error);
-    this.#malformed.delete(key);
+    if (fact.isErr) return this.#onMalformed(fact.error);
+    this.#malformedKeys.delete(key);
     switch (fact.value.kind) {
       case "config":
-        return this.#useConfig(fact.value.config);
+        return this.#applyConfig(fact.value.config);
       case "server":
         return this.#options.fleet.put(fact.value.server);
       case "weights":
-        return this.#want(fact.value.wanted);
+        return this.#applyWanted(fact.value.wanted);
       case "other":
-        if (key === NAMED_RECORD_KEY) this.#recallAges();
+        if (key === NAMED_RECORD_KEY) this.#restoreAges();
         if (key === SUSPECT_RECORD_KEY) this.#options.onSuspects();
         return;
     }
@@ -95,15 +95,15 @@
 
   /**
    * @param id Id of a server, or address of a prompt store.
-   * @param bornAtMs The start of the server that is meant; left out: any.
-   * @returns What is expected in its cache.
+   * @param bornAtMs Start time of the server process; if left out, any process.
+   * @returns The expected content of its cache.
    */
   cacheOf(id: string, bornAtMs?: number): CacheBook | undefined {
     const store = this.#promptStores.get(id);
     return store?.cache ?? this.#options.fleet.get(id, bornAtMs)?.cache;
   }
 
-  /** Caches of all servers and prompt stores. */
+  /** Expected caches of all servers and prompt stores. */
   *books(): Generator<OwnedBook> {
     for (const { entry, cache } of this.#options.fleet.all()) {
       yield { id: entry.id, bornAtMs: entry.bornAtMs, cache };
@@ -124,28 +124,28 @@
 
   /**
    * @param service Name of a service.
-   * @returns What each of its servers takes.
+   * @returns Limits of each of its servers.
    */
   limitsOf(service: string): ServerLimits {
     const known = this.#table?.findService(service);
     return {
-      cacheTokens: (known?.engine?.cacheTokens ?? 0) * CACHE_SHARE,
+      cacheTokens: (known?.engine?.cacheTokens ?? 0) * USABLE_CACHE_RATIO,
       connectionLimit: known?.connectionLimit ?? Infinity,
       copyMsPerToken: copyMsPerToken(known?.engine ?? {}),
     };
   }
 
-  #remove(key: string): void {
-    this.#malformed.delete(key);
+  #applyRemoval(key: string): void {
+    this.#malformedKeys.delete(key);
     const removed = decodeRemoval(key);
     if (removed.kind === "server") this.#options.fleet.remove(removed.serverId);
   }
 
-  /** A registration that can't be read names no server to use; of other values the older holds. */
-  #refuse(malformed: MalformedValue): void {
+  /** Drops a server whose registration is malformed; other malformed values leave the old in effect. */
+  #onMalformed(malformed: MalformedValue): void {
     const { key } = malformed;
-    if (!this.#malformed.has(key)) {
-      this.#malformed.add(key);
+    if (!this.#malformedKeys.has(key)) {
+      this.#malformedKeys.add(key);
       this.#options.log.error({ event: "store_malformed", ...malformed });
     }
     const named = decodeRemoval(key);
@@ -153,13 +153,13 @@
     this.#options.fleet.drop(named.serverId, "registration_malformed");
   }
 
-  #useConfig(config: RoutingConfig): void {
+  #applyConfig(config: RoutingConfig): void {
     if (this.#table && config.version <= this.#table.version) return;
     const before = this.#table?.version;
     this.#table = RoutingTable.create(config);
     this.#options.fleet.applyLimits();
     this.#options.onConfig(config);
-    this.#usePromptStores(config.services);
+    this.#applyPromptStores(config.services);
     this.#options.log.info({
       event: "config_in_force",
       version: config.version,
@@ -168,22 +168,22 @@
     });
   }
 
-  #want(wanted: WantedWeights): void {
+  #applyWanted(wanted: WantedWeights): void {
     const maxAgeMs = this.#options.maxAgeMs();
     const gatheredMs = this.#options.gatheredMs();
     if (!this.#options.wanted.name(wanted, { maxAgeMs, gatheredMs })) return;
     const isFound = maxAgeMs > 0;
-    if (isFound) this.#recallAges();
+    if (isFound) this.#restoreAges();
     this.#options.log.info({ event: "weights_wanted", ...wanted, isFound });
   }
 
-  #recallAges(): void {
+  #restoreAges(): void {
     const { wanted, recordedAges } = this.#options;
     for (const age of recordedAges()) wanted.recall(age);
   }
 
-  /** What a store holds outlives changes of the configuration. */
-  #usePromptStores(services: Service[]): void {
+  /** Rebuilds the list of prompt stores; expected caches survive a change of the configuration. */
+  #applyPromptStores(services: Service[]): void {
     const tokenBytes = services.find(({ engine }) => engine)?.engine
       ?.tokenBytes;
     const before = this.#promptStores;
@@ -191,7 +191,7 @@
     for (const { cacheStore } of services) {
       if (!cacheStore) continue;
       const { address, zone, cacheTokens, linkMbps } = cacheStore;
-      const capacityTokens = cacheTokens * CACHE_SHARE;
+      const capacityTokens = cacheTokens * USABLE_CACHE_RATIO;
       const cache = before.get(address)?.cache ??
         CacheBook.create(capacityTokens);
       cache.resize(capacityTokens);
--- a/src/router/in_force_test.ts
+++ b/src/router/in_force_test.ts
@@ -18,8 +18,8 @@
   state: "ready",
 };
 
-/** What is in force, fed with values as the store holds them. */
-class Rig {
+/** An {@link InForce} with its dependencies, fed with raw values of the store. */
+class Harness {
   readonly lines: LogLine[];
   readonly fleet: Fleet;
   readonly wanted: WantedVersions;
@@ -73,7 +73,7 @@
     this.inForce.take({ kind: "delete", key, revision: ++this.#revision });
   }
 
-  /** Ids of the servers that take plain calls. */
+  /** Ids of the servers that accept plain calls. */
   open(): string[] {
     return this.fleet.open("plain").map(({ id }) => id);
   }
@@ -83,48 +83,48 @@
   }
 }
 
-test("server whose registration becomes malformed gets nothing until it is proper", () => {
-  const rig = new Rig();
-  rig.put("servers/a", REGISTRATION);
-  rig.put("servers/b", REGISTRATION);
-  rig.put("servers/a", { ...REGISTRATION, state: "asleep" });
-  assert.deepEqual(rig.open(), ["b"]);
-  rig.put("servers/a", REGISTRATION);
-  assert.deepEqual(rig.open().sort(), ["a", "b"]);
-  rig.putBytes("servers/a", Buffer.from([0xff, 0xfe, 0]));
-  assert.deepEqual(rig.open(), ["b"]);
+test("server with a malformed registration is not used until it is valid again", () => {
+  const harness = new Harness();
+  harness.put("servers/a", REGISTRATION);
+  harness.put("servers/b", REGISTRATION);
+  harness.put("servers/a", { ...REGISTRATION, state: "asleep" });
+  assert.deepEqual(harness.open(), ["b"]);
+  harness.put("servers/a", REGISTRATION);
+  assert.deepEqual(harness.open().sort(), ["a", "b"]);
+  harness.putBytes("servers/a", Buffer.from([0xff, 0xfe, 0]));
+  assert.deepEqual(harness.open(), ["b"]);
 });
 
-test("malformed value is logged once while it stays malformed", () => {
-  const rig = new Rig();
-  for (let i = 0; i < 3; i++) rig.put("servers/a", { sequence: i });
-  assert.equal(rig.count("store_malformed"), 1);
-  rig.put("servers/a", REGISTRATION);
-  rig.put("servers/a", {});
-  assert.equal(rig.count("store_malformed"), 2);
-  rig.delete("servers/a");
-  rig.put("servers/a", {});
-  assert.equal(rig.count("store_malformed"), 3);
+test("malformed value is logged once until it is valid or deleted", () => {
+  const harness = new Harness();
+  for (let i = 0; i < 3; i++) harness.put("servers/a", { sequence: i });
+  assert.equal(harness.count("store_malformed"), 1);
+  harness.put("servers/a", REGISTRATION);
+  harness.put("servers/a", {});
+  assert.equal(harness.count("store_malformed"), 2);
+  harness.delete("servers/a");
+  harness.put("servers/a", {});
+  assert.equal(harness.count("store_malformed"), 3);
 });
 
-test("malformed configuration or weights keep the older in force", () => {
-  const rig = new Rig();
-  rig.put("op/config", CONFIG);
-  rig.put("op/version/m", { model: "m", version: 2 });
-  rig.put("op/config", { ...CONFIG, version: 2, routes: [{}] });
-  rig.put("op/config", { ...CONFIG, version: "3" });
-  rig.put("op/config", {
+test("malformed configuration or weights leave the previous ones in effect", () => {
+  const harness = new Harness();
+  harness.put("op/config", CONFIG);
+  harness.put("op/version/m", { model: "m", version: 2 });
+  harness.put("op/config", { ...CONFIG, version: 2, routes: [{}] });
+  harness.put("op/config", { ...CONFIG, version: "3" });
+  harness.put("op/config", {
     ...CONFIG,
     version: 4,
     limits: { ...CONFIG.limits, header_timeout_ms: -1 },
   });
-  rig.put("op/version/m", { model: "m", version: 2.5 });
-  rig.put("op/version/m", { model: 1, version: 3 });
-  assert.equal(rig.inForce.table?.version, 1);
-  assert.equal(rig.wanted.newest("m"), 2);
+  harness.put("op/version/m", { model: "m", version: 2.5 });
+  harness.put("op/version/m", { model: 1, version: 3 });
+  assert.equal(harness.inForce.table?.version, 1);
+  assert.equal(harness.wanted.newest("m"), 2);
 });
 
-test("whatever else is written, proper servers stay and nothing throws", () => {
+test("random values keep valid servers and throw nothing", () => {
   const key = fc.oneof(
     fc.constantFrom("op/config", "op/version/m", "servers/x", "servers/"),
     fc.string({ unit: "binary" }).map((id) => `servers/x${id}`),
@@ -141,53 +141,54 @@
   );
   fc.assert(
     fc.property(fc.array(fc.tuple(key, value)), (writes) => {
-      const rig = new Rig();
-      rig.put("servers/a", REGISTRATION);
-      for (const [key, value] of writes) rig.putBytes(key, value);
-      assert.ok(rig.fleet.get("a"));
-      rig.fleet.close();
+      const harness = new Harness();
+      harness.put("servers/a", REGISTRATION);
+      for (const [key, value] of writes) harness.putBytes(key, value);
+      assert.ok(harness.fleet.get("a"));
+      harness.fleet.close();
     }),
     { seed: SEED, numRuns: 300 },
   );
 });
 
-test("versions that are found at a start have the ages of the record", () => {
-  // All entries lost power 1.1 s after a naming: engines on the weights before counted as too old
-  // for any request, and the few with the new ones got all of them.
+test("versions found at startup get their ages from the record", () => {
+  // Guards against assuming the highest age after a restart: when all entries lost power 1.1 s after a
+  // version was named, engines on the previous weights counted as too old for any request, and the few
+  // with the new weights got all of them.
   for (const recordFirst of [true, false]) {
-    const rig = new Rig();
-    rig.maxAgeMs = Infinity;
-    const name = () => rig.put("op/version/m", { model: "m", version: 3 });
+    const harness = new Harness();
+    harness.maxAgeMs = Infinity;
+    const name = () => harness.put("op/version/m", { model: "m", version: 3 });
     const recall = () => {
-      rig.recordedAges = [
+      harness.recordedAges = [
         { model: "m", version: 2, ageMs: 9000 },
         { model: "m", version: 3, ageMs: 3600 },
       ];
-      rig.put(NAMED_RECORD_KEY, {});
+      harness.put(NAMED_RECORD_KEY, {});
     };
     if (recordFirst) recall();
     name();
     if (!recordFirst) recall();
-    assert.equal(rig.wanted.replacedForMs("m", 2), 3600);
-    assert.equal(rig.wanted.replacedForMs("m", 1), 9000);
+    assert.equal(harness.wanted.replacedForMs("m", 2), 3600);
+    assert.equal(harness.wanted.replacedForMs("m", 1), 9000);
   }
 });
 
-test("without a record what is found at a start counts as old", () => {
-  const rig = new Rig();
-  rig.maxAgeMs = Infinity;
-  rig.put("op/version/m", { model: "m", version: 3 });
-  assert.equal(rig.wanted.replacedForMs("m", 2), 7000);
+test("versions found at startup without a record count as old", () => {
+  const harness = new Harness();
+  harness.maxAgeMs = Infinity;
+  harness.put("op/version/m", { model: "m", version: 3 });
+  assert.equal(harness.wanted.replacedForMs("m", 2), 7000);
 });
 
-test("weights that were named while changes were gathered are as old as the pause", () => {
-  // All entries pause together after a change: each would take a naming in that time for new, and
-  // begin answers on replaced weights for as much longer than their bound.
-  const rig = new Rig();
-  rig.gatheredMs = 600;
-  rig.put("op/version/m", { model: "m", version: 2 });
-  assert.equal(rig.wanted.replacedForMs("m", 1), 600);
-  assert.deepEqual(rig.wanted.ages(), [
+test("weights named during a coalescing delay are as old as the delay", () => {
+  // All entries delay their watches together after a change. If each took a version named meanwhile as
+  // new, answers would start on replaced weights for that much longer than allowed.
+  const harness = new Harness();
+  harness.gatheredMs = 600;
+  harness.put("op/version/m", { model: "m", version: 2 });
+  assert.equal(harness.wanted.replacedForMs("m", 1), 600);
+  assert.deepEqual(harness.wanted.ages(), [
     { model: "m", version: 2, ageMs: 600 },
   ]);
 });
--- a/src/router/leaving_news.ts
+++ b/src/router/leaving_news.ts
@@ -1,50 +1,53 @@
-/** Tells other entries which backend servers have said in their answers that they leave. */
+/** Tells other entries which backend servers announced in their answers that they are leaving. */
 import type { Clock } from "../base/mod.ts";
 import type { Fleet } from "./fleet.ts";
-import type { Start } from "./peer_datagram.ts";
+import type { StartMs } from "./peer_datagram.ts";
 import type { Server } from "./server.ts";
 
-/** Servers in one datagram; the others come in the next ones. */
-const MAX_TOLD = 24;
+/** Servers per datagram; further ones go in the next datagrams. */
+const MAX_ROWS_PER_DATAGRAM = 24;
 
-/** A server's id and start, and how long ago it said so in ms. */
-export type LeavingRow = [string, Start, number];
+/** A leaving server: id, start time, and ms since its announcement. */
+export type LeavingRow = [string, StartMs, number];
 
-/** What a {@link LeavingNews} works with. */
-export interface LeavingNewsOptions {
+/** Options of {@link LeavingAnnouncements}. */
+export interface LeavingAnnouncementsOptions {
   clock: Clock;
   fleet: Fleet;
 }
 
-/** Servers that leave; told until the store says so too, as entries may have started since. */
-export class LeavingNews {
-  readonly #options: LeavingNewsOptions;
-  #next = 0;
+/**
+ * Announcements of leaving servers. Each is repeated until the store marks the server as draining,
+ * because entries may have started since the first announcement.
+ */
+export class LeavingAnnouncements {
+  readonly #options: LeavingAnnouncementsOptions;
+  #nextIndex = 0;
 
-  private constructor(options: LeavingNewsOptions) {
+  private constructor(options: LeavingAnnouncementsOptions) {
     this.#options = options;
   }
 
   /**
-   * @param options The servers.
-   * @returns Nothing was told yet.
+   * @param options The clock and the servers.
+   * @returns Announcements of which none was sent yet.
    */
-  static create(options: LeavingNewsOptions): LeavingNews {
-    return new LeavingNews(options);
+  static create(options: LeavingAnnouncementsOptions): LeavingAnnouncements {
+    return new LeavingAnnouncements(options);
   }
 
-  /** Ids of the servers that are told of. */
+  /** Ids of the servers that are announced. */
   get ids(): string[] {
-    return this.#servers().map(({ id }) => id);
+    return this.#leavingServers().map(({ id }) => id);
   }
 
-  /** @returns What to tell now. */
-  take(): LeavingRow[] {
+  /** @returns The rows for the next datagram. */
+  nextRows(): LeavingRow[] {
     const nowMs = this.#options.clock.nowMs();
-    const servers = this.#servers();
-    const from = this.#next < servers.length ? this.#next : 0;
-    this.#next = from + MAX_TOLD;
-    return servers.slice(from, from + MAX_TOLD).map(
+    const servers = this.#leavingServers();
+    const from = this.#nextIndex < servers.length ? this.#nextIndex : 0;
+    this.#nextIndex = from + MAX_ROWS_PER_DATAGRAM;
+    return servers.slice(from, from + MAX_ROWS_PER_DATAGRAM).map(
       ({ entry, announced }): LeavingRow => {
         const { id, bornAtMs = 0 } = entry;
         return [id, bornAtMs, Math.round(announced.leavingSaidMs(nowMs) ?? 0)];
@@ -52,8 +55,8 @@
     );
   }
 
-  /** @param rows What another entry told; a server keeps the age of its own word. */
-  hear(rows: LeavingRow[]): void {
+  /** @param rows Rows of a peer's datagram, with the ages of the servers' announcements. */
+  applyRows(rows: LeavingRow[]): void {
     const { fleet, clock } = this.#options;
     const nowMs = clock.nowMs();
     for (const [id, start, saidMs] of rows) {
@@ -62,13 +65,13 @@
     }
   }
 
-  #servers(): Server[] {
+  #leavingServers(): Server[] {
     const { fleet, clock } = this.#options;
     const nowMs = clock.nowMs();
     const servers: Server[] = [];
     for (const server of fleet.all()) {
-      const isSaid = server.announced.leavingSaidMs(nowMs) !== undefined;
-      if (isSaid && !server.entry.draining) servers.push(server);
+      const isAnnounced = server.announced.leavingSaidMs(nowMs) !== undefined;
+      if (isAnnounced && !server.entry.draining) servers.push(server);
     }
     return servers;
   }
--- a/src/router/leaving_test.ts
+++ b/src/router/leaving_test.ts
@@ -11,17 +11,18 @@
 } from "./_world.ts";
 
 /*
- * While the platform's store was away a server could not register that it was leaving, but said so in
- * its answers. Nobody read that, and entries went on sending to it for as long as the store was away.
+ * Guards against sending requests to a leaving server during an outage of the store. The server can't
+ * register then that it is leaving, and announces it only in its answers. Entries used to ignore that,
+ * and sent it requests until the store was back.
  */
 
-const ASKS = 20;
-/** More than the entries take to tell each other. */
-const NEWS_MS = 300;
-/** Of a server that wants a pause the platform lets two requests pass. */
-const MOST_IN_PAUSE = 2;
+const ASK_COUNT = 20;
+/** Longer than a change takes to reach the other entries by gossip. */
+const GOSSIP_MS = 300;
+/** Requests that the platform tolerates at a server that asked for a pause. */
+const MAX_DURING_PAUSE = 2;
 
-/** Two servers, the first of which has just told the first entry that it leaves. */
+/** Opens a world with two servers; the first has just told the first entry that it is leaving. */
 async function openLeaving(
   t: TestContext,
   entryCount: number,
@@ -40,61 +41,61 @@
   return { world, leaving };
 }
 
-async function askOften(entry: TestEntry): Promise<void> {
-  for (let i = 0; i < ASKS; i++) {
+async function askRepeatedly(entry: TestEntry): Promise<void> {
+  for (let i = 0; i < ASK_COUNT; i++) {
     assert.equal((await ask(entry, "/book/a")).status, 200);
   }
 }
 
-test("server whose answer says that it leaves gets no more requests", async (t) => {
+test("server that announces leaving in an answer gets no more requests", async (t) => {
   const { world, leaving } = await openLeaving(t, 1);
-  await askOften(world);
+  await askRepeatedly(world);
   assert.equal(leaving.runs.length, 0);
 });
 
-test("server that leaves gets none from entries that did not hear it either", async (t) => {
+test("leaving server gets no requests from other entries either", async (t) => {
   const { world, leaving } = await openLeaving(t, 2);
   await world.store.down();
-  await sleep(NEWS_MS);
-  await askOften(world.entries[1]!);
+  await sleep(GOSSIP_MS);
+  await askRepeatedly(world.entries[1]!);
   assert.equal(leaving.runs.length, 0);
 });
 
-test("entry that starts while the store is down learns from its peers who leaves", async (t) => {
+test("entry that starts while the store is down learns of leaving servers from peers", async (t) => {
   const { world, leaving } = await openLeaving(t, 2);
   await world.store.down();
   const [, second] = world.entries;
   await second!.router.stop();
   const again = await world.restart(second!);
   await until(() => knows(again, '"i-2"'));
-  await sleep(NEWS_MS * 5);
-  await askOften(again);
+  await sleep(GOSSIP_MS * 5);
+  await askRepeatedly(again);
   assert.equal(leaving.runs.length, 0);
 });
 
-test("registration that still says ready does not undo a server's own word", async (t) => {
+test("registration as ready does not override a server's own announcement", async (t) => {
   const { world, leaving } = await openLeaving(t, 1);
   await world.store.put("servers/i-1", leaving.entry("plain", { slots: 7 }));
   await world.worker("i-3");
-  await askOften(world);
+  await askRepeatedly(world);
   assert.equal(leaving.runs.length, 0);
 });
 
-test("server that wants a pause gets nothing until it is over", async (t) => {
+test("server that asks for a pause gets no requests until it is over", async (t) => {
   const world = await openWorld(t);
-  const tired = await world.worker("i-1");
-  tired.faults.pauseS = 60;
+  const pausing = await world.worker("i-1");
+  pausing.faults.pauseS = 60;
   await ask(world, "/book/a");
-  tired.turnedAway = 0;
-  await sleep(NEWS_MS * 2);
-  for (let i = 0; i < ASKS; i++) await ask(world, "/book/a");
-  assert.ok(tired.turnedAway <= MOST_IN_PAUSE);
+  pausing.turnedAway = 0;
+  await sleep(GOSSIP_MS * 2);
+  for (let i = 0; i < ASK_COUNT; i++) await ask(world, "/book/a");
+  assert.ok(pausing.turnedAway <= MAX_DURING_PAUSE);
 });
 
-test("caller is told when the first of the servers takes requests again", async (t) => {
+test("caller gets a time to retry at which a server accepts requests again", async (t) => {
   const world = await openWorld(t);
-  const tired = await world.worker("i-1");
-  tired.faults.pauseS = 60;
+  const pausing = await world.worker("i-1");
+  pausing.faults.pauseS = 60;
   await ask(world, "/book/a");
   const { status, headers } = await ask(world, "/book/a", {
     "deadline-ms": "600000",
--- a/src/router/mirror.ts
+++ b/src/router/mirror.ts
@@ -1,63 +1,63 @@
 /**
- * A process's copy of the platform's store, kept by a watch and by what other entries pass on. It
- * never goes back: what is older than what it holds is ignored.
+ * Local replica of the platform's store, updated by a watch and by changes that other entries relay.
+ * It never goes back: updates older than its own state are ignored.
  */
 import { randomUUID } from "node:crypto";
 import type { Clock } from "../base/mod.ts";
 import { LRUMap } from "../placement/lru_map.ts";
 import type { KeyValueEntry, Listing, WatchStep } from "../store/store.ts";
 
-/** Steps that are kept for peers that are a little behind; a peer further behind gets it all. */
-const KEPT_STEPS = 2000;
-/** Processes whose last answer is kept: all that live, and those that they came after. */
-const KEPT_ORIGINS = 2000;
+/** Recent changes kept for peers that lag a little; a peer further behind gets all entries. */
+const MAX_KEPT_CHANGES = 2000;
+/** Processes whose last answer count is kept: all live ones, and their predecessors. */
+const MAX_KEPT_ORIGINS = 2000;
 
-/** A change of one key. */
+/** A change of one key in the store. */
 export type MirrorChange =
   | { kind: "put"; entry: KeyValueEntry }
   | { kind: "delete"; key: string; revision: bigint };
 
-/** Called for each change, in order. */
+/** Listener that is called for each change, in order. */
 export type ChangeListener = (change: MirrorChange) => void;
 
-/** What a peer needs to catch up. */
+/** The changes, or all entries, that bring a peer's replica up to a revision. */
 export type Catchup =
   | { kind: "steps"; revision: bigint; changes: MirrorChange[] }
   | { kind: "all"; revision: bigint; entries: KeyValueEntry[] };
 
-/** An answer of the store that vouches for copies: whose it was, and how old it is. */
+/** A store answer that confirms replicas as current: the process that received it, and its age. */
 export interface Confirmation {
-  /** The process that the store answered. */
+  /** Id of the process that received the answer from the store. */
   origin: string;
-  /** Its how-manieth answer. */
+  /** Sequence number of the answer in that process. */
   count: number;
   ageMs: number;
 }
 
-/** Up to which revision of the store a process knows everything, and who vouches for it. */
-export interface Knowledge {
+/** Store revision up to which a process has all changes, and the store answer that confirms it. */
+export interface SyncState {
   revision: bigint;
-  /** Left out: the store's answer is not known, or nothing is. */
+  /** Absent if no such answer is known, or the replica is empty. */
   confirmed?: Confirmation;
 }
 
-/** Keys and values up to one revision of the store. */
+/** Replica of the store's keys and values at one revision. */
 export class StoreMirror {
   readonly #clock: Clock;
   readonly #entries = new Map<string, KeyValueEntry>();
-  readonly #steps: MirrorChange[] = [];
+  readonly #changes: MirrorChange[] = [];
   readonly #listeners: ChangeListener[] = [];
-  /** Revision below which steps are no longer kept. */
-  #stepsFrom = 0n;
+  /** Changes after this revision are kept; older ones are not. */
+  #changesFrom = 0n;
   #revision = 0n;
   readonly #origin = randomUUID();
-  #ownAnswers = 0;
+  #ownAnswerCount = 0;
   /**
-   * The newest answer that each process has had, as far as heard. Peers pass on what vouches for
-   * their copies, and each time it seems younger by the time that the news takes: taken twice, as on
-   * a way in a circle, copies would never grow old.
+   * Highest known answer count by process. Each relayed confirmation appears younger by its transit
+   * time; accepting one twice, as when peers confirm each other in a circle, would keep replicas from
+   * ever aging.
    */
-  readonly #answers = LRUMap.create<string, number>(KEPT_ORIGINS);
+  readonly #answerCounts = LRUMap.create<string, number>(MAX_KEPT_ORIGINS);
   #confirmed: { origin: string; count: number; atMs: number } | undefined;
 
   private constructor(clock: Clock) {
@@ -65,39 +65,39 @@
   }
 
   /**
-   * @param clock Tells the age of what is known.
-   * @returns A mirror that knows nothing yet.
+   * @param clock Clock for the replica's age.
+   * @returns An empty replica.
    */
   static create(clock: Clock): StoreMirror {
     return new StoreMirror(clock);
   }
 
-  /** Store revision up to which everything is known; 0: nothing is. */
+  /** Store revision up to which all changes are applied; 0 for an empty replica. */
   get revision(): bigint {
     return this.#revision;
   }
 
-  /** Time since the store, or a peer that had just heard from it, vouched for the copy. */
+  /** Time since a store answer, direct or reported by a peer, last confirmed the replica. */
   get ageMs(): number {
     return this.#clock.nowMs() - (this.#confirmed?.atMs ?? -Infinity);
   }
 
-  /** What peers are told of the copy. */
-  get knowledge(): Knowledge {
+  /** Revision and confirmation of the replica, as sent to peers. */
+  get knowledge(): SyncState {
     const revision = this.#revision;
     if (!this.#confirmed) return { revision };
     const { origin, count } = this.#confirmed;
     return { revision, confirmed: { origin, count, ageMs: this.ageMs } };
   }
 
-  /** @param listener Called for each change from now on. */
+  /** @param listener Called for each later change. */
   onChange(listener: ChangeListener): void {
     this.#listeners.push(listener);
   }
 
   /**
-   * @param key A whole key.
-   * @returns Its entry, if it is known.
+   * @param key The full key.
+   * @returns The key's entry, if there is one.
    */
   entry(key: string): KeyValueEntry | undefined {
     return this.#entries.get(key);
@@ -105,7 +105,7 @@
 
   /**
    * @param prefix Prefix of the keys.
-   * @returns The entries that are known.
+   * @returns The entries with these keys.
    */
   entries(prefix: string): KeyValueEntry[] {
     return [...this.#entries.values()].filter(({ key }) =>
@@ -114,22 +114,22 @@
   }
 
   /**
-   * Takes a whole list of the store: keys that it lacks are gone.
+   * Replaces the content with a full listing from the store; keys that it lacks are deleted.
    *
-   * @param listing The list.
+   * @param listing The listing.
    */
   replace(listing: Listing): void {
     this.#replace(listing);
-    this.#answered(listing.revision);
+    this.#confirmByStore(listing.revision);
   }
 
   /**
-   * Takes a whole list that a peer has.
+   * Replaces the content with a peer's full listing.
    *
-   * @param listing The list.
-   * @param confirmed What vouches for it.
+   * @param listing The listing.
+   * @param confirmed The store answer that confirms it.
    */
-  replaceFrom(listing: Listing, confirmed?: Confirmation): void {
+  replaceFromPeer(listing: Listing, confirmed?: Confirmation): void {
     this.#replace(listing);
     this.confirm({ revision: listing.revision, confirmed });
   }
@@ -143,82 +143,86 @@
     }
     for (const entry of listing.entries) this.#apply({ kind: "put", entry });
     this.#revision = listing.revision;
-    // What lies between the last step and the list isn't known step by step.
-    this.#steps.length = 0;
-    this.#stepsFrom = listing.revision;
+    // The single changes between the last step and the listing are unknown.
+    this.#changes.length = 0;
+    this.#changesFrom = listing.revision;
   }
 
   /**
-   * Takes one step of a watch.
+   * Applies one step of a watch.
    *
-   * @param step The step; steps come in the order of their revisions.
+   * @param step The step; steps must come in the order of their revisions.
    */
-  follow(step: WatchStep): void {
+  applyStep(step: WatchStep): void {
     switch (step.kind) {
       case "progress":
         this.#advance(step.revision);
-        this.#answered(step.revision);
+        this.#confirmByStore(step.revision);
         return;
       case "put":
-        this.#step({ kind: "put", entry: step.entry }, step.entry.modRevision);
+        this.#applyChange(
+          { kind: "put", entry: step.entry },
+          step.entry.modRevision,
+        );
         return;
       case "delete":
-        this.#step(step, step.revision);
+        this.#applyChange(step, step.revision);
         return;
     }
   }
 
   /**
-   * Notes that all steps up to a revision were taken, as a peer has them.
+   * Advances the revision after all changes from a peer up to its revision were applied.
    *
-   * @param knowledge What the peer knows.
+   * @param syncState The peer's sync state.
    */
-  catchUpTo(knowledge: Knowledge): void {
-    this.#advance(knowledge.revision);
-    this.confirm(knowledge);
+  advanceTo(syncState: SyncState): void {
+    this.#advance(syncState.revision);
+    this.confirm(syncState);
   }
 
   /**
-   * Notes that the copy was all there was a while ago.
+   * Applies a peer's confirmation, unless it is for a later revision than the replica's, or not newer
+   * than those already applied.
    *
-   * @param knowledge What a peer knows.
+   * @param syncState The peer's sync state.
    */
-  confirm({ revision, confirmed }: Knowledge): void {
+  confirm({ revision, confirmed }: SyncState): void {
     if (!confirmed || revision > this.#revision) return;
     const { origin, count, ageMs } = confirmed;
-    if (count <= (this.#answers.get(origin) ?? 0)) return;
-    this.#answers.set(origin, count);
+    if (count <= (this.#answerCounts.get(origin) ?? 0)) return;
+    this.#answerCounts.set(origin, count);
     const atMs = this.#clock.nowMs() - ageMs;
     if (this.#confirmed && atMs <= this.#confirmed.atMs) return;
     this.#confirmed = { origin, count, atMs };
   }
 
   /**
-   * @param after Revision that a peer has.
-   * @returns What the peer lacks.
+   * @param after The peer's revision.
+   * @returns The changes that the peer lacks, or all entries if it is too far behind.
    */
-  catchup(after: bigint): Catchup {
+  changesSince(after: bigint): Catchup {
     const revision = this.#revision;
-    if (after < this.#stepsFrom) {
+    if (after < this.#changesFrom) {
       return { kind: "all", revision, entries: [...this.#entries.values()] };
     }
-    const changes = this.#steps.filter((step) => revisionOf(step) > after);
+    const changes = this.#changes.filter((step) => revisionOf(step) > after);
     return { kind: "steps", revision, changes };
   }
 
-  /** The store itself has just answered this process. */
-  #answered(revision: bigint): void {
-    const [origin, count, ageMs] = [this.#origin, ++this.#ownAnswers, 0];
+  /** Confirms the replica by an answer that this process just received from the store. */
+  #confirmByStore(revision: bigint): void {
+    const [origin, count, ageMs] = [this.#origin, ++this.#ownAnswerCount, 0];
     this.confirm({ revision, confirmed: { origin, count, ageMs } });
   }
 
-  #step(change: MirrorChange, revision: bigint): void {
-    // One commit may change several keys at one revision: equal ones are compared key by key.
+  #applyChange(change: MirrorChange, revision: bigint): void {
+    // One commit may change several keys at the same revision: an equal revision is checked per key.
     if (revision < this.#revision) return;
     this.#apply(change);
-    this.#steps.push(change);
-    if (this.#steps.length > KEPT_STEPS) {
-      this.#stepsFrom = revisionOf(this.#steps.shift()!);
+    this.#changes.push(change);
+    if (this.#changes.length > MAX_KEPT_CHANGES) {
+      this.#changesFrom = revisionOf(this.#changes.shift()!);
     }
     this.#advance(revision);
   }
@@ -229,12 +233,12 @@
 
   #apply(change: MirrorChange): void {
     if (change.kind === "put") {
-      const known = this.#entries.get(change.entry.key);
-      if (known && known.modRevision >= change.entry.modRevision) return;
+      const current = this.#entries.get(change.entry.key);
+      if (current && current.modRevision >= change.entry.modRevision) return;
       this.#entries.set(change.entry.key, change.entry);
     } else {
-      const known = this.#entries.get(change.key);
-      if (!known || known.modRevision > change.revision) return;
+      const current = this.#entries.get(change.key);
+      if (!current || current.modRevision > change.revision) return;
       this.#entries.delete(change.key);
     }
     for (const listener of this.#listeners) listener(change);
--- a/src/router/mirror_test.ts
+++ b/src/router/mirror_test.ts
@@ -37,10 +37,10 @@
   ).sort();
 }
 
-test("keys that a list lacks are gone", () => {
+test("keys missing from a listing are deleted", () => {
   const { mirror, seen } = create();
-  mirror.follow(put("a/1", 3n));
-  mirror.follow(put("a/2", 4n));
+  mirror.applyStep(put("a/1", 3n));
+  mirror.applyStep(put("a/2", 4n));
   mirror.replace({
     entries: [entry("a/2", 4n), entry("b/1", 6n)],
     revision: 6n,
@@ -49,26 +49,26 @@
   assert.deepEqual(seen, ["+a/1@3", "+a/2@4", "-a/1", "+b/1@6"]);
 });
 
-test("older list, step or deletion changes nothing", () => {
+test("older listing, step or deletion is ignored", () => {
   const { mirror } = create();
-  mirror.follow(put("a/1", 5n));
+  mirror.applyStep(put("a/1", 5n));
   mirror.replace({ entries: [], revision: 4n });
-  mirror.follow(put("a/1", 3n));
-  mirror.follow({ kind: "delete", key: "a/1", revision: 4n });
+  mirror.applyStep(put("a/1", 3n));
+  mirror.applyStep({ kind: "delete", key: "a/1", revision: 4n });
   assert.deepEqual(keys(mirror), ["a/1@5"]);
   assert.equal(mirror.revision, 5n);
 });
 
-test("age counts from the last word of the store, however it came", () => {
+test("age counts from the latest store answer, direct or reported by a peer", () => {
   const { mirror, clock } = create();
   assert.equal(mirror.ageMs, Infinity);
-  mirror.follow({ kind: "progress", revision: 7n });
+  mirror.applyStep({ kind: "progress", revision: 7n });
   clock.advance(500);
   assert.equal(mirror.ageMs, 500);
   const confirmed = { origin: "peer", count: 1, ageMs: 100 };
   mirror.confirm({ revision: 7n, confirmed });
   assert.equal(mirror.ageMs, 100);
-  // Of what this copy lacks nobody can vouch.
+  // A confirmation for a later revision than the replica's does not apply.
   mirror.confirm({
     revision: 8n,
     confirmed: { ...confirmed, count: 2, ageMs: 0 },
@@ -76,19 +76,19 @@
   assert.equal(mirror.ageMs, 100);
 });
 
-test("peer gets the steps it lacks, or all that is there", () => {
+test("peer gets the changes it lacks, or all entries", () => {
   const { mirror } = create();
   mirror.replace({ entries: [entry("a/1", 2n)], revision: 2n });
-  mirror.follow(put("a/2", 3n));
-  mirror.follow(put("b/1", 4n));
-  const steps = mirror.catchup(3n);
+  mirror.applyStep(put("a/2", 3n));
+  mirror.applyStep(put("b/1", 4n));
+  const steps = mirror.changesSince(3n);
   assert.equal(steps.kind, "steps");
   assert.equal(steps.kind === "steps" && steps.changes.length, 1);
-  const all = mirror.catchup(1n);
+  const all = mirror.changesSince(1n);
   assert.equal(all.kind === "all" && all.entries.length, 3);
 });
 
-test("copy of a copy is the same, whatever is lost between", () => {
+test("replica that catches up from another one is equal to it, whatever updates are lost", () => {
   const step = fc.record({
     key: fc.constantFrom(...KEYS),
     isDelete: fc.boolean(),
@@ -100,7 +100,7 @@
       const peer = create().mirror;
       steps.forEach(({ key, isDelete, isHeard }, i) => {
         const revision = BigInt(i + 1);
-        mirror.follow(
+        mirror.applyStep(
           isDelete ? { kind: "delete", key, revision } : put(key, revision),
         );
         if (isHeard) catchUp(peer, mirror);
@@ -112,13 +112,13 @@
   );
 });
 
-/** As the relay between entries does. */
+/** Updates the peer's replica in the same way as the relay between entries. */
 function catchUp(peer: StoreMirror, mirror: StoreMirror): void {
-  const catchup = mirror.catchup(peer.revision);
+  const catchup = mirror.changesSince(peer.revision);
   if (catchup.kind === "all") {
     peer.replace({ entries: catchup.entries, revision: catchup.revision });
     return;
   }
-  for (const change of catchup.changes) peer.follow(change);
-  peer.catchUpTo({ ...mirror.knowledge, revision: catchup.revision });
+  for (const change of catchup.changes) peer.applyStep(change);
+  peer.advanceTo({ ...mirror.knowledge, revision: catchup.revision });
 }
--- a/src/router/outage_test.ts
+++ b/src/router/outage_test.ts
@@ -12,69 +12,69 @@
 
 /** Long enough for every registration to lapse. */
 const OUTAGE_MS = 9000;
-/** From the entry's regaining the store to a change that has nothing to do with the outage. */
-const LATER_MS = 1500;
+/** Time from the end of the outage to a change that is unrelated to it. */
+const UNRELATED_CHANGE_MS = 1500;
 
-/** Parts of the time that an entry which has just started takes to be settled. */
-const PART_MS = 1000;
+/** Step by which the clock advances while an entry that has just started gets stable. */
+const STEP_MS = 1000;
 
-/** A world whose first entry has been served by the store for a while. */
+/** Opens a world whose first entry has had stable contact with the store. */
 async function openSettledWorld(t: TestContext): Promise<World> {
   const world = await openWorld(t);
   for (const version of [2, 3]) {
-    world.clock.aheadMs += PART_MS;
+    world.clock.aheadMs += STEP_MS;
     await useConfig(world, { ...CONFIG, version });
   }
   return world;
 }
 
-/** The store answers the first entry nothing for a while; `meanwhile` happens at the store. */
+/** Cuts the first entry off from the store for a while, and runs `meanwhile` during that time. */
 async function outage(
   world: World,
   meanwhile: () => Promise<void> = () => Promise.resolve(),
 ): Promise<void> {
-  await lose(world);
+  await loseStore(world);
   await meanwhile();
-  await regain(world);
+  await regainStore(world);
 }
 
-async function lose(entry: TestEntry): Promise<void> {
+async function loseStore(entry: TestEntry): Promise<void> {
   entry.link.silent();
   entry.clock.aheadMs += OUTAGE_MS;
   await until(() => knows(entry, '"storeConnected":false'));
 }
 
-async function regain(entry: TestEntry): Promise<void> {
+async function regainStore(entry: TestEntry): Promise<void> {
   entry.link.up();
   await until(() => knows(entry, '"storeConnected":true'));
 }
 
 /*
- * The store had answered nobody for nine seconds. A server left three seconds after it was back; the
- * store acknowledged that, and entries used the server for 2.5 s more. They took the deletion for a
- * registration that had lapsed in the outage, though it was made after it, and counted the time that
- * such a server is given to return from the deletion. An entry's log had these lines, and between
- * the last two a request to the server:
+ * Guards against using a server for too long that left after an outage. The store had been down for
+ * 9 s, and the server left 3 s after the recovery, which the store acknowledged. Entries used the
+ * server for 2.5 s more: they took the deletion for a lapse in the outage, and started the grace
+ * period for registering again at the deletion. An entry logged these lines, and sent a request to the
+ * server between the last two:
  *
  *   27.63 store_lost
  *   36.93 store_regained lostMs=9312
- *   37.31 config_in_force, written in the same moment as the deletion
+ *   37.31 config_in_force, written at the same moment as the deletion
  *   39.85 server_left reason=registration_lapsed
  */
-test("server that leaves after an outage of the store gets nothing more", async (t) => {
+test("server that leaves after an outage of the store gets no more requests", async (t) => {
   const world = await openSettledWorld(t);
-  // The only one, so that every request is sent to it as long as it is used.
+  // The only server, so that every request goes to it as long as it is in use.
   const leaving = await world.worker("i-1");
   await outage(world);
-  world.clock.aheadMs += LATER_MS;
+  world.clock.aheadMs += UNRELATED_CHANGE_MS;
   await world.store.delete("servers/i-1");
-  // What is written after the deletion is in force, so the entry knows of both.
+  // The configuration written after the deletion is applied, so the entry has received both.
   await useConfig(world, { ...CONFIG, version: 4 });
   assert.equal((await ask(world, "/book/a")).status, 503);
   assert.equal(leaving.runs.length, 0);
 });
 
-test("server whose registration lapsed in an outage of the store is used until it had time to return", async (t) => {
+test("server whose registration lapsed in an outage stays in use until the grace period is over", async (t) => {
   const world = await openSettledWorld(t);
   const returning = await world.worker("i-1");
   await world.worker("i-2");
@@ -92,22 +92,22 @@
   assert.equal((await ask(world, "/book/a")).status, 200);
 });
 
-test("entry that the store doesn't answer yet keeps a server whose lapse a peer tells", async (t) => {
+test("entry that is still without the store keeps a server whose lapse a peer relays", async (t) => {
   const world = await openWorld(t, { entryCount: 2 });
   const [near, far] = world.entries;
   assert.ok(near && far);
   await world.worker("i-1");
   await until(() => knows(far, "i-1"));
-  await Promise.all([lose(near), lose(far)]);
+  await Promise.all([loseStore(near), loseStore(far)]);
   await world.store.delete("servers/i-1");
-  // What each said before it noticed the outage no longer counts.
+  // Reports of store contact from before the outage was detected no longer count.
   for (const { clock } of [near, far]) clock.aheadMs += OUTAGE_MS;
-  await regain(near);
-  // The peer has not been served for long, however long the rest takes.
+  await regainStore(near);
+  // Stops the peer's clock, so that its contact with the store never counts as stable.
   near.clock.stop();
   let version = 1;
   await until(async () => {
-    // Each makes the peer tell how far it is.
+    // Each change makes the peer report its revision.
     await world.store.configure({ ...CONFIG, version: ++version });
     return !knows(far, '"configVersion":1,');
   });
--- a/src/router/peer_datagram.ts
+++ b/src/router/peer_datagram.ts
@@ -1,141 +1,156 @@
-/** What entries tell each other by datagrams. One that is wrong in one field counts as lost. */
+/** Format of the datagrams between entries. A datagram with one invalid field counts as lost. */
 import type { Confirmation } from "./mirror.ts";
 
 /**
- * Start of a server that something was seen at; what was learned of a former one would keep the new
- * one from being ordered weights that it lacks. 0: not known, or no server.
+ * Start time of the server process that an observation is about, in ms since 1970; 0 if unknown, or if
+ * it is not a server. Without it, the weights of an earlier process would be attributed to the new one,
+ * which then would not be ordered to load them.
  */
-export type Start = number;
+export type StartMs = number;
 
 /**
- * A request, a server's start that ended under it, time since its answer had begun (null: it had
- * not), how long ago that was, and how long it had been there; in ms.
+ * A request during which a server process ended: request, server process, time from the answer's start
+ * to the end (null: the answer had not started), time since the end, and how long the request had been
+ * at the server; times in ms.
  */
 export type EndedUnder = [string, string, number | null, number, number];
 
-/** A request that was answered well, and how long ago in ms. */
+/** A suspected request that completed normally, and the time since then in ms. */
 export type Cleared = [string, number];
 
-/** One datagram. */
-export interface Told {
+/** Decoded content of one datagram. */
+export interface Datagram {
   name: string;
   revision: string;
-  /** Age of the copy, for entries that ran before `confirmed` was told. */
+  /** Age of the sender's copy of the store; read only by releases without `confirmed`. */
   ageMs: number;
-  /** The store's answer that vouches for this revision; left out if none is known. */
+  /** The store answer that confirms the copy at this revision; absent if none is known. */
   confirmed?: Confirmation;
-  /** Server, pending tokens, requests under way, those that are bound to it. */
+  /** Per server: id, pending tokens, requests in flight, and those of them bound to the server. */
   loads: [string, number, number, number][];
-  /** Server or store, salt, time until it is there, the parts with their tokens, and the start. */
-  prompts: [string, string, number, [string, number][], Start][];
-  /** Servers that are to get nothing new. */
+  /** Server or prompt store, salt, time until it is cached there, parts with tokens, start time. */
+  prompts: [string, string, number, [string, number][], StartMs][];
+  /** Ids of servers that should get no new requests. */
   heldBack: string[];
-  /** Servers that come after them; left out by entries of earlier releases. */
+  /** Ids of the servers whose weights change next; absent from earlier releases. */
   changingNext?: string[];
-  /** Servers that have just gone silent, or refuse connections. */
+  /** Ids of servers that have just stopped answering, or refuse connections. */
   silent: string[];
-  /** Servers whose address another one has, by id and start; left out by entries of earlier releases. */
-  gone?: [string, Start][];
-  /** Servers that said they leave, by id and start, and how long ago in ms; as `gone`. */
-  leaving?: [string, Start, number][];
-  /** Servers that ended under requests; left out by entries of earlier releases. */
+  /** Servers whose address another server now has: id and start time; absent from earlier releases. */
+  gone?: [string, StartMs][];
+  /** Servers that announced leaving: id, start time, ms since then; absent from earlier releases. */
+  leaving?: [string, StartMs, number][];
+  /** Servers that ended during a request; absent from earlier releases. */
   ended?: EndedUnder[];
-  /** Suspected requests that were answered well; left out by entries of earlier releases. */
+  /** Suspected requests that completed normally; absent from earlier releases. */
   cleared?: Cleared[];
-  /** When the entry started, since 1970, by its own clock; left out by entries of earlier releases. */
+  /** Sender's start time in ms since 1970, by its own clock; absent from earlier releases. */
   startedAtMs?: number;
-  /** Workspace, units that this entry has taken of its limit since it started, and what is left. */
+  /** Workspace, units of its limit that the sender has consumed since its start, and units left. */
   taken?: [string, number, number][];
-  /** The store answers this entry, and has done so for a while; for those of earlier releases. */
+  /** Whether the sender's contact with the store is stable; read only by earlier releases. */
   storeServes: boolean;
-  /** Time since its last answer; left out if it doesn't, or by entries of earlier releases. */
+  /** Time since the store's last answer; absent without stable contact, or from earlier releases. */
   storeServedMs?: number;
-  /** Server, model, version, start: weights that were seen there. */
-  weights: [string, string, number, Start][];
-  /** Model, version, age in ms: weights that were named a while ago. */
+  /** Weights seen at servers: server, model, version, start time. */
+  weights: [string, string, number, StartMs][];
+  /** Wanted weights: model, version, and ms since the version was named. */
   named: [string, number, number][];
 }
 
-/** Whether a field of a datagram has its form. */
-type Check = (value: unknown) => boolean;
+/** Returns whether a field's value is valid. */
+type Validator = (value: unknown) => boolean;
 
-/** Decimal digits of a revision; a number of more would not be one of the store's. */
+/** A store revision: at most 18 decimal digits, more than the store's revisions can have. */
 const REVISION_PATTERN = /^\d{1,18}$/;
 
-const isText: Check = (value) => typeof value === "string";
-const isCount: Check = (value) =>
+const isString: Validator = (value) => typeof value === "string";
+const isCount: Validator = (value) =>
   typeof value === "number" && Number.isFinite(value) && value >= 0;
-const isNumber: Check = (value) =>
+const isNumber: Validator = (value) =>
   typeof value === "number" && Number.isFinite(value);
-const isCountOrNone: Check = (value) => value === null || isCount(value);
-/** Entries that ran before this field was told leave it out. */
-const isStart: Check = (value) => value === undefined || isCount(value);
+const isCountOrNone: Validator = (value) => value === null || isCount(value);
+/** Earlier releases leave the start time out. */
+const isOptionalCount: Validator = (value) =>
+  value === undefined || isCount(value);
 
-/** One check for each field, so that none is added without. */
-const CHECKS: Record<keyof Told, Check> = {
-  name: isText,
-  revision: (value) => isText(value) && REVISION_PATTERN.test(value as string),
+/** Validators by field; the type requires one for each field. */
+const FIELD_VALIDATORS: Record<keyof Datagram, Validator> = {
+  name: isString,
+  revision: (value) =>
+    isString(value) && REVISION_PATTERN.test(value as string),
   ageMs: isCount,
   confirmed: (value) => value === undefined || isConfirmation(value),
-  loads: listOf(rowOf(isText, isCount, isCount, isCount)),
+  loads: listOf(rowOf(isString, isCount, isCount, isCount)),
   prompts: listOf(
-    rowOf(isText, isText, isCount, listOf(rowOf(isText, isCount)), isStart),
+    rowOf(
+      isString,
+      isString,
+      isCount,
+      listOf(rowOf(isString, isCount)),
+      isOptionalCount,
+    ),
   ),
-  heldBack: listOf(isText),
-  changingNext: (value) => value === undefined || listOf(isText)(value),
-  silent: listOf(isText),
-  gone: (value) => value === undefined || listOf(rowOf(isText, isStart))(value),
+  heldBack: listOf(isString),
+  changingNext: (value) => value === undefined || listOf(isString)(value),
+  silent: listOf(isString),
+  gone: (value) =>
+    value === undefined || listOf(rowOf(isString, isOptionalCount))(value),
   leaving: (value) =>
-    value === undefined || listOf(rowOf(isText, isCount, isCount))(value),
+    value === undefined || listOf(rowOf(isString, isCount, isCount))(value),
   ended: (value) =>
     value === undefined ||
-    listOf(rowOf(isText, isText, isCountOrNone, isCount, isCount))(value),
+    listOf(rowOf(isString, isString, isCountOrNone, isCount, isCount))(value),
   cleared: (value) =>
-    value === undefined || listOf(rowOf(isText, isCount))(value),
-  startedAtMs: isStart,
+    value === undefined || listOf(rowOf(isString, isCount))(value),
+  startedAtMs: isOptionalCount,
   taken: (value) =>
-    value === undefined || listOf(rowOf(isText, isNumber, isNumber))(value),
+    value === undefined || listOf(rowOf(isString, isNumber, isNumber))(value),
   storeServes: (value) => typeof value === "boolean",
   storeServedMs: (value) => value === undefined || isCount(value),
-  weights: listOf(rowOf(isText, isText, isCount, isStart)),
-  named: listOf(rowOf(isText, isCount, isCount)),
+  weights: listOf(rowOf(isString, isString, isCount, isOptionalCount)),
+  named: listOf(rowOf(isString, isCount, isCount)),
 };
 
 /**
  * @param bytes A datagram.
- * @returns What it tells, if it has the form of an entry's.
+ * @returns Its content, or undefined if it is not a valid datagram of an entry.
  */
-export function readTold(bytes: Uint8Array): Told | undefined {
+export function readDatagram(
+  bytes: Uint8Array,
+): Datagram | undefined {
   let value: unknown;
   try {
     value = JSON.parse(new TextDecoder().decode(bytes));
   } catch {
     return undefined;
   }
-  return isTold(value) ? value : undefined;
+  return isDatagram(value) ? value : undefined;
 }
 
 /**
- * @param value What a peer told.
- * @returns Whether it has the form of an answer that vouches for a copy.
+ * @param value A value that a peer sent.
+ * @returns Whether it is a valid {@link Confirmation}.
  */
 export function isConfirmation(value: unknown): value is Confirmation {
   if (typeof value !== "object" || value === null) return false;
   const { origin, count, ageMs } = value as Record<string, unknown>;
-  return isText(origin) && isCount(count) && isCount(ageMs);
+  return isString(origin) && isCount(count) && isCount(ageMs);
 }
 
-function isTold(value: unknown): value is Told {
+function isDatagram(value: unknown): value is Datagram {
   if (typeof value !== "object" || value === null) return false;
   const fields = value as Record<string, unknown>;
-  return Object.entries(CHECKS).every(([name, check]) => check(fields[name]));
+  return Object.entries(FIELD_VALIDATORS).every(([name, check]) =>
+    check(fields[name])
+  );
 }
 
-function listOf(check: Check): Check {
+function listOf(check: Validator): Validator {
   return (value) => Array.isArray(value) && value.every(check);
 }
 
-function rowOf(...checks: Check[]): Check {
+function rowOf(...checks: Validator[]): Validator {
   return (value) =>
     Array.isArray(value) && checks.every((check, i) => check(value[i]));
 }
--- a/src/router/peer_load_sum.ts
+++ b/src/router/peer_load_sum.ts
@@ -1,17 +1,17 @@
-/** Requests of all other entries to one server, summed as they are told. */
+/** Sum of the load that all other entries have at one server. */
 
-/** What another entry says of its own requests to a server is used for this long. */
-const PEER_LOAD_MS = 1500;
-/** Pause between looks for what is too old. */
-const EXPIRY_LOOK_MS = 100;
+/** How long the load that a peer reported counts. */
+const PEER_LOAD_TTL_MS = 1500;
+/** Interval between checks for expired loads. */
+const EXPIRY_CHECK_MS = 100;
 
-/** Requests that are under way to a server. */
+/** Load of a server by requests in flight. */
 export interface ServerLoad {
-  /** Tokens to be read before the first token of requests that wait for it. */
+  /** Prompt tokens still to be processed, over the requests that wait for their first token. */
   pendingTokens: number;
-  /** Requests under way. */
+  /** Requests in flight. */
   running: number;
-  /** Those of them that can't go on at another server. */
+  /** Requests in flight that can't continue at another server. */
   bound: number;
 }
 
@@ -19,53 +19,58 @@
   atMs: number;
 }
 
-/** The sum is asked for at each choice and for each server, far more often than it changes. */
+/**
+ * Load by peer, with a running total: the total is read for each server at each choice, far more often
+ * than it changes.
+ */
 export class PeerLoadSum {
-  /** Entries that have requests there. */
+  /** Loads by peer, for peers with load at the server. */
   readonly #peers = new Map<string, PeerLoad>();
-  readonly #sum: ServerLoad = { pendingTokens: 0, running: 0, bound: 0 };
-  #lookedAtMs = -Infinity;
+  readonly #total: ServerLoad = { pendingTokens: 0, running: 0, bound: 0 };
+  #checkedAtMs = -Infinity;
 
   /**
-   * @param nowMs The time.
-   * @returns The sum.
+   * @param nowMs The current time.
+   * @returns The total load of all peers.
    */
   at(nowMs: number): Readonly<ServerLoad> {
-    if (this.#peers.size > 0 && nowMs - this.#lookedAtMs > EXPIRY_LOOK_MS) {
+    if (this.#peers.size > 0 && nowMs - this.#checkedAtMs > EXPIRY_CHECK_MS) {
       this.#expire(nowMs);
     }
-    return this.#sum;
+    return this.#total;
   }
 
   /**
-   * @param peer Name of another entry.
-   * @param load Its requests.
-   * @param nowMs The time.
+   * Replaces the load of one peer.
+   *
+   * @param peer Name of the peer.
+   * @param load Its load at the server.
+   * @param nowMs The current time.
    */
   set(peer: string, load: Readonly<ServerLoad>, nowMs: number): void {
-    const before = this.#peers.get(peer);
-    if (before) this.#add(before, -1);
+    const previous = this.#peers.get(peer);
+    if (previous) this.#add(previous, -1);
     if (load.running === 0 && load.pendingTokens === 0) {
-      if (before) this.#peers.delete(peer);
+      if (previous) this.#peers.delete(peer);
       return;
     }
     this.#add(load, 1);
-    if (before) Object.assign(before, load, { atMs: nowMs });
+    if (previous) Object.assign(previous, load, { atMs: nowMs });
     else this.#peers.set(peer, { ...load, atMs: nowMs });
   }
 
   #expire(nowMs: number): void {
-    this.#lookedAtMs = nowMs;
+    this.#checkedAtMs = nowMs;
     for (const [peer, load] of this.#peers) {
-      if (nowMs - load.atMs <= PEER_LOAD_MS) continue;
+      if (nowMs - load.atMs <= PEER_LOAD_TTL_MS) continue;
       this.#peers.delete(peer);
       this.#add(load, -1);
     }
   }
 
   #add({ pendingTokens, running, bound }: ServerLoad, sign: 1 | -1): void {
-    this.#sum.pendingTokens += sign * pendingTokens;
-    this.#sum.running += sign * running;
-    this.#sum.bound += sign * bound;
+    this.#total.pendingTokens += sign * pendingTokens;
+    this.#total.running += sign * running;
+    this.#total.bound += sign * bound;
   }
 }
--- a/src/router/peer_loads.ts
+++ b/src/router/peer_loads.ts
@@ -1,15 +1,15 @@
-/** Requests under way, as entries tell each other. */
+/** Exchange of server loads between entries. */
 import type { Fleet } from "./fleet.ts";
-import type { Told } from "./peer_datagram.ts";
+import type { Datagram } from "./peer_datagram.ts";
 
-const IDLE = { pendingTokens: 0, running: 0, bound: 0 };
+const NO_LOAD = { pendingTokens: 0, running: 0, bound: 0 };
 
 /**
  * @param fleet All servers.
- * @returns What this entry tells of its own requests.
+ * @returns This entry's own load by server, as sent to the peers; idle servers are left out.
  */
-export function tellLoads(fleet: Fleet): Told["loads"] {
-  const loads: Told["loads"] = [];
+export function ownLoads(fleet: Fleet): Datagram["loads"] {
+  const loads: Datagram["loads"] = [];
   for (const { id, ownLoad } of fleet.all()) {
     if (ownLoad.running === 0) continue;
     const { pendingTokens, running, bound } = ownLoad;
@@ -18,11 +18,11 @@
   return loads;
 }
 
-/** What other entries tell of their requests, by entry. */
+/** Applies the loads that peers report. */
 export class PeerLoads {
   readonly #fleet: Fleet;
-  /** Servers at which an entry had requests by its last word. */
-  readonly #servers = new Map<string, Set<string>>();
+  /** Ids of the servers at which each peer had load, by its last report. */
+  readonly #serverIdsByPeer = new Map<string, Set<string>>();
 
   private constructor(fleet: Fleet) {
     this.#fleet = fleet;
@@ -30,30 +30,33 @@
 
   /**
    * @param fleet All servers.
-   * @returns Loads of which nothing was told yet.
+   * @returns Peer loads without any report yet.
    */
   static create(fleet: Fleet): PeerLoads {
     return new PeerLoads(fleet);
   }
 
   /**
-   * Takes in another entry's requests; a server that it does not name has none of them.
+   * Applies a peer's report; the peer has no load at servers that the report does not list.
    *
-   * @param told What it tells.
-   * @param nowMs The time.
+   * @param datagram The peer's name and loads.
+   * @param nowMs The current time.
    */
-  hear({ name, loads }: Pick<Told, "name" | "loads">, nowMs: number): void {
-    const before = this.#servers.get(name);
-    const servers = new Set<string>();
+  applyReport(
+    { name, loads }: Pick<Datagram, "name" | "loads">,
+    nowMs: number,
+  ): void {
+    const previousIds = this.#serverIdsByPeer.get(name);
+    const serverIds = new Set<string>();
     for (const [id, pendingTokens, running, bound] of loads) {
-      servers.add(id);
+      serverIds.add(id);
       const load = { pendingTokens, running, bound };
       this.#fleet.get(id)?.setPeerLoad(name, load, nowMs);
     }
-    this.#servers.set(name, servers);
-    for (const id of before ?? []) {
-      if (servers.has(id)) continue;
-      this.#fleet.get(id)?.setPeerLoad(name, IDLE, nowMs);
+    this.#serverIdsByPeer.set(name, serverIds);
+    for (const id of previousIds ?? []) {
+      if (serverIds.has(id)) continue;
+      this.#fleet.get(id)?.setPeerLoad(name, NO_LOAD, nowMs);
     }
   }
 }
--- a/src/router/peers.ts
+++ b/src/router/peers.ts
@@ -1,8 +1,7 @@
 /**
- * What entries tell each other, by datagrams: how many requests each has under way at each server,
- * which prompts it sent there, which servers are held back, for how long versions of weights have
- * been named, and up to which revision of the store it knows everything. Datagrams may be lost: what
- * must be known is told again and again, and until it comes the safer of what may be is assumed.
+ * UDP gossip between entries: load and prompts that each sent to servers, held-back servers, ages of
+ * wanted weights versions, and the store revision of the entry. Datagrams may be lost: essential state
+ * is sent repeatedly, and until it arrives the receiver assumes the safer case.
  */
 import { createSocket, type Socket } from "node:dgram";
 import type { Clock, Logger } from "../base/mod.ts";
@@ -10,151 +9,152 @@
 import type { BackendServer } from "./model.ts";
 import type { PlacedPrompt } from "./request.ts";
 import type { Fleet } from "./fleet.ts";
-import { LeavingNews } from "./leaving_news.ts";
-import type { Knowledge } from "./mirror.ts";
-import { PeerLoads, tellLoads } from "./peer_loads.ts";
-import { readTold, type Start, type Told } from "./peer_datagram.ts";
+import { LeavingAnnouncements } from "./leaving_news.ts";
+import type { SyncState } from "./mirror.ts";
+import { ownLoads, PeerLoads } from "./peer_loads.ts";
+import { type Datagram, readDatagram, type StartMs } from "./peer_datagram.ts";
 import type { Quarantine } from "./quarantine.ts";
 import type { Quotas } from "./quotas.ts";
-import { jittered, rotated, TELL_MS, tellPauseMs } from "./tell_pace.ts";
+import {
+  jittered,
+  MIN_INTERVAL_MS,
+  rotated,
+  tellPauseMs,
+} from "./tell_pace.ts";
 import type { WantedVersions } from "./wanted_weights.ts";
 
-/** An entry that holds servers back says so this often, so that one lost datagram ends nothing. */
-const TELL_HELD_MS = 200;
-/** Longest pause between datagrams. */
-const TELL_IDLE_MS = 400;
-/** A peer that says nothing for this long counts as gone. */
-const PEER_GONE_MS = 3000;
-/** A datagram stays below the usual size of a packet; prompts beyond it wait for the next. */
-const MAX_PROMPTS = 12;
-/** Prompts that wait to be told; the oldest are left out beyond it. */
+/** Longest interval while servers are held back: one lost datagram must not let a hold expire. */
+const HELD_BACK_INTERVAL_MS = 200;
+/** Interval between datagrams while nothing changes, unless the fleet's size makes it longer. */
+const IDLE_INTERVAL_MS = 400;
+/** A peer from which no datagram arrives for this long counts as gone. */
+const PEER_TIMEOUT_MS = 3000;
+/** Prompts per datagram, to stay below the usual packet size; further prompts go in the next one. */
+const MAX_PROMPTS_PER_DATAGRAM = 12;
+/** Capacity of the queue of prompts to announce; the oldest are dropped when it overflows. */
 const MAX_QUEUED_PROMPTS = 100;
-/** A server that a peer holds back is spared for this long after the peer's last datagram. */
-const HELD_BACK_MS = 1000;
+/** How long a server stays held back after the last datagram of a peer that asks for it. */
+const HELD_BACK_TTL_MS = 1000;
 
-/** What a {@link Peers} works with. */
+/** Options of {@link Peers}. */
 export interface PeersOptions {
   name: string;
   ipAddress: string;
   port: number;
   clock: Clock;
   log: Logger;
-  /** 0 to 1. */
+  /** Random number from 0 to 1. */
   random: () => number;
   fleet: Fleet;
-  /** Expected cache of a server's start, by id, or of a store, by address. */
+  /** Expected cache of one process of a server, by id and start time, or of a store, by address. */
   cacheOf(id: string, bornAtMs?: number): CacheBook | undefined;
-  /** IP numbers of entries that may exist. */
+  /** IP addresses of the configured seeds and the registered entries. */
   knownAddresses(): string[];
-  /** Up to which revision of the store this entry knows everything, and how old that is. */
-  knowledge(): Knowledge;
-  /** Time since the store's last answer, while it has served this entry for a while. */
+  /** Store revision up to which this entry is in sync, and the store answer that confirms it. */
+  knowledge(): SyncState;
+  /** Time since the store's last answer; undefined unless contact with the store is stable. */
   storeServedMs(): number | undefined;
-  /** Ages of named weights, which entries tell each other. */
+  /** Wanted weights versions; entries exchange their ages. */
   wanted: WantedVersions;
-  /** Requests under which servers ended. */
+  /** Requests during which backend servers ended. */
   quarantine: Pick<Quarantine, "hasNews" | "takeNews" | "hear">;
-  /** What entries take of the limits of workspaces. */
-  quotas: Pick<Quotas, "hasNews" | "takeNews" | "hear">;
-  /** A peer told of its own knowledge. */
-  onKnowledge(ipAddress: string, knowledge: Knowledge): void;
+  /** Workspace rate limits; entries exchange what they have consumed. */
+  quotas: Pick<Quotas, "hasUpdate" | "takeUpdate" | "applyPeerUpdate">;
+  /** Called with the sync state that a peer reported. */
+  onKnowledge(ipAddress: string, knowledge: SyncState): void;
 }
 
-/** Tells other entries, and takes in what they tell. */
+/** Sends this entry's state to the other entries, and applies the state that they send. */
 export class Peers {
   readonly #options: PeersOptions;
   readonly #socket: Socket;
-  readonly #heardAtMs = new Map<string, number>();
-  readonly #prompts: Told["prompts"] = [];
-  readonly #weights: Told["weights"] = [];
+  readonly #lastSeenAtMs = new Map<string, number>();
+  readonly #prompts: Datagram["prompts"] = [];
+  readonly #weights: Datagram["weights"] = [];
   readonly #silent: string[] = [];
-  readonly #gone: [string, Start][] = [];
-  readonly #leaving: LeavingNews;
-  readonly #loads: PeerLoads;
+  readonly #gone: [string, StartMs][] = [];
+  readonly #leaving: LeavingAnnouncements;
+  readonly #peerLoads: PeerLoads;
   #heldBack: () => string[] = () => [];
   #changingNext: () => string[] = () => [];
   #storeServedPeerAtMs = -Infinity;
-  /** Entries that are registered or seeds, this one included; looked at with each datagram. */
-  #knownCount = 1;
-  #lastNews = "";
-  #lastOrders = "";
-  #lastAtMs = -Infinity;
+  /** Number of registered and seed entries, this one included; updated with each datagram sent. */
+  #knownEntryCount = 1;
+  #lastContent = "";
+  #lastUrgent = "";
+  #lastSentAtMs = -Infinity;
 
   private constructor(options: PeersOptions) {
     this.#options = options;
     this.#socket = createSocket("udp4");
-    this.#leaving = LeavingNews.create(options);
-    this.#loads = PeerLoads.create(options.fleet);
+    this.#leaving = LeavingAnnouncements.create(options);
+    this.#peerLoads = PeerLoads.create(options.fleet);
   }
 
   /**
-   * @param options Address and what to tell of.
-   * @returns Peers that are not told anything yet.
+   * @param options Own address, and the sources and receivers of the exchanged state.
+   * @returns Peers to which nothing has been sent yet.
    */
   static create(options: PeersOptions): Peers {
     return new Peers(options);
   }
 
-  /** Entries that live, this one included. */
+  /** Number of live entries, this one included. */
   get count(): number {
     const nowMs = this.#options.clock.nowMs();
     let count = 1;
-    for (const atMs of this.#heardAtMs.values()) {
-      if (nowMs - atMs < PEER_GONE_MS) count++;
+    for (const atMs of this.#lastSeenAtMs.values()) {
+      if (nowMs - atMs < PEER_TIMEOUT_MS) count++;
     }
     return count;
   }
 
-  /** Entries that may live, this one included, also those that were not heard of yet. */
+  /** Number of entries that may be live, this one included, with those not heard from yet. */
   get possibleCount(): number {
-    return Math.max(this.count, this.#knownCount);
+    return Math.max(this.count, this.#knownEntryCount);
   }
 
-  /** Pause between datagrams while loads and prompts change: how old others' loads may be. */
+  /** Interval between datagrams while loads and prompts change: the age that peers' loads may have. */
   get tellPauseMs(): number {
     return tellPauseMs(this.count);
   }
 
-  /** When the store last answered some other entry, as far as heard. */
+  /** Latest time at which the store answered another entry, as far as reported. */
   get storeServedPeerAtMs(): number {
     return this.#storeServedPeerAtMs;
   }
 
   /**
-   * @param heldBack Ids of servers that every entry is to spare.
-   * @param changingNext Ids of those that come after them.
+   * @param heldBack Returns the ids of servers to which no entry should send new requests.
+   * @param changingNext Returns the ids of the servers whose weights change after theirs.
    */
   tellHeldBack(heldBack: () => string[], changingNext: () => string[]): void {
     this.#heldBack = heldBack;
     this.#changingNext = changingNext;
   }
 
-  /** @param placed A prompt that a server reads, or a store is given. */
+  /** @param placed A prompt that was sent to a server, or written to a prompt store. */
   tellPrompt({ id, bornAtMs = 0, chain, readyInMs }: PlacedPrompt): void {
     const parts = chain.parts.map(({ id, tokens }): [string, number] => [
       id,
       tokens,
     ]);
-    const inMs = Math.round(readyInMs);
-    this.#prompts.push([id, chain.salt, inMs, parts, bornAtMs]);
+    const roundedReadyInMs = Math.round(readyInMs);
+    this.#prompts.push([id, chain.salt, roundedReadyInMs, parts, bornAtMs]);
     if (this.#prompts.length > MAX_QUEUED_PROMPTS) this.#prompts.shift();
   }
 
-  /** @param serverId A server that has gone silent, or refuses connections. */
+  /** @param serverId A server that stopped answering, or refuses connections. */
   tellSilent(serverId: string): void {
     this.#silent.push(serverId);
   }
 
-  /** @param server A server whose address another one has. */
+  /** @param server A server whose address now belongs to another server. */
   tellGone({ id, bornAtMs = 0 }: BackendServer): void {
     this.#gone.push([id, bornAtMs]);
   }
 
-  /**
-   * @param server A server.
-   * @param model A model.
-   * @param version Version of its weights there.
-   */
+  /** Announces the version of a model's weights that was seen at a server. */
   tellWeights(
     { id, bornAtMs = 0 }: BackendServer,
     model: string,
@@ -163,86 +163,86 @@
     this.#weights.push([id, model, version, bornAtMs]);
   }
 
-  /** @param signal Ends the work. */
+  /** @param signal Stops sending and receiving datagrams. */
   async run(signal: AbortSignal): Promise<void> {
     const { port, ipAddress, clock, log, random } = this.#options;
     this.#socket.on("message", (bytes, from) => {
-      this.#hear(bytes, from.address);
+      this.#receive(bytes, from.address);
     });
     this.#socket.on("error", (error) => {
       log.warn({ event: "peer_socket_failed", reason: error.message });
     });
     this.#socket.bind(port, ipAddress);
     while (!signal.aborted) {
-      this.#tell();
-      await clock.sleep(jittered(TELL_MS, random), signal);
+      this.#sendIfDue();
+      await clock.sleep(jittered(MIN_INTERVAL_MS, random), signal);
     }
     this.#socket.close();
   }
 
-  #tell(): void {
-    const told = this.#compose();
-    // Ages alone are no news.
-    const news = JSON.stringify({
-      ...told,
+  #sendIfDue(): void {
+    const datagram = this.#buildDatagram();
+    // Changes of ages alone do not count as a change.
+    const content = JSON.stringify({
+      ...datagram,
       ageMs: 0,
       confirmed: undefined,
       storeServedMs: undefined,
       named: [],
     });
-    const orders = JSON.stringify([
-      told.heldBack,
-      told.silent,
-      told.gone,
-      told.weights,
+    const urgent = JSON.stringify([
+      datagram.heldBack,
+      datagram.silent,
+      datagram.gone,
+      datagram.weights,
       this.#leaving.ids,
     ]);
     const { quarantine, quotas, random } = this.#options;
-    if (!quarantine.hasNews && !this.#isDue(told, news, orders)) return;
-    this.#prompts.splice(0, told.prompts.length);
-    this.#weights.splice(0, told.weights.length);
-    this.#silent.splice(0, told.silent.length);
-    this.#gone.splice(0, told.gone?.length);
-    this.#lastNews = news;
-    this.#lastOrders = orders;
-    this.#lastAtMs = this.#options.clock.nowMs();
-    const leaving = this.#leaving.take();
-    const all: Told = {
-      ...told,
+    if (!quarantine.hasNews && !this.#isDue(datagram, content, urgent)) return;
+    this.#prompts.splice(0, datagram.prompts.length);
+    this.#weights.splice(0, datagram.weights.length);
+    this.#silent.splice(0, datagram.silent.length);
+    this.#gone.splice(0, datagram.gone?.length);
+    this.#lastContent = content;
+    this.#lastUrgent = urgent;
+    this.#lastSentAtMs = this.#options.clock.nowMs();
+    const leaving = this.#leaving.nextRows();
+    const message: Datagram = {
+      ...datagram,
       leaving,
       ...quarantine.takeNews(),
-      ...quotas.takeNews(),
+      ...quotas.takeUpdate(),
     };
-    const bytes = Buffer.from(JSON.stringify(all));
+    const bytes = Buffer.from(JSON.stringify(message));
     for (const address of rotated([...this.#addresses()], random)) {
       this.#socket.send(bytes, this.#options.port, address, (error) => {
-        if (error) this.#sendFailed(error);
+        if (error) this.#onSendFailed(error);
       });
     }
   }
 
-  /** What keeps requests away from a server is told at once; the rest, as the entries' number allows. */
-  #isDue({ heldBack }: Told, news: string, orders: string): boolean {
-    if (orders !== this.#lastOrders) return true;
-    const sinceMs = this.#options.clock.nowMs() - this.#lastAtMs;
+  /** State that keeps requests off a server is sent at once, other changes at the usual interval. */
+  #isDue({ heldBack }: Datagram, content: string, urgent: string): boolean {
+    if (urgent !== this.#lastUrgent) return true;
+    const sinceMs = this.#options.clock.nowMs() - this.#lastSentAtMs;
     const pauseMs = this.tellPauseMs;
-    if (heldBack.length > 0 && sinceMs >= TELL_HELD_MS) return true;
-    if (news === this.#lastNews && !this.#options.quotas.hasNews) {
-      return sinceMs >= Math.max(TELL_IDLE_MS, pauseMs);
+    if (heldBack.length > 0 && sinceMs >= HELD_BACK_INTERVAL_MS) return true;
+    if (content === this.#lastContent && !this.#options.quotas.hasUpdate) {
+      return sinceMs >= Math.max(IDLE_INTERVAL_MS, pauseMs);
     }
-    // Looks are no more frequent than this.
-    return pauseMs <= TELL_MS || sinceMs >= pauseMs;
+    // The loop itself runs no more often than the shortest interval.
+    return pauseMs <= MIN_INTERVAL_MS || sinceMs >= pauseMs;
   }
 
-  /** A datagram that can't be sent is like one that is lost. */
-  #sendFailed(error: Error): void {
+  /** A datagram that can't be sent counts as lost; it is logged at debug level only. */
+  #onSendFailed(error: Error): void {
     this.#options.log.debug({
       event: "peer_not_told",
       reason: error.message,
     });
   }
 
-  #compose(): Told {
+  #buildDatagram(): Datagram {
     const { name, fleet, knowledge, wanted } = this.#options;
     const { revision, confirmed } = knowledge();
     const storeServedMs = this.#options.storeServedMs();
@@ -251,8 +251,8 @@
       revision: String(revision),
       ageMs: Math.round(confirmed?.ageMs ?? Number.MAX_SAFE_INTEGER),
       confirmed,
-      loads: tellLoads(fleet),
-      prompts: this.#prompts.slice(0, MAX_PROMPTS),
+      loads: ownLoads(fleet),
+      prompts: this.#prompts.slice(0, MAX_PROMPTS_PER_DATAGRAM),
       heldBack: this.#heldBack(),
       changingNext: this.#changingNext(),
       storeServes: storeServedMs !== undefined,
@@ -271,39 +271,39 @@
   #addresses(): Set<string> {
     const { knownAddresses, ipAddress } = this.#options;
     const known = new Set([...knownAddresses(), ipAddress]);
-    this.#knownCount = known.size;
-    const addresses = new Set([...known, ...this.#heardAtMs.keys()]);
+    this.#knownEntryCount = known.size;
+    const addresses = new Set([...known, ...this.#lastSeenAtMs.keys()]);
     addresses.delete(ipAddress);
     return addresses;
   }
 
-  #hear(bytes: Buffer, ipAddress: string): void {
-    const told = readTold(bytes);
-    if (!told) {
+  #receive(bytes: Buffer, ipAddress: string): void {
+    const datagram = readDatagram(bytes);
+    if (!datagram) {
       this.#options.log.warn({ event: "peer_malformed", peer: ipAddress });
       return;
     }
     const nowMs = this.#options.clock.nowMs();
-    if (!this.#heardAtMs.has(ipAddress)) {
-      this.#options.log.info({ event: "peer_met", peer: told.name });
+    if (!this.#lastSeenAtMs.has(ipAddress)) {
+      this.#options.log.info({ event: "peer_met", peer: datagram.name });
     }
-    this.#heardAtMs.set(ipAddress, nowMs);
-    this.#take(told, nowMs);
-    const { startedAtMs, taken } = told;
+    this.#lastSeenAtMs.set(ipAddress, nowMs);
+    this.#apply(datagram, nowMs);
+    const { startedAtMs, taken } = datagram;
     if (startedAtMs !== undefined && taken) {
-      this.#options.quotas.hear(ipAddress, { startedAtMs, taken });
+      this.#options.quotas.applyPeerUpdate(ipAddress, { startedAtMs, taken });
     }
-    const revision = BigInt(told.revision);
+    const revision = BigInt(datagram.revision);
     this.#options.onKnowledge(ipAddress, {
       revision,
-      confirmed: told.confirmed,
+      confirmed: datagram.confirmed,
     });
   }
 
-  #take(told: Told, nowMs: number): void {
+  #apply(report: Datagram, nowMs: number): void {
     const { fleet, wanted, log } = this.#options;
-    this.#loads.hear(told, nowMs);
-    for (const [id, salt, readyInMs, parts, start] of told.prompts) {
+    this.#peerLoads.applyReport(report, nowMs);
+    for (const [id, salt, readyInMs, parts, start] of report.prompts) {
       const chain = {
         salt,
         parts: parts.map(([id, tokens]) => ({ id, tokens })),
@@ -311,34 +311,34 @@
       const cache = this.#options.cacheOf(id, start || undefined);
       cache?.use(chain, nowMs + readyInMs);
     }
-    // These hold for a second, and for a probe: they may as well be about an earlier start.
-    for (const id of told.heldBack) {
-      fleet.get(id)?.holdBack(nowMs + HELD_BACK_MS);
+    // Matched by id alone, also from an earlier process: a hold or doubt ends soon (TTL, next probe).
+    for (const id of report.heldBack) {
+      fleet.get(id)?.holdBack(nowMs + HELD_BACK_TTL_MS);
     }
-    for (const id of told.changingNext ?? []) {
-      fleet.get(id)?.changesNext(nowMs + HELD_BACK_MS);
+    for (const id of report.changingNext ?? []) {
+      fleet.get(id)?.changesNext(nowMs + HELD_BACK_TTL_MS);
     }
-    for (const id of told.silent) fleet.get(id)?.health.doubted(nowMs);
-    for (const [id, start] of told.gone ?? []) {
+    for (const id of report.silent) fleet.get(id)?.health.doubted(nowMs);
+    for (const [id, start] of report.gone ?? []) {
       const server = fleet.get(id, start || undefined);
       if (server) fleet.giveUp(server);
     }
-    this.#leaving.hear(told.leaving ?? []);
-    if (told.storeServedMs !== undefined) {
-      const servedAtMs = nowMs - told.storeServedMs;
+    this.#leaving.applyRows(report.leaving ?? []);
+    if (report.storeServedMs !== undefined) {
+      const servedAtMs = nowMs - report.storeServedMs;
       this.#storeServedPeerAtMs = Math.max(
         this.#storeServedPeerAtMs,
         servedAtMs,
       );
     }
-    for (const [id, model, version, start] of told.weights) {
+    for (const [id, model, version, start] of report.weights) {
       fleet.get(id, start || undefined)?.learnWeights(model, version);
     }
-    const { ended = [], cleared = [] } = told;
+    const { ended = [], cleared = [] } = report;
     this.#options.quarantine.hear({ ended, cleared });
-    for (const [model, version, ageMs] of told.named) {
+    for (const [model, version, ageMs] of report.named) {
       if (!wanted.tell({ model, version, ageMs })) continue;
-      log.info({ event: "weights_wanted", model, version, peer: told.name });
+      log.info({ event: "weights_wanted", model, version, peer: report.name });
     }
   }
 }
--- a/src/router/peers_test.ts
+++ b/src/router/peers_test.ts
@@ -12,14 +12,14 @@
 import { ENTRIES_PREFIX, Registration } from "./registration.ts";
 
 const SEED = 20_261_203;
-/** Time without an answer of the store. */
+/** Duration of the store outage. */
 const OUTAGE_MS = 9000;
-/** Requests may reach a server for this long after the store has taken that it leaves. */
+/** How long requests may still reach a server after the store accepted its deregistration. */
 const DRAIN_MS = 2000;
-const MAX_TELLINGS = 300;
+const MAX_DATAGRAMS = 300;
 
-/** A datagram that tells nothing new. */
-const TOLD = {
+/** A valid datagram without any news. */
+const EMPTY_DATAGRAM = {
   name: "fake",
   revision: "0",
   ageMs: 0,
@@ -32,14 +32,14 @@
   named: [],
 };
 
-/** Something that speaks to an entry as another one does. */
+/** Acts as another entry towards the tested one, with datagrams and HTTP answers set by the test. */
 class FakePeer {
   readonly #socket: Socket;
   readonly #control: Server;
   readonly #world: World;
-  /** Answers by path. */
+  /** HTTP answer bodies by path. */
   readonly answers = new Map<string, string>();
-  /** Paths that were asked for. */
+  /** Paths that were requested. */
   readonly asked: string[] = [];
 
   private constructor(world: World, socket: Socket, control: Server) {
@@ -67,7 +67,7 @@
     return peer;
   }
 
-  /** Sends one datagram, and lets it be read: a full buffer drops what comes next. */
+  /** Sends one datagram, and lets the entry read it, as a full socket buffer drops the next ones. */
   async send(bytes: Uint8Array): Promise<void> {
     const { peerPort, ipAddress } = this.#world;
     await new Promise<void>((resolve, reject) => {
@@ -79,8 +79,10 @@
     await nextTurn();
   }
 
-  tell(fields: object): Promise<void> {
-    return this.send(Buffer.from(JSON.stringify({ ...TOLD, ...fields })));
+  sendFields(fields: object): Promise<void> {
+    return this.send(
+      Buffer.from(JSON.stringify({ ...EMPTY_DATAGRAM, ...fields })),
+    );
   }
 
   #close(): void {
@@ -90,53 +92,56 @@
   }
 }
 
-/** The entry still serves, hears of the store, and takes in what a proper peer tells. */
-async function assertSound(world: World, peer: FakePeer): Promise<void> {
+/** Asserts that the entry still serves, follows the store, and applies valid datagrams of a peer. */
+async function assertEntryWorks(world: World, peer: FakePeer): Promise<void> {
   await until(async () => {
-    // Datagrams may be lost.
-    await peer.tell({ weights: [["i-1", "m", 9]] });
+    // Repeated, as datagrams may be lost.
+    await peer.sendFields({ weights: [["i-1", "m", 9]] });
     return knows(world, '"entries":2');
   });
   await world.worker("i-last");
-  assert.equal((await askWhenTaken(world)).status, 200);
+  assert.equal((await askUntilAccepted(world)).status, 200);
 }
 
-/** An entry that is behind turns requests away, which it answers by itself, and says when to return. */
-async function askWhenTaken(world: World): Promise<Asked> {
+/**
+ * Sends a request until it is not refused by the entry itself. An entry that lags behind the store
+ * answers 503 without a server, and with a time to retry after.
+ */
+async function askUntilAccepted(world: World): Promise<Asked> {
   while (true) {
-    const asked = await ask(world, "/look/a");
-    const isTurnedAway = asked.status === 503 &&
-      asked.headers["attempt-id"] === undefined;
-    if (!isTurnedAway) return asked;
-    assert.ok(Number(asked.headers["retry-after"]) > 0);
+    const answer = await ask(world, "/look/a");
+    const isRefusedByEntry = answer.status === 503 &&
+      answer.headers["attempt-id"] === undefined;
+    if (!isRefusedByEntry) return answer;
+    assert.ok(Number(answer.headers["retry-after"]) > 0);
   }
 }
 
-test("datagram with fields missing or of another type changes nothing", async (t) => {
+test("datagram with a missing or mistyped field is ignored", async (t) => {
   const world = await openWorld(t);
   await world.worker("i-1");
   const peer = await FakePeer.create(t, world);
-  for (const name of Object.keys(TOLD)) {
+  for (const name of Object.keys(EMPTY_DATAGRAM)) {
     for (const value of [undefined, null, {}, "x", [null], [["i-1"]]]) {
       if (name === "name" && value === "x") continue;
-      await peer.tell({
+      await peer.sendFields({
         loads: [["i-1", 7, 7, 7]],
         heldBack: ["i-1"],
         [name]: value,
       });
     }
   }
-  await peer.tell({ loads: [["i-1", "7", "7", "7"]] });
-  await peer.tell({ loads: [["i-1", 1e400, 1, 1]] });
+  await peer.sendFields({ loads: [["i-1", "7", "7", "7"]] });
+  await peer.sendFields({ loads: [["i-1", 1e400, 1, 1]] });
   for (const text of ["null", "1", "[]", "{}", "", "{"]) {
     await peer.send(Buffer.from(text));
   }
-  await assertSound(world, peer);
+  await assertEntryWorks(world, peer);
   assert.ok(!knows(world, '"running":7'));
   assert.ok(!knows(world, '"heldBack":true'));
 });
 
-test("datagram whose fields of later releases are malformed changes nothing", async (t) => {
+test("datagram with a malformed optional field is ignored", async (t) => {
   const world = await openWorld(t);
   await world.worker("i-1");
   const peer = await FakePeer.create(t, world);
@@ -151,19 +156,19 @@
   ];
   for (const name of later) {
     for (const value of [null, {}, "x", [null], [[7]], ["i-1", 7]]) {
-      await peer.tell({ heldBack: ["i-1"], [name]: value });
+      await peer.sendFields({ heldBack: ["i-1"], [name]: value });
     }
   }
-  await assertSound(world, peer);
+  await assertEntryWorks(world, peer);
   assert.ok(!knows(world, '"heldBack":true'));
 });
 
-test("datagrams of any bytes change nothing", async (t) => {
+test("datagrams of random bytes or fields are ignored", async (t) => {
   const world = await openWorld(t);
   await world.worker("i-1");
   const peer = await FakePeer.create(t, world);
   const fields = fc.dictionary(
-    fc.constantFrom(...Object.keys(TOLD)),
+    fc.constantFrom(...Object.keys(EMPTY_DATAGRAM)),
     fc.jsonValue(),
     { minKeys: 1 },
   );
@@ -171,12 +176,12 @@
     await peer.send(bytes);
   }
   for (const told of fc.sample(fields, { seed: SEED, numRuns: 200 })) {
-    await peer.tell(told);
+    await peer.sendFields(told);
   }
-  await assertSound(world, peer);
+  await assertEntryWorks(world, peer);
 });
 
-test("peer that answers with something else teaches nothing", async (t) => {
+test("malformed HTTP answers of a peer are ignored", async (t) => {
   const world = await openWorld(t);
   await world.worker("i-1");
   const peer = await FakePeer.create(t, world);
@@ -198,17 +203,17 @@
     peer.answers.set("/relay", JSON.stringify(body));
     const before = peer.asked.length;
     while (!peer.asked.slice(before).includes("/relay")) {
-      await peer.tell({ revision: "99999" });
+      await peer.sendFields({ revision: "99999" });
       await new Promise((resolve) => setTimeout(resolve, 20));
     }
   }
   await until(() => peer.asked.includes("/cached"));
-  await assertSound(world, peer);
+  await assertEntryWorks(world, peer);
   assert.ok(!knows(world, '"storeRevision":"99999"'));
 });
 
-/** A world whose entry has lost the store, where only a peer tells that a server's registration is gone. */
-async function hearDeletion(
+/** Opens a world whose entry lost the store and learns from a peer that a registration is deleted. */
+async function openWithRelayedDeletion(
   t: TestContext,
   told: { storeServedMs: number },
 ): Promise<World> {
@@ -223,53 +228,57 @@
   const catchup = { revision, ageMs: 0, isAll: false, entries: [], deletes };
   peer.answers.set("/relay", JSON.stringify(catchup));
   await until(async () => {
-    await peer.tell({ revision, storeServes: true, ...told });
+    await peer.sendFields({ revision, storeServes: true, ...told });
     return knows(world, '"storeRevision":"99999"');
   });
   return world;
 }
 
-// An entry says that the store serves it until it finds its own watch silent, up to 2.2 s late, and
-// peers counted that word for 1 s more from when they heard it. In an outage of the store a server
-// whose registration lapsed was so dropped until its next heartbeat, though it lived.
-test("server is kept whose lapse a peer tells that was served before the loss only", async (t) => {
-  const world = await hearDeletion(t, { storeServedMs: OUTAGE_MS + 1000 });
+// Guards against dropping a live server in a store outage. An entry reports contact with the store
+// until it detects that its own watch is silent, up to 2.2 s late, and peers used to trust the report
+// for 1 s more. A registration that lapsed then counted as deleted, and its server was not used until
+// its next heartbeat.
+test("deletion relayed by a peer without store contact since the outage keeps the server", async (t) => {
+  const world = await openWithRelayedDeletion(t, {
+    storeServedMs: OUTAGE_MS + 1000,
+  });
   assert.equal((await ask(world, "/book/a")).status, 200);
 });
 
-test("server is dropped whose leaving a peer tells that the store serves since", async (t) => {
-  const world = await hearDeletion(t, { storeServedMs: 0 });
+test("deletion relayed by a peer with current store contact drops the server", async (t) => {
+  const world = await openWithRelayedDeletion(t, { storeServedMs: 0 });
   assert.equal((await ask(world, "/book/a")).status, 503);
 });
 
 /*
- * An entry that loses the store notices it up to 2 s later. Of a deletion that the store told the
- * other entries just before, it heard after that, and kept the server until the store answered a peer
- * once more: with 30 entries, 0.6 s (their pause after changes) and 1.56 s (a watch's wait) later.
+ * Guards against using a deleted server for too long. An entry detects the loss of the store up to 2 s
+ * late. If a peer relayed a deletion from just before the detection, the entry used to keep the server
+ * until the store answered a peer again: with 30 entries, 0.6 s (their coalescing delay) plus 1.56 s
+ * (a watch's wait) later.
  */
-test("server whose leaving a peer heard just before the loss is noticed is let go in time", async (t) => {
+test("deletion that a peer received shortly before the outage is detected drops the server in time", async (t) => {
   const world = await openWorld(t);
   await world.worker("i-1");
   const peer = await FakePeer.create(t, world);
   world.link.silent();
   await until(() => knows(world, '"storeConnected":false'));
   const deletedAtMs = world.clock.nowMs() - 100;
-  // What it does later, by its own clock, is too late; its loops go on.
+  // Stops the entry's clock, so that a later reaction doesn't count; its loops continue.
   setTimeout(() => world.clock.stop(), DRAIN_MS - 100).unref();
   const revision = "99999";
   const deletes = [{ key: "servers/i-1", revision }];
   const catchup = { revision, ageMs: 0, isAll: false, entries: [], deletes };
   peer.answers.set("/relay", JSON.stringify(catchup));
-  for (let told = 0; knows(world, '"i-1"'); told++) {
+  for (let sent = 0; knows(world, '"i-1"'); sent++) {
     const storeServedMs = Math.round(world.clock.nowMs() - deletedAtMs);
-    assert.ok(told < MAX_TELLINGS, "The server is used still");
-    await peer.tell({ revision, storeServes: true, storeServedMs });
+    assert.ok(sent < MAX_DATAGRAMS, "the deleted server is still in use");
+    await peer.sendFields({ revision, storeServes: true, storeServedMs });
     await new Promise((resolve) => setTimeout(resolve, 20));
   }
 });
 
-/** Tokens that an entry expects in a server's cache. */
-async function taughtTokens(world: World, id: string): Promise<number> {
+/** Number of tokens that an entry expects in a server's cache. */
+async function expectedCacheTokens(world: World, id: string): Promise<number> {
   const { ipAddress, controlPort } = world;
   const response = await fetch(`http://${ipAddress}:${controlPort}/cached`);
   const { lessons } = await response.json() as {
@@ -279,26 +288,26 @@
   return parts.reduce((sum, [, tokens]) => sum + tokens, 0);
 }
 
-test("word of a peer about a server's former start doesn't count for the new one", async (t) => {
+test("peer reports about a server's earlier process are not applied to the new one", async (t) => {
   const world = await openWorld(t);
   const worker = await world.engine("i-1");
   const other = await world.engine("i-2");
   const peer = await FakePeer.create(t, world);
   const former = worker.bornAtMs - 1;
   const parts = [["p", 10]];
-  await peer.tell({
+  await peer.sendFields({
     weights: [["i-1", "m", 9, former]],
     prompts: [["i-1", "s", 0, parts, former]],
   });
-  await peer.tell({ prompts: [["i-2", "s", 0, parts, other.bornAtMs]] });
-  await until(async () => await taughtTokens(world, "i-2") === 10);
-  assert.equal(await taughtTokens(world, "i-1"), 0);
-  // A server that is thought to have them already is not ordered.
+  await peer.sendFields({ prompts: [["i-2", "s", 0, parts, other.bornAtMs]] });
+  await until(async () => await expectedCacheTokens(world, "i-2") === 10);
+  assert.equal(await expectedCacheTokens(world, "i-1"), 0);
+  // The server would not be ordered to load weights that it is thought to have already.
   await world.store.put("op/version/m", { model: "m", version: 9 });
   await until(() => worker.version === 9);
 });
 
-test("caches of former starts are not learned", async (t) => {
+test("expected caches of earlier processes are not taken from peers", async (t) => {
   const world = await openWorld(t);
   const worker = await world.engine("i-1");
   const other = await world.engine("i-2");
@@ -309,12 +318,12 @@
     { id: "i-2", bornAtMs: other.bornAtMs, parts },
   ];
   peer.answers.set("/cached", JSON.stringify({ lessons }));
-  await peer.tell({});
-  await until(async () => await taughtTokens(world, "i-2") === 10);
-  assert.equal(await taughtTokens(world, "i-1"), 0);
+  await peer.sendFields({});
+  await until(async () => await expectedCacheTokens(world, "i-2") === 10);
+  assert.equal(await expectedCacheTokens(world, "i-1"), 0);
 });
 
-test("entry whose registered address is none is not told", () => {
+test("registered values that are no IPv4 address are ignored", () => {
   const mirror = StoreMirror.create(new TestClock());
   const values = ["10.0.0.1", "host.example", "", "10.0.0.1:80", "::1", "\xff"];
   values.forEach((value, i) => {
@@ -325,7 +334,7 @@
       modRevision: revision,
       createRevision: revision,
     };
-    mirror.follow({ kind: "put", entry });
+    mirror.applyStep({ kind: "put", entry });
   });
   const registration = Registration.create({
     mirror,
@@ -338,13 +347,14 @@
   assert.deepEqual(registration.ipAddresses(), ["10.0.0.1"]);
 });
 
-// With 68 entries each heard 1,340 datagrams a second; days were given up for their processor time.
-test("entries tell each other less often the more there are", () => {
+// Guards against gossip that uses up the CPU: at a fixed interval of 50 ms, each of 68 entries received
+// 1,340 datagrams per second.
+test("gossip interval grows with the number of entries", () => {
   const heardPerSecond = (entryCount: number) =>
     (entryCount - 1) * 1000 / tellPauseMs(entryCount);
   for (const entryCount of [2, 6, 31, 68]) {
     assert.ok(heardPerSecond(entryCount) <= 125);
   }
-  // Loads are believed for 1.5 s, so that one lost datagram does not end that.
+  // A reported load counts for 1.5 s, so it must outlive one lost datagram.
   assert.ok(tellPauseMs(1000) * 2 < 1500);
 });
--- a/src/router/quotas.ts
+++ b/src/router/quotas.ts
@@ -1,6 +1,6 @@
 /**
- * Limits of workspaces over all entries together. What lies beyond a limit is refused at once; what is
- * sent once more counts again wherever it runs.
+ * Workspace rate limits, shared by all entries. A request over its limit is refused at once; a request
+ * that is resent after it ran is charged again.
  */
 import type { Clock, Metrics } from "../base/mod.ts";
 import {
@@ -13,24 +13,24 @@
 import { QuotaUnit, type Workspace, type WorkspaceQuota } from "./model.ts";
 import type { RoutedRequest } from "./request.ts";
 
-/** What {@link Quotas} work with. */
+/** Options of {@link Quotas}. */
 export interface QuotasOptions {
   clock: Clock;
   metrics: Metrics;
-  /** 0 to 1. */
+  /** Random number from 0 to 1. */
   random: () => number;
-  /** Entries that may live, this one included. */
+  /** Number of entries that may be live, this one included. */
   entryCount(): number;
 }
 
-/** What entries tell each other of limits. */
-export interface QuotaNews {
-  /** When the entry started, since 1970. */
+/** Usage of limits, as entries send it to each other. */
+export interface QuotaUpdate {
+  /** The entry's start time, in ms since 1970. */
   startedAtMs: number;
   taken: BucketRow[];
 }
 
-/** Limits of all workspaces at this entry. */
+/** Rate limits of all workspaces, at this entry. */
 export class Quotas {
   readonly #buckets: SharedBuckets;
   readonly #metrics: Metrics;
@@ -45,19 +45,19 @@
   }
 
   /**
-   * @param options Clock and entries.
-   * @returns No limits.
+   * @param options Clock, metrics, and the number of entries.
+   * @returns Quotas without any limit yet.
    */
   static create(options: QuotasOptions): Quotas {
     return new Quotas(options);
   }
 
-  /** Whether something was taken that the other entries don't know yet. */
-  get hasNews(): boolean {
+  /** Whether usage was charged that the other entries don't know of yet. */
+  get hasUpdate(): boolean {
     return this.#buckets.hasNews;
   }
 
-  /** @param workspaces Those of the configuration in force. */
+  /** @param workspaces Workspaces of the current configuration, with their limits. */
   use(workspaces: readonly Workspace[]): void {
     const limits = new Map<string, RateLimit>();
     for (const { name, quota } of workspaces) {
@@ -67,13 +67,13 @@
   }
 
   /**
-   * @param request A request that is to be sent.
-   * @returns Whether its workspace's limit allows it; it has then been counted.
+   * @param request A request to be sent.
+   * @returns Whether its workspace's limit admits it; an admitted request is charged.
    */
   admit(request: RoutedRequest): BucketVerdict {
     const { workspace } = request;
     if (!workspace?.quota) return { kind: "admitted" };
-    const cost = costOf(request, workspace.quota);
+    const cost = quotaCost(request, workspace.quota);
     const verdict = this.#buckets.tryTake(workspace.name, cost);
     if (verdict.kind === "refused") {
       this.#metrics.counter("over_quota_requests_total", {
@@ -84,36 +84,41 @@
     return verdict;
   }
 
-  /** @param request A request that was counted, and is to run once more. */
+  /** @param request A request that was charged, and is about to run again. */
   runsAgain({ workspace, facts }: RoutedRequest): void {
     if (!workspace?.quota) return;
-    const cost = costOf({ facts }, workspace.quota);
+    const cost = quotaCost({ facts }, workspace.quota);
     this.#buckets.take(workspace.name, cost);
   }
 
-  /** @param request A request that was counted, and has not run. */
+  /** @param request A request that was charged, and did not run. */
   giveBack({ workspace, facts }: RoutedRequest): void {
     if (!workspace?.quota) return;
-    const cost = costOf({ facts }, workspace.quota);
+    const cost = quotaCost({ facts }, workspace.quota);
     this.#buckets.take(workspace.name, -cost);
   }
 
-  /** @returns What the other entries are to know; nothing while no workspace has a limit. */
-  takeNews(): QuotaNews | undefined {
+  /** @returns Usage to send to the other entries; undefined if there is none. */
+  takeUpdate(): QuotaUpdate | undefined {
     const taken = this.#buckets.takeRows();
     if (taken.length === 0) return undefined;
     return { startedAtMs: this.#buckets.startedAtMs, taken };
   }
 
   /**
-   * @param ipAddress Another entry.
-   * @param news What it tells.
+   * Applies the usage that a peer reported.
+   *
+   * @param ipAddress Address of the peer.
+   * @param update The usage.
    */
-  hear(ipAddress: string, { startedAtMs, taken }: QuotaNews): void {
+  applyPeerUpdate(
+    ipAddress: string,
+    { startedAtMs, taken }: QuotaUpdate,
+  ): void {
     this.#buckets.hear(ipAddress, { startedAtMs, rows: taken });
   }
 
-  /** @returns The limits and what is left of them, for dumps. */
+  /** @returns The limits and their remaining levels, for state dumps. */
   state(): BucketState[] {
     return this.#buckets.state();
   }
@@ -122,9 +127,9 @@
 /**
  * @param request A request.
  * @param quota The limit of its workspace.
- * @returns What it counts as, in the limit's unit.
+ * @returns What the request is charged, in the limit's unit.
  */
-export function costOf(
+export function quotaCost(
   { facts }: Pick<RoutedRequest, "facts">,
   { unit, plainTokens }: WorkspaceQuota,
 ): number {
--- a/src/router/quotas_test.ts
+++ b/src/router/quotas_test.ts
@@ -3,10 +3,10 @@
 import { ask, CONFIG, PROMPT } from "../standin/mod.ts";
 import { knows, openWorld, until, useConfig, type World } from "./_world.ts";
 
-/** Tokens of {@link PROMPT}, generated ones included. */
+/** Prompt and output tokens of {@link PROMPT}. */
 const PROMPT_COST = 1280;
 
-/** The configuration with a limit of its workspace, in tokens. */
+/** The default configuration with a rate limit in tokens for its workspace. */
 function limited(version: number, perSecond: number, burst = perSecond) {
   const [workspace] = CONFIG.tenants;
   const quota = {
@@ -23,7 +23,7 @@
   return quotas[0]?.level ?? NaN;
 }
 
-test("what lies beyond a workspace's limit is refused, has not run, and may come back", async (t) => {
+test("request over a workspace's limit is refused without running, with a time to retry", async (t) => {
   const world = await openWorld(t);
   const engine = await world.engine("i-1");
   await useConfig(world, limited(2, 100));
@@ -58,7 +58,7 @@
   }
 });
 
-test("entry that has just started does not have the limit anew", async (t) => {
+test("restarted entry takes over the usage of a limit from its peers", async (t) => {
   const world = await openWorld(t, { entryCount: 2 });
   await world.engine("i-1");
   await useConfig(world, limited(2, 1000));
@@ -74,7 +74,7 @@
   assert.equal((await ask(again, "/stream/a", PROMPT)).status, 429);
 });
 
-test("stale seeds have no part of a limit", async (t) => {
+test("unreachable seeds get no share of a limit", async (t) => {
   const world = await openWorld(t, {
     staleSeeds: ["127.0.0.77", "127.0.0.78"],
   });
@@ -82,7 +82,7 @@
   await until(() => level(world) === 1000);
 });
 
-test("request that no server ran counts nothing", async (t) => {
+test("request that no server ran is not charged", async (t) => {
   const world = await openWorld(t);
   await useConfig(world, limited(2, 1000, 100_000));
   const before = level(world);
@@ -90,7 +90,7 @@
   assert.ok(level(world) >= before);
 });
 
-test("request that runs at a second server counts twice", async (t) => {
+test("request that runs at a second server is charged twice", async (t) => {
   const world = await openWorld(t);
   const [first, second] = [
     await world.engine("i-1"),
@@ -103,7 +103,7 @@
   assert.ok(level(world) <= before - 2 * PROMPT_COST + 10);
 });
 
-test("request without a prompt counts as configured", async (t) => {
+test("request without a prompt is charged the configured cost", async (t) => {
   const world = await openWorld(t);
   await world.worker("i-1");
   await useConfig(world, limited(2, 1, 100_000));
@@ -112,7 +112,7 @@
   assert.ok(Math.abs(before - level(world) - 200) <= 10);
 });
 
-test("workspace without a limit is not counted", async (t) => {
+test("workspace without a limit is not charged", async (t) => {
   const world = await openWorld(t);
   await world.worker("i-1");
   for (let i = 0; i < 20; i++) {
--- a/src/router/registration.ts
+++ b/src/router/registration.ts
@@ -1,19 +1,19 @@
-/** Registers this entry in the store, so that others find it, and finds the others. */
+/** Registers this entry in the store, and discovers the other entries there. */
 import { isIPv4 } from "node:net";
 import type { Clock, Logger } from "../base/mod.ts";
 import type { KeyValueStore } from "../store/store.ts";
 import type { StoreMirror } from "./mirror.ts";
 
-/** Prefix of the keys of entries; the value is the IP number. */
+/** Key prefix of entry registrations; the value is the entry's IP address. */
 export const ENTRIES_PREFIX = "cicadahitch/entries/";
-/** Entries that are gone leave the store within this time. */
-const LEASE_MS = 60_000;
-/** Pause between renewals. */
-const RENEW_MS = 20_000;
-/** Pause after a call that failed. */
-const RETRY_MS = 2000;
+/** TTL of the registration's lease: the registration of a stopped entry expires within this time. */
+const LEASE_TTL_MS = 60_000;
+/** Interval between lease renewals. */
+const RENEW_INTERVAL_MS = 20_000;
+/** Delay before a failed registration is retried. */
+const RETRY_DELAY_MS = 2000;
 
-/** What a {@link Registration} works with. */
+/** Options of a {@link Registration}. */
 export interface RegistrationOptions {
   store: KeyValueStore;
   mirror: StoreMirror;
@@ -23,7 +23,7 @@
   ipAddress: string;
 }
 
-/** The registration of this entry. */
+/** This entry's registration in the store. */
 export class Registration {
   readonly #options: RegistrationOptions;
 
@@ -32,43 +32,43 @@
   }
 
   /**
-   * @param options Store and what to register.
-   * @returns A registration that has not begun.
+   * @param options The store, and the name and address to register.
+   * @returns A registration that is not running yet.
    */
   static create(options: RegistrationOptions): Registration {
     return new Registration(options);
   }
 
-  /** IP numbers of the entries that are registered. */
+  /** IP addresses of the registered entries. */
   ipAddresses(): string[] {
     const decoder = new TextDecoder();
     return this.#options.mirror.entries(ENTRIES_PREFIX)
       .map(({ value }) => decoder.decode(value))
-      // Others may write there, too; a host name would be looked up at each datagram.
+      // Other writers may use the prefix, too; a host name would be resolved for each datagram.
       .filter(isIPv4);
   }
 
-  /** Entries that are registered, this one included. */
+  /** Number of registered entries, this one included. */
   get count(): number {
     return Math.max(1, this.ipAddresses().length);
   }
 
-  /** @param signal Ends the renewals; the registration lapses. */
+  /** @param signal Stops the renewals; the registration then expires. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock } = this.#options;
     while (!signal.aborted) {
       const leaseId = await this.#register();
       if (leaseId === undefined) {
-        await clock.sleep(RETRY_MS, signal);
+        await clock.sleep(RETRY_DELAY_MS, signal);
         continue;
       }
-      await this.#keep(leaseId, signal);
+      await this.#renewUntilLost(leaseId, signal);
     }
   }
 
   async #register(): Promise<bigint | undefined> {
     const { store, instance, ipAddress, log } = this.#options;
-    const granted = await store.grantLease(LEASE_MS);
+    const granted = await store.grantLease(LEASE_TTL_MS);
     if (granted.isErr) return undefined;
     const { leaseId } = granted.value;
     const value = new TextEncoder().encode(ipAddress);
@@ -81,10 +81,10 @@
     return leaseId;
   }
 
-  async #keep(leaseId: bigint, signal: AbortSignal): Promise<void> {
+  async #renewUntilLost(leaseId: bigint, signal: AbortSignal): Promise<void> {
     const { clock, store } = this.#options;
     while (!signal.aborted) {
-      await clock.sleep(RENEW_MS, signal);
+      await clock.sleep(RENEW_INTERVAL_MS, signal);
       if (signal.aborted) return;
       const renewed = await store.renewLease(leaseId);
       if (renewed.isOk && renewed.value.ttlMs <= 0) return;
--- a/src/router/relay.ts
+++ b/src/router/relay.ts
@@ -1,6 +1,6 @@
 /**
- * Passes on what this entry knows of the store to entries that the store doesn't serve. A peer that
- * is behind for a moment catches up by its own watch; only one that stays behind asks.
+ * Relays the store's content to entries that the store doesn't serve. A peer that lags briefly catches
+ * up by its own watch; only one that stays behind requests the changes from another entry.
  */
 import type { Clock, Logger } from "../base/mod.ts";
 import { isConfirmation } from "./peer_datagram.ts";
@@ -9,19 +9,19 @@
 import type {
   Catchup,
   Confirmation,
-  Knowledge,
   MirrorChange,
   StoreMirror,
+  SyncState,
 } from "./mirror.ts";
 
-/** Path of the call, on the control address. */
+/** Path of the relay request, on the control address. */
 export const RELAY_PATH = "/relay";
-/** Time that the own watch has, once it watches, to bring what a peer knows already. */
-const BEHIND_MS = 150;
-/** Pause between questions to peers while nothing is known. */
-const ASK_MS = 250;
-/** Time for one call to a peer. */
-const CALL_MS = 1000;
+/** How long this entry may lag behind a peer before it asks the peer: time for its own watch. */
+const LAG_TOLERANCE_MS = 150;
+/** Interval between requests to peers while the replica is empty. */
+const POLL_INTERVAL_MS = 250;
+/** Timeout of one request to a peer. */
+const REQUEST_TIMEOUT_MS = 1000;
 
 interface WireEntry {
   key: string;
@@ -37,7 +37,7 @@
 
 interface WireCatchup {
   revision: string;
-  /** For entries that ran before `confirmed` was told, which leave that out. */
+  /** Age of the sender's replica; read only by releases without `confirmed`. */
   ageMs: number;
   confirmed?: Confirmation;
   isAll: boolean;
@@ -45,28 +45,28 @@
   deletes: WireDelete[];
 }
 
-/** What a {@link RelayReader} works with. */
+/** Options of a {@link RelayReader}. */
 export interface RelayOptions {
   mirror: StoreMirror;
   clock: Clock;
   log: Logger;
-  /** Port of the control address, the same on every entry. */
+  /** Port of the control address; it is the same on every entry. */
   controlPort: number;
-  /** Pause of the own watch after changes. */
+  /** Delay of this entry's own watch for coalescing changes. */
   gatherMs(): number;
 }
 
 /**
- * @param mirror What this entry knows.
- * @param after Revision that the peer has.
- * @returns The answer to the peer.
+ * @param mirror This entry's replica of the store.
+ * @param after The peer's revision.
+ * @returns Body of the answer to the peer.
  */
 export function relayAnswer(mirror: StoreMirror, after: bigint): string {
-  const catchup = mirror.catchup(after);
-  return JSON.stringify(encode(catchup, mirror.knowledge.confirmed));
+  const catchup = mirror.changesSince(after);
+  return JSON.stringify(encodeCatchup(catchup, mirror.knowledge.confirmed));
 }
 
-/** Catches up by what peers know. */
+/** Brings the local replica up to date from peers. */
 export class RelayReader {
   readonly #options: RelayOptions;
   #behindSinceMs: number | undefined;
@@ -77,7 +77,7 @@
   }
 
   /**
-   * @param options The copy to keep up.
+   * @param options The local replica, and how to reach peers.
    * @returns A reader.
    */
   static create(options: RelayOptions): RelayReader {
@@ -85,66 +85,70 @@
   }
 
   /**
-   * Takes in how much a peer knows, and asks it if this entry stays behind.
+   * Compares a peer's sync state with this entry's, and requests the missing changes from the peer if
+   * this entry stays behind.
    *
-   * @param ipAddress The peer.
-   * @param knowledge What it says.
+   * @param ipAddress Address of the peer.
+   * @param syncState Sync state that the peer reported.
    */
-  async heard(ipAddress: string, knowledge: Knowledge): Promise<void> {
+  async heard(ipAddress: string, syncState: SyncState): Promise<void> {
     const { mirror, clock, gatherMs } = this.#options;
-    if (knowledge.revision <= mirror.revision) {
-      mirror.confirm(knowledge);
-      if (knowledge.revision === mirror.revision) {
+    if (syncState.revision <= mirror.revision) {
+      mirror.confirm(syncState);
+      if (syncState.revision === mirror.revision) {
         this.#behindSinceMs = undefined;
       }
       return;
     }
     this.#behindSinceMs ??= clock.nowMs();
     const behindMs = clock.nowMs() - this.#behindSinceMs;
-    if (behindMs < BEHIND_MS + gatherMs()) return;
+    if (behindMs < LAG_TOLERANCE_MS + gatherMs()) return;
     await this.ask(ipAddress);
   }
 
   /**
-   * Asks peers in turn while nothing is known: the store may be down.
+   * Asks peers in turn while the replica is empty, as the store may be down.
    *
-   * @param ipAddresses Entries that may know.
-   * @param signal Ends the work.
+   * @param ipAddresses Addresses of the peers.
+   * @param signal Stops the requests.
    */
   async askUntilKnown(
     ipAddresses: string[],
     signal: AbortSignal,
   ): Promise<void> {
     const { mirror, clock } = this.#options;
-    await clock.sleep(ASK_MS, signal);
+    await clock.sleep(POLL_INTERVAL_MS, signal);
     for (let i = 0; !signal.aborted && mirror.revision === 0n; i++) {
       const ipAddress = ipAddresses[i % ipAddresses.length];
       if (ipAddress === undefined) return;
       await this.ask(ipAddress);
-      await clock.sleep(ASK_MS, signal);
+      await clock.sleep(POLL_INTERVAL_MS, signal);
     }
   }
 
   /**
-   * Asks a peer for what this entry lacks.
+   * Requests the missing changes from a peer, and applies them.
    *
-   * @param ipAddress The peer.
-   * @returns Whether it answered.
+   * @param ipAddress Address of the peer.
+   * @returns Whether the peer gave a valid answer; false if another request is in flight.
    */
   async ask(ipAddress: string): Promise<boolean> {
     if (this.#isAsking) return false;
     this.#isAsking = true;
     const { mirror, controlPort, log } = this.#options;
-    const caller = HttpCaller.create(`${ipAddress}:${controlPort}`, CALL_MS);
+    const caller = HttpCaller.create(
+      `${ipAddress}:${controlPort}`,
+      REQUEST_TIMEOUT_MS,
+    );
     try {
       const answer = await caller.send({
         method: "GET",
         path: `${RELAY_PATH}?after=${mirror.revision}`,
-        callMs: CALL_MS,
+        callMs: REQUEST_TIMEOUT_MS,
       });
       if (answer.isErr || answer.value.status !== 200) return false;
       const before = mirror.revision;
-      apply(mirror, readCatchup(answer.value.body));
+      applyCatchup(mirror, decodeCatchup(answer.value.body));
       this.#behindSinceMs = undefined;
       log.info({
         event: "caught_up_by_peer",
@@ -164,7 +168,7 @@
   }
 }
 
-function encode(
+function encodeCatchup(
   catchup: Catchup,
   confirmed: Confirmation | undefined,
 ): WireCatchup {
@@ -187,26 +191,26 @@
   };
 }
 
-/** What a peer told, read in whole before any of it counts. */
-interface ReadCatchup extends Knowledge {
+/** A peer's answer, decoded and validated as a whole before any of it is applied. */
+interface DecodedCatchup extends SyncState {
   isAll: boolean;
   entries: KeyValueEntry[];
   deletes: Extract<MirrorChange, { kind: "delete" }>[];
 }
 
-function apply(mirror: StoreMirror, told: ReadCatchup): void {
-  const { revision, entries } = told;
-  if (told.isAll) {
-    mirror.replaceFrom({ entries, revision }, told.confirmed);
+function applyCatchup(mirror: StoreMirror, decoded: DecodedCatchup): void {
+  const { revision, entries } = decoded;
+  if (decoded.isAll) {
+    mirror.replaceFromPeer({ entries, revision }, decoded.confirmed);
     return;
   }
   const changes: MirrorChange[] = [
     ...entries.map((entry): MirrorChange => ({ kind: "put", entry })),
-    ...told.deletes,
+    ...decoded.deletes,
   ];
   changes.sort((a, b) => Number(revisionOf(a) - revisionOf(b)));
-  for (const change of changes) mirror.follow(change);
-  mirror.catchUpTo(told);
+  for (const change of changes) mirror.applyStep(change);
+  mirror.advanceTo(decoded);
 }
 
 function encodeEntry(entry: KeyValueEntry): WireEntry {
@@ -218,47 +222,49 @@
   };
 }
 
-/** Throws a TypeError where a field is missing or of another type. */
-function readCatchup(body: Record<string, unknown>): ReadCatchup {
+/** Throws a TypeError if a field is missing or has another type. */
+function decodeCatchup(body: Record<string, unknown>): DecodedCatchup {
   const { ageMs, confirmed, isAll, entries, deletes } = body as Partial<
     WireCatchup
   >;
-  const isVouched = confirmed === undefined || isConfirmation(confirmed);
-  if (!Number.isFinite(ageMs) || !isVouched || typeof isAll !== "boolean") {
-    throw new TypeError("Catch-up without its age");
+  const isConfirmedValid = confirmed === undefined || isConfirmation(confirmed);
+  if (
+    !Number.isFinite(ageMs) || !isConfirmedValid || typeof isAll !== "boolean"
+  ) {
+    throw new TypeError("Catch-up without a valid age, confirmation or scope");
   }
   if (!Array.isArray(entries) || !Array.isArray(deletes)) {
-    throw new TypeError("Catch-up without entries");
+    throw new TypeError("Catch-up without lists of entries and deletes");
   }
   return {
-    revision: readRevision(body["revision"]),
+    revision: decodeRevision(body["revision"]),
     confirmed,
     isAll,
     entries: entries.map(decodeEntry),
     deletes: deletes.map((row) => ({
       kind: "delete",
-      key: readText(row.key),
-      revision: readRevision(row.revision),
+      key: decodeString(row.key),
+      revision: decodeRevision(row.revision),
     })),
   };
 }
 
 function decodeEntry(entry: WireEntry): KeyValueEntry {
   return {
-    key: readText(entry.key),
-    value: Buffer.from(readText(entry.value), "base64"),
-    modRevision: readRevision(entry.modRevision),
-    createRevision: readRevision(entry.createRevision),
+    key: decodeString(entry.key),
+    value: Buffer.from(decodeString(entry.value), "base64"),
+    modRevision: decodeRevision(entry.modRevision),
+    createRevision: decodeRevision(entry.createRevision),
   };
 }
 
-function readText(value: unknown): string {
+function decodeString(value: unknown): string {
   if (typeof value === "string") return value;
-  throw new TypeError("No text");
+  throw new TypeError("Catch-up field is not a string");
 }
 
-function readRevision(value: unknown): bigint {
-  return BigInt(readText(value));
+function decodeRevision(value: unknown): bigint {
+  return BigInt(decodeString(value));
 }
 
 function revisionOf(change: MirrorChange): bigint {
--- a/src/router/store_client.ts
+++ b/src/router/store_client.ts
@@ -1,23 +1,23 @@
-/** The client of the platform's store, with the times that the router gives its calls. */
+/** Creates the client of the platform's store, with the router's timeouts. */
 import type { Logger } from "../base/mod.ts";
 import { PlatformStore } from "../platform/mod.ts";
 import { type RouterSettings, textOf } from "./settings.ts";
 
-/** The store answers in 4 ms; a connection that takes longer than this is a lost one. */
-const STORE_CONNECT_MS = 500;
-/** A call without an answer by then is taken as lost; calls of a slow store take 60 times 4 ms. */
-const STORE_CALL_MS = 900;
+/** Connect timeout; the store usually answers within 4 ms. */
+const CONNECT_TIMEOUT_MS = 500;
+/** Timeout of a call: a slow store takes 60 times the usual 4 ms. */
+const CALL_TIMEOUT_MS = 900;
 /**
- * A watch is asked anew this often, in heartbeat intervals of servers: 1.6 s where they are 1.2 s.
- * So a connection that went silent is noticed within two of them, before a registration can lapse.
+ * Longest wait of a watch call, in heartbeat intervals of servers: 1.6 s for an interval of 1.2 s. A
+ * dead connection is thus detected within two intervals, before a registration can lapse.
  */
 const WATCH_WAIT_INTERVALS = 1.3;
-/** An answer of a slow store takes 60 times 4 ms; a watch that takes longer is a silent one. */
+/** Time beyond its wait after which a watch call times out: a slow store takes 60 times 4 ms. */
 const WATCH_SLACK_MS = 400;
 
 /**
- * @param settings Address of the store, and how often servers write their registration.
- * @param log Where items are told of that can't be read.
+ * @param settings Address of the store, and the heartbeat interval of servers.
+ * @param log Log for items that can't be decoded.
  * @returns A client.
  */
 export function createStore(
@@ -26,8 +26,8 @@
 ): PlatformStore {
   return PlatformStore.create({
     address: textOf(storeAddress),
-    connectMs: STORE_CONNECT_MS,
-    callMs: STORE_CALL_MS,
+    connectMs: CONNECT_TIMEOUT_MS,
+    callMs: CALL_TIMEOUT_MS,
     watchWaitMs: Math.round(WATCH_WAIT_INTERVALS * heartbeatMs),
     watchSlackMs: WATCH_SLACK_MS,
     onUnreadable: (item) =>
--- a/src/router/store_contact.ts
+++ b/src/router/store_contact.ts
@@ -1,43 +1,46 @@
 /**
- * When the store answered this process and when it didn't, and what follows for registrations that
- * are gone: those that lapsed in an outage are written again after it, those of servers that left
- * are not. Times are counted from the store's return, not from when a deletion came.
+ * Tracks the store's outages as this process sees them, to tell registrations that lapsed in an outage
+ * from those of servers that left: live servers register again after an outage, the others don't.
+ * Grace periods start when the store is back, not when a deletion is received.
  */
 import type { Clock } from "../base/mod.ts";
 
 /**
- * A registration lapses after three heartbeat intervals of silence: where two heartbeats in a row
- * are lost and the next one is a little late. So a store that is away for one interval lapses some.
+ * Heartbeat intervals of failing calls after which registrations may have lapsed. A registration
+ * lapses after three intervals without a write, which happens when two heartbeats in a row are lost
+ * and the next one is a little late; a store that is down for one interval can cause that.
  */
-const AWAY_INTERVALS = 1;
+const FAILING_INTERVALS = 1;
 /**
- * Time without an answer that shows the same where calls failed for a shorter time. A watch
- * whose connection has gone silent, while the store serves everyone, takes less.
+ * Heartbeat intervals without any answer after which registrations may have lapsed, even if calls
+ * failed for a shorter time. A watch recovers from a dead connection, while the store serves
+ * everyone, in less time.
  */
 const SILENT_INTERVALS = 2;
 /**
- * Registrations that lapsed are back within about two seconds of the store's return, which is met up
- * to a second late. Servers are looked at every 0.1 s, so one that did not come back is out of use
- * 3 s after the return, when the store counts as stable again and its word on leaving binds.
+ * Grace period for servers to register again, from the first answer after an outage. Lapsed
+ * registrations are back within about 2 s of the store's recovery, which is noticed up to 1 s late.
+ * Servers are checked every 0.1 s, so one that did not register again is out of use 3 s after the
+ * recovery, when the store counts as stable again and deletions are binding.
  */
-const RETURN_MS = 1900;
+const REREGISTRATION_GRACE_MS = 1900;
 
-/** A process that is not told that it runs for this long, some times the usual, has stood still. */
-const STANDSTILL_MS = 500;
-/** What waited while it did has been read by then. */
-const READ_MS = 500;
+/** A gap between ticks from which the process counts as stalled; several times the usual interval. */
+const STALL_MS = 500;
+/** Time after a stall by which the input that arrived during it has been read. */
+const STALL_BACKLOG_MS = 500;
 
-/** A time in which the store didn't answer this process. */
+/** A period in which the store didn't answer this process. */
 export interface Outage {
   isOver: boolean;
-  /** So far, where it isn't over; left out where it began before this process. */
+  /** Length so far if the outage isn't over; absent if it began before this process started. */
   lengthMs?: number;
 }
 
-/** What a {@link StoreContact} works with. */
+/** Options of a {@link StoreContact}. */
 export interface StoreContactOptions {
   clock: Clock;
-  /** Pause between writes of a server's registration. */
+  /** Interval at which servers write their registration. */
   heartbeatMs: number;
 }
 
@@ -48,20 +51,20 @@
   regainedAtMs: number;
 }
 
-/** Contact with the store. */
+/** State of the contact with the store. */
 export class StoreContact {
   readonly #clock: Clock;
   readonly #heartbeatMs: number;
   #answeredAtMs = -Infinity;
   #lostAtMs: number | undefined;
-  /** The last one in which registrations may have lapsed. */
-  #past: PastOutage | undefined;
-  /** Time without an answer before the one that is taken now. */
+  /** The last outage that is over and in which registrations may have lapsed. */
+  #lastOutage: PastOutage | undefined;
+  /** Time without contact before the changes that are received now; 0 once caught up. */
   #gapMs = 0;
   readonly #startedAtMs: number;
   #tickedAtMs: number | undefined;
-  /** The last time in which the process stood still. */
-  #standstill: { lengthMs: number; endedAtMs: number } | undefined;
+  /** The last stall of this process. */
+  #lastStall: { lengthMs: number; endedAtMs: number } | undefined;
 
   private constructor({ clock, heartbeatMs }: StoreContactOptions) {
     this.#clock = clock;
@@ -71,7 +74,7 @@
 
   /**
    * @param options Clock and heartbeat interval.
-   * @returns Contact that has not been made yet.
+   * @returns A state in which the store has not answered yet.
    */
   static create(options: StoreContactOptions): StoreContact {
     return new StoreContact(options);
@@ -82,38 +85,41 @@
     return this.#lostAtMs === undefined && this.#answeredAtMs > -Infinity;
   }
 
-  /** Whether registrations that lapsed in an outage may still be written again. */
+  /** Whether servers whose registrations lapsed in an outage may still register again. */
   get awaitsReturns(): boolean {
-    return !this.connected || this.#sinceRegainedMs < RETURN_MS;
+    return !this.connected || this.#sinceRegainedMs < REREGISTRATION_GRACE_MS;
   }
 
   /**
-   * The outage in which a registration may have lapsed whose deletion is taken now. Servers that
-   * live write theirs within one heartbeat interval of the store's return, so that later deletions
-   * have another cause.
+   * The outage that may be the cause of a deletion received now, if any. Live servers write their
+   * registration within one heartbeat interval of the store's recovery, so later deletions have
+   * another cause.
    */
   get outage(): Outage | undefined {
     if (!this.connected) {
-      const lengthMs = finite(this.#nowMs - this.#answeredAtMs);
+      const lengthMs = finiteOrUndefined(this.#nowMs - this.#answeredAtMs);
       return { isOver: false, lengthMs };
     }
-    if (!this.#past || this.#sinceRegainedMs >= this.#heartbeatMs) {
+    if (!this.#lastOutage || this.#sinceRegainedMs >= this.#heartbeatMs) {
       return undefined;
     }
-    return { isOver: true, lengthMs: finite(this.#past.silentMs) };
+    return {
+      isOver: true,
+      lengthMs: finiteOrUndefined(this.#lastOutage.silentMs),
+    };
   }
 
-  /** For how long what is heard of the store now may have been so; 0: it has just changed. */
+  /** Longest time since the changes received now were made, from lost contact or a stall; 0: none. */
   get maxAgeMs(): number {
     if (!this.connected) return this.#nowMs - this.#answeredAtMs;
-    return Math.max(this.#gapMs, this.#standstillMs);
+    return Math.max(this.#gapMs, this.#stallMs);
   }
 
   /**
-   * Whether others were served by the store while it didn't answer this process, so that what is
-   * deleted has another cause than the outage.
+   * Whether the store answered another entry while it didn't answer this process, so that deletions
+   * have another cause than an outage.
    *
-   * @param servedAtMs When the store answered another entry.
+   * @param servedAtMs When the store last answered another entry.
    */
   isServedElsewhere(servedAtMs: number): boolean {
     const isRecent =
@@ -121,26 +127,26 @@
     return isRecent && servedAtMs > this.#outageFromMs;
   }
 
-  /** Time since the store's last answer, while it has served this process for a while. */
+  /** Time since the store's last answer; undefined unless contact is stable. */
   get servedMs(): number | undefined {
     if (this.awaitsReturns) return undefined;
     return this.#nowMs - this.#answeredAtMs;
   }
 
-  /** The process runs; to be told often. */
+  /** Records that the process runs; called at short intervals to detect stalls. */
   tick(): void {
     const nowMs = this.#nowMs;
     const lengthMs = nowMs - (this.#tickedAtMs ?? nowMs);
-    if (lengthMs >= STANDSTILL_MS) {
-      this.#standstill = { lengthMs, endedAtMs: nowMs };
+    if (lengthMs >= STALL_MS) {
+      this.#lastStall = { lengthMs, endedAtMs: nowMs };
     }
     this.#tickedAtMs = nowMs;
   }
 
   /**
-   * A call got no answer.
+   * Records a failed call.
    *
-   * @returns Whether it is the first one since the last answer.
+   * @returns Whether it is the first failure since the last answer.
    */
   failed(): boolean {
     if (this.#lostAtMs !== undefined) return false;
@@ -149,16 +155,16 @@
   }
 
   /**
-   * A call was answered.
+   * Records an answered call.
    *
-   * @returns Time since the first unanswered call, if there was one.
+   * @returns Time since the first failed call after the previous answer, if there was one.
    */
   answered(): number | undefined {
     const nowMs = this.#nowMs;
     const silentMs = nowMs - this.#answeredAtMs;
     if (this.#mayHaveLapsed(silentMs)) {
       const fromMs = this.#lostAtMs ?? this.#answeredAtMs;
-      this.#past = { fromMs, silentMs, regainedAtMs: nowMs };
+      this.#lastOutage = { fromMs, silentMs, regainedAtMs: nowMs };
     }
     const lostAtMs = this.#lostAtMs;
     if (!this.connected) this.#gapMs = silentMs;
@@ -167,35 +173,35 @@
     return lostAtMs === undefined ? undefined : nowMs - lostAtMs;
   }
 
-  /** All was taken that had changed without contact. */
-  caughtUp(): void {
+  /** Records that all changes made while contact was lost have been received. */
+  markCaughtUp(): void {
     this.#gapMs = 0;
   }
 
   #mayHaveLapsed(silentMs: number): boolean {
     if (silentMs >= SILENT_INTERVALS * this.#heartbeatMs) return true;
     if (this.#lostAtMs === undefined) return false;
-    const awayMs = this.#nowMs - this.#lostAtMs;
-    if (awayMs >= AWAY_INTERVALS * this.#heartbeatMs) return true;
-    // What lapsed in the outage before had no time to be back.
-    return this.#answeredAtMs - this.#regainedAtMs < RETURN_MS;
+    const failingMs = this.#nowMs - this.#lostAtMs;
+    if (failingMs >= FAILING_INTERVALS * this.#heartbeatMs) return true;
+    // Registrations that lapsed in the previous outage had no time to be written again.
+    return this.#answeredAtMs - this.#regainedAtMs < REREGISTRATION_GRACE_MS;
   }
 
-  /** When the store last was lost. */
+  /** Start of the current outage, or of the last one that is over. */
   get #outageFromMs(): number {
-    if (this.connected) return this.#past?.fromMs ?? -Infinity;
-    // The loss is noticed some time after it; what the store told a peer in between is no lapse.
+    if (this.connected) return this.#lastOutage?.fromMs ?? -Infinity;
+    // The outage starts before it is detected; a deletion that a peer received in between is no lapse.
     return Math.max(this.#answeredAtMs, this.#startedAtMs);
   }
 
-  /** How long what is read now may have waited while the process stood still; 0: not at all. */
-  get #standstillMs(): number {
+  /** Longest time that the input read now may have waited because of a stall; 0 without one. */
+  get #stallMs(): number {
     const sinceTickMs = this.#nowMs - (this.#tickedAtMs ?? this.#nowMs);
-    if (sinceTickMs >= STANDSTILL_MS) return sinceTickMs;
-    if (!this.#standstill) return 0;
-    const { lengthMs, endedAtMs } = this.#standstill;
+    if (sinceTickMs >= STALL_MS) return sinceTickMs;
+    if (!this.#lastStall) return 0;
+    const { lengthMs, endedAtMs } = this.#lastStall;
     const sinceMs = this.#nowMs - endedAtMs;
-    return sinceMs < READ_MS ? lengthMs + sinceMs : 0;
+    return sinceMs < STALL_BACKLOG_MS ? lengthMs + sinceMs : 0;
   }
 
   get #sinceRegainedMs(): number {
@@ -203,7 +209,7 @@
   }
 
   get #regainedAtMs(): number {
-    return this.#past?.regainedAtMs ?? -Infinity;
+    return this.#lastOutage?.regainedAtMs ?? -Infinity;
   }
 
   get #nowMs(): number {
@@ -211,6 +217,6 @@
   }
 }
 
-function finite(ms: number): number | undefined {
+function finiteOrUndefined(ms: number): number | undefined {
   return Number.isFinite(ms) ? ms : undefined;
 }
--- a/src/router/store_contact_test.ts
+++ b/src/router/store_contact_test.ts
@@ -6,21 +6,21 @@
 const HEARTBEAT_MS = 1000;
 const CALL_MS = 900;
 
-interface Made {
+interface Fixture {
   contact: StoreContact;
   clock: TestClock;
 }
 
-/** Contact that was made long ago. */
-function create(): Made {
-  const made = createNew();
-  made.contact.answered();
-  made.clock.advance(60_000);
-  for (let i = 0; i < 3; i++) answer(made);
-  return made;
+/** Creates a contact that has been stable for a long time. */
+function create(): Fixture {
+  const fixture = createUnused();
+  fixture.contact.answered();
+  fixture.clock.advance(60_000);
+  for (let i = 0; i < 3; i++) answer(fixture);
+  return fixture;
 }
 
-function createNew(): Made {
+function createUnused(): Fixture {
   const clock = new TestClock();
   return {
     contact: StoreContact.create({ clock, heartbeatMs: HEARTBEAT_MS }),
@@ -28,14 +28,14 @@
   };
 }
 
-/** A call that is answered at once, the usual pause after the one before. */
-function answer({ contact, clock }: Made): void {
+/** Records an answered call, one heartbeat interval after the previous call. */
+function answer({ contact, clock }: Fixture): void {
   clock.advance(HEARTBEAT_MS);
   contact.answered();
 }
 
-/** Calls in vain, one behind the other, and one that is answered. */
-function outage({ contact, clock }: Made, calls: number): void {
+/** Records successive calls that time out, and one that is answered. */
+function outage({ contact, clock }: Fixture, calls: number): void {
   for (let i = 0; i < calls; i++) {
     clock.advance(CALL_MS);
     contact.failed();
@@ -43,43 +43,43 @@
   contact.answered();
 }
 
-/** A call that fails at once. */
-function refused({ contact }: Made): void {
+/** Records a call that fails at once. */
+function refused({ contact }: Fixture): void {
   contact.failed();
 }
 
-test("without an outage nothing has lapsed", () => {
+test("without an outage no registration may have lapsed", () => {
   const { contact } = create();
   assert.equal(contact.outage, undefined);
   assert.equal(contact.awaitsReturns, false);
 });
 
-test("call in vain and silence of less than two heartbeat intervals lapse nothing", () => {
-  const made = create();
-  outage(made, 2);
-  assert.equal(made.contact.outage, undefined);
-  assert.equal(made.contact.awaitsReturns, false);
+test("failed calls within less than two heartbeat intervals are no outage", () => {
+  const fixture = create();
+  outage(fixture, 2);
+  assert.equal(fixture.contact.outage, undefined);
+  assert.equal(fixture.contact.awaitsReturns, false);
 });
 
-test("store that refuses calls for a heartbeat interval may have missed two heartbeats", () => {
+test("store that refuses calls for a heartbeat interval is an outage", () => {
   for (const [refusedMs, mayLapse] of [[999, false], [1000, true]] as const) {
-    const made = create();
-    refused(made);
-    made.clock.advance(refusedMs);
-    made.contact.answered();
-    assert.equal(made.contact.outage !== undefined, mayLapse);
+    const fixture = create();
+    refused(fixture);
+    fixture.clock.advance(refusedMs);
+    fixture.contact.answered();
+    assert.equal(fixture.contact.outage !== undefined, mayLapse);
   }
 });
 
-test("outage is as long as the time without an answer", () => {
-  const made = create();
-  made.clock.advance(2 * HEARTBEAT_MS - CALL_MS);
-  outage(made, 1);
+test("length of an outage is the time without an answer", () => {
+  const fixture = create();
+  fixture.clock.advance(2 * HEARTBEAT_MS - CALL_MS);
+  outage(fixture, 1);
   const lengthMs = 2 * HEARTBEAT_MS;
-  assert.deepEqual(made.contact.outage, { isOver: true, lengthMs });
+  assert.deepEqual(fixture.contact.outage, { isOver: true, lengthMs });
 });
 
-test("what is deleted while the store is away may have lapsed", () => {
+test("deletions during an outage may be lapses", () => {
   const { contact, clock } = create();
   clock.advance(60_000);
   refused({ contact, clock });
@@ -88,138 +88,141 @@
   assert.equal(contact.awaitsReturns, true);
 });
 
-test("what is deleted a heartbeat interval after the outage has not lapsed", () => {
-  const made = create();
-  outage(made, 5);
-  made.clock.advance(HEARTBEAT_MS - 1);
-  assert.deepEqual(made.contact.outage, {
+test("deletions from one heartbeat interval after an outage on are no lapses", () => {
+  const fixture = create();
+  outage(fixture, 5);
+  fixture.clock.advance(HEARTBEAT_MS - 1);
+  assert.deepEqual(fixture.contact.outage, {
     isOver: true,
     lengthMs: 5 * CALL_MS,
   });
-  made.clock.advance(1);
-  assert.equal(made.contact.outage, undefined);
-});
-
-test("returns are awaited for some two seconds after the store's", () => {
-  const made = create();
-  outage(made, 5);
-  made.clock.advance(1899);
-  assert.equal(made.contact.awaitsReturns, true);
-  made.clock.advance(1);
-  assert.equal(made.contact.awaitsReturns, false);
-});
-
-test("answers that follow the first one change nothing", () => {
-  const made = create();
-  outage(made, 5);
-  answer(made);
-  answer(made);
-  assert.equal(made.contact.awaitsReturns, false);
-});
-
-test("process that was frozen may have missed an outage", () => {
-  const made = create();
-  made.clock.advance(60_000);
-  made.contact.answered();
-  assert.deepEqual(made.contact.outage, { isOver: true, lengthMs: 60_000 });
-  assert.equal(made.contact.awaitsReturns, true);
-});
-
-test("short outage soon after a long one gives what lapsed time anew", () => {
-  const made = create();
-  outage(made, 5);
-  made.clock.advance(HEARTBEAT_MS);
-  outage(made, 1);
-  assert.equal(made.contact.outage?.isOver, true);
-  made.clock.advance(1899);
-  assert.equal(made.contact.awaitsReturns, true);
-  made.clock.advance(1);
-  assert.equal(made.contact.awaitsReturns, false);
-});
-
-test("short outage long after a long one lapses nothing", () => {
-  const made = create();
-  outage(made, 5);
-  for (let i = 0; i < 3; i++) answer(made);
-  outage(made, 1);
-  assert.equal(made.contact.outage, undefined);
-  assert.equal(made.contact.awaitsReturns, false);
-});
-
-test("process that has just begun knows no end of what lapsed before it", () => {
-  const made = createNew();
-  assert.equal(made.contact.connected, false);
-  assert.equal(made.contact.outage?.isOver, false);
-  made.contact.answered();
-  assert.equal(made.contact.connected, true);
-  assert.deepEqual(made.contact.outage, { isOver: true, lengthMs: undefined });
-  assert.equal(made.contact.awaitsReturns, true);
-  made.clock.advance(1900);
-  assert.equal(made.contact.awaitsReturns, false);
-});
-
-test("what is heard first may be of any age", () => {
-  const { contact } = createNew();
+  fixture.clock.advance(1);
+  assert.equal(fixture.contact.outage, undefined);
+});
+
+test("servers may register again for about two seconds after an outage", () => {
+  const fixture = create();
+  outage(fixture, 5);
+  fixture.clock.advance(1899);
+  assert.equal(fixture.contact.awaitsReturns, true);
+  fixture.clock.advance(1);
+  assert.equal(fixture.contact.awaitsReturns, false);
+});
+
+test("further answers after an outage do not extend the grace period", () => {
+  const fixture = create();
+  outage(fixture, 5);
+  answer(fixture);
+  answer(fixture);
+  assert.equal(fixture.contact.awaitsReturns, false);
+});
+
+test("long silence without a failed call counts as an outage", () => {
+  const fixture = create();
+  fixture.clock.advance(60_000);
+  fixture.contact.answered();
+  assert.deepEqual(fixture.contact.outage, { isOver: true, lengthMs: 60_000 });
+  assert.equal(fixture.contact.awaitsReturns, true);
+});
+
+test("short outage soon after a long one restarts the grace period", () => {
+  const fixture = create();
+  outage(fixture, 5);
+  fixture.clock.advance(HEARTBEAT_MS);
+  outage(fixture, 1);
+  assert.equal(fixture.contact.outage?.isOver, true);
+  fixture.clock.advance(1899);
+  assert.equal(fixture.contact.awaitsReturns, true);
+  fixture.clock.advance(1);
+  assert.equal(fixture.contact.awaitsReturns, false);
+});
+
+test("short outage long after a long one does not count", () => {
+  const fixture = create();
+  outage(fixture, 5);
+  for (let i = 0; i < 3; i++) answer(fixture);
+  outage(fixture, 1);
+  assert.equal(fixture.contact.outage, undefined);
+  assert.equal(fixture.contact.awaitsReturns, false);
+});
+
+test("outage before the first answer has no known length", () => {
+  const fixture = createUnused();
+  assert.equal(fixture.contact.connected, false);
+  assert.equal(fixture.contact.outage?.isOver, false);
+  fixture.contact.answered();
+  assert.equal(fixture.contact.connected, true);
+  assert.deepEqual(fixture.contact.outage, {
+    isOver: true,
+    lengthMs: undefined,
+  });
+  assert.equal(fixture.contact.awaitsReturns, true);
+  fixture.clock.advance(1900);
+  assert.equal(fixture.contact.awaitsReturns, false);
+});
+
+test("first changes after a start may have any age", () => {
+  const { contact } = createUnused();
   assert.equal(contact.maxAgeMs, Infinity);
   contact.answered();
   assert.equal(contact.maxAgeMs, Infinity);
-  contact.caughtUp();
+  contact.markCaughtUp();
   assert.equal(contact.maxAgeMs, 0);
 });
 
-test("what is heard after calls in vain may be as old as the last answer", () => {
-  const made = create();
-  const { contact, clock } = made;
-  contact.caughtUp();
+test("changes after failed calls may be as old as the last answer", () => {
+  const fixture = create();
+  const { contact, clock } = fixture;
+  contact.markCaughtUp();
   assert.equal(contact.maxAgeMs, 0);
   clock.advance(CALL_MS);
   contact.failed();
-  // A peer may tell meanwhile.
+  // A peer may relay changes meanwhile.
   assert.equal(contact.maxAgeMs, CALL_MS);
   clock.advance(CALL_MS);
-  // Steps of one answer count as answers each.
+  // Each step of an answer is recorded as an answer.
   for (let step = 0; step < 2; step++) {
     contact.answered();
     assert.equal(contact.maxAgeMs, 2 * CALL_MS);
   }
-  contact.caughtUp();
-  answer(made);
+  contact.markCaughtUp();
+  answer(fixture);
   assert.equal(contact.maxAgeMs, 0);
 });
 
-// A version that was named while a process stood still came as news when it went on, and the old
-// weights were used for as long again: up to 2 s where no other entry had heard it in time.
-test("what comes right behind a standstill may be as old as that", () => {
-  const made = create();
-  made.contact.caughtUp();
-  made.contact.tick();
-  made.clock.advance(2000);
-  made.contact.tick();
-  made.contact.answered();
-  assert.equal(made.contact.maxAgeMs, 2000);
-  // What was waiting has been read by then.
+// Guards against taking a version that was named during a stall for new: the old weights were then used
+// for the length of the stall again, up to 2 s, unless another entry reported the version in time.
+test("changes right after a stall may be as old as the stall", () => {
+  const fixture = create();
+  fixture.contact.markCaughtUp();
+  fixture.contact.tick();
+  fixture.clock.advance(2000);
+  fixture.contact.tick();
+  fixture.contact.answered();
+  assert.equal(fixture.contact.maxAgeMs, 2000);
+  // The input that arrived during the stall has been read by then.
   for (let i = 0; i < 10; i++) {
-    made.clock.advance(100);
-    made.contact.tick();
+    fixture.clock.advance(100);
+    fixture.contact.tick();
   }
-  assert.equal(made.contact.maxAgeMs, 0);
+  assert.equal(fixture.contact.maxAgeMs, 0);
 });
 
-test("process that runs all the time takes what it hears for new", () => {
-  const made = create();
-  made.contact.caughtUp();
+test("changes without a stall count as new", () => {
+  const fixture = create();
+  fixture.contact.markCaughtUp();
   for (let i = 0; i < 20; i++) {
-    made.clock.advance(100);
-    made.contact.tick();
-    assert.equal(made.contact.maxAgeMs, 0);
+    fixture.clock.advance(100);
+    fixture.contact.tick();
+    assert.equal(fixture.contact.maxAgeMs, 0);
   }
 });
 
-test("what comes before a late tick may be as old as the tick is late", () => {
-  const made = create();
-  made.contact.caughtUp();
-  made.contact.tick();
-  made.clock.advance(1500);
-  made.contact.answered();
-  assert.equal(made.contact.maxAgeMs, 1500);
+test("changes before an overdue tick may be as old as the time since the last tick", () => {
+  const fixture = create();
+  fixture.contact.markCaughtUp();
+  fixture.contact.tick();
+  fixture.clock.advance(1500);
+  fixture.contact.answered();
+  assert.equal(fixture.contact.maxAgeMs, 1500);
 });
--- a/src/router/tell_pace.ts
+++ b/src/router/tell_pace.ts
@@ -1,44 +1,50 @@
-/** How often entries tell each other of what changes. */
+/** Intervals between the datagrams that entries send each other. */
 
-/** Pause between datagrams while something changes: a tenth of the time to a first token. */
-export const TELL_MS = 50;
+/** Shortest interval between datagrams, while state changes: a tenth of a time to first token. */
+export const MIN_INTERVAL_MS = 50;
 /**
- * Loads and prompts are told less often the more entries there are, so that up to 75 of them hear at
- * most 125 datagrams a second each. Told every 50 ms, 68 entries took 235.8 s of processor time in
- * their first 22 s, and so 154.1 s.
+ * The interval for loads and prompts grows with the number of entries, so that each of up to 75
+ * entries receives at most 125 datagrams per second. In their first 22 s, 68 entries used 154.1 s of
+ * CPU time this way, and 235.8 s at a fixed interval of 50 ms.
  */
-const TELL_MS_PER_ENTRY = 8;
-/** Within the time for which a load is believed, with room for a lost datagram; the limit beyond 75. */
-const TELL_MOST_MS = 600;
+const INTERVAL_MS_PER_ENTRY = 8;
+/** Longest interval, reached at 75 entries: a reported load outlives it even if one datagram is lost. */
+const MAX_INTERVAL_MS = 600;
 
-/** A pause is longer or shorter by up to this part. */
-const JITTER_SHARE = 0.5;
+/** Largest deviation of a jittered interval from its mean, as a fraction of it. */
+const JITTER_RATIO = 0.5;
 
 /**
- * @param entryCount Entries that live.
- * @returns Pause between an entry's datagrams while loads and prompts change.
+ * @param entryCount Number of live entries.
+ * @returns Interval between an entry's datagrams while loads and prompts change.
  */
 export function tellPauseMs(entryCount: number): number {
-  const pauseMs = entryCount * TELL_MS_PER_ENTRY;
-  return Math.min(TELL_MOST_MS, Math.max(TELL_MS, pauseMs));
+  const pauseMs = entryCount * INTERVAL_MS_PER_ENTRY;
+  return Math.min(
+    MAX_INTERVAL_MS,
+    Math.max(MIN_INTERVAL_MS, pauseMs),
+  );
 }
 
 /**
- * Entries in step fill a busy link together, which then loses what the same ones tell each time.
+ * Adds jitter, so that entries don't send in step: a busy link would then drop datagrams of the same
+ * entries each time.
  *
- * @param pauseMs A pause.
- * @param random 0 to 1.
- * @returns The pause to make, the same in the mean.
+ * @param intervalMs The mean interval.
+ * @param random Random number from 0 to 1.
+ * @returns The interval with jitter.
  */
-export function jittered(pauseMs: number, random: () => number): number {
-  return pauseMs * (1 + JITTER_SHARE * (2 * random() - 1));
+export function jittered(intervalMs: number, random: () => number): number {
+  return intervalMs * (1 + JITTER_RATIO * (2 * random() - 1));
 }
 
 /**
+ * Rotates a list by a random offset. A full link drops the last of the datagrams sent at once; with a
+ * random start, these are not always for the same entries.
+ *
  * @param items Items in any order.
- * @param random 0 to 1.
- * @returns The same, from one that chance picks on: of datagrams sent at once a link that is full
- * loses the last ones, which are then not always to the same entries.
+ * @param random Random number from 0 to 1.
+ * @returns The same items, starting with a random one.
  */
 export function rotated<T>(items: T[], random: () => number): T[] {
   const from = Math.floor(random() * items.length);
--- a/src/router/tell_pace_test.ts
+++ b/src/router/tell_pace_test.ts
@@ -1,14 +1,14 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { seededRandom } from "../base/random.ts";
-import { jittered, rotated, TELL_MS } from "./tell_pace.ts";
+import { jittered, MIN_INTERVAL_MS, rotated } from "./tell_pace.ts";
 
 const SEED = 20_261_204;
 const DRAWS = 1000;
 
-// An entry with a busy link did not hear the same four to nine others for up to four seconds, and
-// counted nothing of what they took of a workspace's limit.
-test("no entry is always told last", () => {
+// Guards against a fixed send order: on a busy link, an entry received nothing from the same four to
+// nine peers for up to 4 s, and missed their usage of workspace limits.
+test("every entry is equally often the last to be sent to", () => {
   const random = seededRandom(SEED);
   const names = ["a", "b", "c", "d"];
   const last = new Map<string, number>();
@@ -24,14 +24,14 @@
   assert.deepEqual(rotated([], random), []);
 });
 
-test("entries that started in step don't stay in step, and tell as often", () => {
+test("jitter moves entries out of step and keeps the mean interval", () => {
   const random = seededRandom(SEED);
   let oneMs = 0;
   let otherMs = 0;
   for (let i = 0; i < DRAWS; i++) {
-    oneMs += jittered(TELL_MS, random);
-    otherMs += jittered(TELL_MS, random);
+    oneMs += jittered(MIN_INTERVAL_MS, random);
+    otherMs += jittered(MIN_INTERVAL_MS, random);
   }
-  assert.ok(Math.abs(oneMs - otherMs) > TELL_MS);
-  assert.ok(Math.abs(oneMs / DRAWS / TELL_MS - 1) < 0.05);
+  assert.ok(Math.abs(oneMs - otherMs) > MIN_INTERVAL_MS);
+  assert.ok(Math.abs(oneMs / DRAWS / MIN_INTERVAL_MS - 1) < 0.05);
 });
--- a/src/router/told_of_servers_test.ts
+++ b/src/router/told_of_servers_test.ts
@@ -4,12 +4,12 @@
 import { knows, openWorld, until } from "./_world.ts";
 
 /*
- * 12 of 40 engines crashed and others came up at their addresses. Nothing was under way at the
- * former ones, so each of 31 entries sent them requests until it had met the refusal itself: of
- * those that were refused in the end 540 had last been sent to a wrong server and 324 to one that
- * refused connections, while 28 engines lived.
+ * Guards against each entry having to find a dead server by itself. When 12 of 40 idle engines crashed
+ * and others started at their addresses, each of 31 entries kept sending requests to them until it got
+ * a refusal itself. Although 28 engines were alive, 540 of the requests that failed in the end had last
+ * been sent to a wrong server, and 324 to one that refused connections.
  */
-test("server whose address another one has is dropped by all entries", async (t) => {
+test("server whose address belongs to another one is dropped by all entries", async (t) => {
   const world = await openWorld(t, { entryCount: 2 });
   const [near, far] = world.entries;
   const other = await StandinPlatformWorker.create({ id: "i-2" });
