--- a/src/router/named_record_test.ts
+++ b/src/router/named_record_test.ts
@@ -3,10 +3,10 @@
 import { openRollWorld } from "./_roll_kit.ts";
 import { NAMED_RECORD_KEY, readNamedAges } from "./named_record.ts";
 
-/** Clocks of instances may differ by this much. */
+/** Maximum clock skew between instances. */
 const CLOCK_ERROR_MS = 2500;
 
-test("holder of the lease records when weights were named, once", async (t) => {
+test("lease holder records once when weights were published", async (t) => {
   const { clock, store, wanted, startCandidate } = openRollWorld(t, {
     engineCount: 2,
   });
@@ -26,7 +26,7 @@
   assert.ok(Math.abs(age!.ageMs - 3400 - CLOCK_ERROR_MS) < 100);
 });
 
-test("successor keeps what was recorded before", async (t) => {
+test("new lease holder keeps the versions recorded before", async (t) => {
   const { clock, store, wanted, startCandidate } = openRollWorld(t, {
     engineCount: 2,
   });
@@ -45,7 +45,7 @@
   assert.deepEqual(ages.map(({ version }) => version), [2, 3]);
 });
 
-test("record that another writer has spoilt, or of a clock that is off, tells nothing", () => {
+test("malformed record, or one with a time in the future, yields no ages", () => {
   const read = (text: string, wallMs: number) =>
     readNamedAges({
       key: NAMED_RECORD_KEY,
--- a/src/router/order_records_test.ts
+++ b/src/router/order_records_test.ts
@@ -35,7 +35,7 @@
   return { clock, store, records, acquire };
 }
 
-test("recorded engine is another holder's for a turn, then nobody's", async () => {
+test("record of an engine expires after the minimum time between holders", async () => {
   const { clock, records, acquire } = setUp();
   const lease = await acquire("a");
   assert.ok(await records("a").record("e1", lease));
@@ -46,14 +46,14 @@
   assert.deepEqual(other.orderedByOthers(), new Set());
 });
 
-test("own records are nobody else's", async () => {
+test("holder's own records do not count as orders by others", async () => {
   const { records, acquire } = setUp();
   const own = records("a");
   await own.record("e1", await acquire("a"));
   assert.deepEqual(own.orderedByOthers(), new Set());
 });
 
-test("holder whose lease another one has taken records nothing", async () => {
+test("record fails when another holder has acquired the lease", async () => {
   const { clock, records, acquire } = setUp();
   const before = await acquire("a");
   await clock.advance(LEASE_MS + 1);
@@ -62,7 +62,7 @@
   assert.deepEqual(records("b").orderedByOthers(), new Set());
 });
 
-test("store that is down takes no record, and the next one is tried again", async () => {
+test("record fails while the store is down and succeeds afterwards", async () => {
   const { store, records, acquire } = setUp();
   const lease = await acquire("a");
   const own = records("a");
@@ -72,7 +72,7 @@
   assert.ok(await own.record("e1", lease));
 });
 
-test("process that starts again keeps what its former one recorded", async () => {
+test("restarted process keeps the engines that it recorded before", async () => {
   const { records, acquire } = setUp();
   const lease = await acquire("a");
   assert.ok(await records("a").record("e1", lease));
@@ -80,7 +80,7 @@
   assert.deepEqual(records("b").orderedByOthers(), new Set(["e1", "e2"]));
 });
 
-test("many engines at once share records", async () => {
+test("concurrent records are batched", async () => {
   const { store, records, acquire } = setUp();
   const lease = await acquire("a");
   const own = records("a");
@@ -89,12 +89,13 @@
   const written = await Promise.all(ids.map((id) => own.record(id, lease)));
   assert.ok(written.every((isWritten) => isWritten));
   assert.deepEqual(records("b").orderedByOthers(), new Set(ids));
-  // One commit for those that came before it began, as all here did.
+  // All engines were added before the write started, so that one commit suffices.
   assert.equal(store.table.revision - before, 1n);
 });
 
-// Each record wakes every entry's watch: calls to the store rose by 44% on a day of 25 entries.
-test("nothing is recorded where holders wait a whole turn", async () => {
+// Each record causes an event on every entry's watch: with 25 entries, calls to the store rose by
+// 44%.
+test("nothing is recorded if engines do not check fencing numbers", async () => {
   const { store, records, acquire } = setUp();
   const lease = await acquire("a");
   const before = store.table.revision;
@@ -102,7 +103,7 @@
   assert.equal(store.table.revision, before);
 });
 
-test("value of another writer names no engine", async () => {
+test("malformed record yields no engines", async () => {
   const { store, records } = setUp();
   for (const text of ["{", "7", '{"serverIds":3}', '{"serverIds":[1,null]}']) {
     const value = new TextEncoder().encode(text);
--- a/src/router/replaced_weights_test.ts
+++ b/src/router/replaced_weights_test.ts
@@ -1,8 +1,7 @@
-// An engine's weights had been replaced for 16.3 s, and requests still began on them; 10 s are
-// allowed. All came from one entry, which had been killed and had started again: it logged
-// "listening" at 14.38 s and "weights_wanted" at 14.47 s, took the version that it found named, at
-// 3.03 s, for one named just now, and would have used the old weights until 23.5 s. Its requests at
-// 19.25 s were sent while every other entry had left the engine alone for 7 s.
+// Guards against an entry that restarts and treats replaced weights as new. The restarted entry
+// took a version published 11 s before for one published just now, and sent requests to the old
+// weights 16.3 s after they had been replaced (10 s are allowed), 7 s after all other entries had
+// stopped.
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -15,10 +14,10 @@
   type World,
 } from "./_world.ts";
 
-/** Replaced weights are not used any more when they are this old. */
+/** Age from which replaced weights get no new requests. */
 const RETIRED_MS = 9500;
 
-/** Names version 2 of an engine's weights, which it does not load. */
+/** Publishes version 2 of an engine's weights, which the engine does not load. */
 async function replaceWeights(world: World) {
   const engine = await world.engine("i-1");
   engine.faults.refuseOrder = Infinity;
@@ -31,7 +30,7 @@
   return knows(entry, '"wanted":[{"model":"m","version":2');
 }
 
-test("entry that has started again does not take replaced weights for new", async (t) => {
+test("restarted entry does not treat replaced weights as new", async (t) => {
   const world = await openWorld(t, { entryCount: 2 });
   const [first, second] = world.entries;
   const engine = await replaceWeights(world);
@@ -49,34 +48,34 @@
   assert.equal(engine.runs.length, 0);
 });
 
-test("entry whom nobody tells the age takes replaced weights for old", async (t) => {
+test("restarted entry without peers assumes that replaced weights are old", async (t) => {
   const world = await openWorld(t);
   const engine = await replaceWeights(world);
   await world.router.stop();
   const again = await world.restart(world.entries[0]!);
   await until(() => knowsNewVersion(again) && knows(again, "i-1"));
-  // Long before an entry that had heard it named would give the engine up.
+  // An entry that had observed the publication would use the engine for much longer.
   again.clock.aheadMs = RETIRED_MS / 3;
   assert.equal((await ask(again, "/stream/a", PROMPT)).status, 503);
   assert.equal(engine.runs.length, 0);
 });
 
-test("entry that thaws learns from its peer for how long weights are replaced", async (t) => {
+test("resumed entry learns the age of replaced weights from its peer", async (t) => {
   const world = await openWorld(t, { entryCount: 2 });
-  const [awake, frozen] = world.entries;
+  const [running, suspended] = world.entries;
   await replaceWeights(world);
-  // The monotonic clock of a machine that is suspended stands still.
-  awake!.clock.aheadMs = RETIRED_MS;
+  // The monotonic clock of a suspended instance does not advance.
+  running!.clock.aheadMs = RETIRED_MS;
   let status = 200;
-  // Far below the time after which it would give the engine up by itself.
+  // Much less than the time after which the entry itself would stop using the engine.
   for (let i = 0; i < 40 && status === 200; i++) {
     await sleep(100);
-    status = (await ask(frozen!, "/stream/a", PROMPT)).status;
+    status = (await ask(suspended!, "/stream/a", PROMPT)).status;
   }
   assert.equal(status, 503);
 });
 
-test("entry that hears late of new weights counts their age from its last contact", async (t) => {
+test("entry that sees new weights late counts their age from its last store contact", async (t) => {
   const world = await openWorld(t);
   const engine = await world.engine("i-1");
   engine.faults.refuseOrder = Infinity;
@@ -86,16 +85,17 @@
   world.entries[0]!.clock.aheadMs = RETIRED_MS;
   world.link.up();
   await until(() => knowsNewVersion(world));
-  // As old as it can be, the version leaves its former one as long as one of unknown age.
+  // The version gets its maximum age, so that the replaced one is used as long as one of unknown
+  // age.
   world.entries[0]!.clock.aheadMs += RETIRED_MS / 3;
   assert.equal((await ask(world, "/stream/a", PROMPT)).status, 503);
   assert.equal(engine.runs.length, 0);
 });
 
-// Two requests reached an engine 7.5 s after its weights had been replaced, when that was still
-// allowed, waited 2.6 s in its queue ("expectedMs" 456, "ttftMs" 2508) and began at 10.05 s and
-// 10.16 s, when it was not. Nothing took them back.
-test("request that has not begun on replaced weights in time is taken back", async (t) => {
+// Guards against queued requests that start too late: two requests were sent 7.5 s after the
+// weights had been replaced, waited 2.6 s in the engine's queue and started after 10.05 s and
+// 10.16 s.
+test("request that has not started on replaced weights in time is cancelled", async (t) => {
   const world = await openWorld(t, { weightsBoundMs: 1500 });
   const engine = await world.engine("i-1");
   engine.faults.refuseOrder = Infinity;
@@ -103,13 +103,14 @@
   const asked = ask(world, "/once/a", PROMPT);
   await until(() => engine.runs.length === 1);
   await world.store.put("op/version/m", { model: "m", version: 2 });
-  // At the client's deadline it would be 504.
+  // If the request waited until the client's deadline, the status would be 504.
   assert.equal((await asked).status, 502);
 });
 
-// All entries lost power 0.65 s after a request had been sent, 5.7 s after its engine's weights had
-// been replaced; nobody was left to take it back, and the engine began it 4.4 s later, at 10.07 s.
-test("engine itself gives up what waits on replaced weights beyond the bound", async (t) => {
+// Guards against late starts when no entry is left to cancel a request: all entries lost power
+// 0.65 s after a request had been sent, 5.7 s after the weights had been replaced, and the engine
+// started it 4.4 s later, at 10.07 s.
+test("engine gets a deadline for requests that wait on replaced weights", async (t) => {
   const boundMs = 10_000;
   const ageMs = 5700;
   const world = await openWorld(t, { weightsBoundMs: boundMs });
@@ -121,8 +122,8 @@
   assert.ok(Number(run?.headers["deadline-ms"]) < boundMs - ageMs);
 });
 
-// A stream's engine was told to end it when its weights had to begin nothing more; the run was cut
-// there (at 15.754 s, 1.26 s after it had begun), and the caller's connection closed in the middle.
+// Guards against truncated streams: an engine ended a run 1.26 s after its start, at the deadline
+// for its replaced weights, and the client's connection was closed in the middle of the answer.
 test("stream that its engine ends with the old weights' time goes on at another", async (t) => {
   const world = await openWorld(t, { weightsBoundMs: 1500 });
   const slow = { model: "m", events: 40, eventMs: 50 };
@@ -139,7 +140,7 @@
   });
   await until(() => engines.some(({ runs }) => runs.length > 0));
   const other = engines.find(({ runs }) => runs.length === 0)!;
-  // The other engine takes the new weights, and is not behind any more.
+  // The other engine loads the new weights, so that its weights are current.
   other.faults.refuseOrder = 0;
   const answer = await asked;
   assert.equal(answer.status, 200);
@@ -147,9 +148,9 @@
   assert.equal(other.runs.length, 1);
 });
 
-// An engine that refused a request for its weights, and did not say which it has, counted as one
-// with the newest, and was never ordered them.
-test("engine that does not say which weights it has is still ordered the new ones", async (t) => {
+// Guards against engines that are never ordered: an engine that refused a request because of its
+// weights, without reporting its version, was assumed to have the newest version.
+test("engine that refuses a request without its weights version is still ordered", async (t) => {
   const world = await openWorld(t);
   const engine = await replaceWeights(world);
   engine.faults.refuseWeights = 1;
--- a/src/router/roll_bound_test.ts
+++ b/src/router/roll_bound_test.ts
@@ -1,11 +1,9 @@
-// Answers began on weights that had been replaced 10.07 s before; 10 s are allowed. Why had their
-// engine no order by then? In three plays of that day (entries frozen just as they had renewed the
-// roll's lease, all without power at 34.04 s) the log shows it: the holder froze at 16.36 s, another
-// entry took the lease at 18.10 s ("roll_lease_taken", "waitMs" 3200) and ordered at 21.46 s, 5.1 s
-// later. Power was back, and another entry had the lease, at 35.98 s; its first orders, at 39.17 s,
-// came 10.6 s after the naming ("weights_ordered", "replacedMs" 10595). Each new holder waited 3.2 s
-// for an order that the one before might just have given, to any engine, though only orders to one
-// engine may not take turns, and the one before had ordered most engines long ago or never.
+// Guards against orders that come too late when lease holders are lost: answers started on weights
+// that had been replaced for 10.07 s; 10 s are allowed. Each new holder waited 3.2 s before its
+// first order, for any engine that the previous holder might just have ordered. After a holder
+// froze, the first order came 5.1 s later; after a power loss of all entries, 10.6 s after the
+// publication. The wait is only needed for engines that the previous holder has actually ordered
+// within that time.
 import assert from "node:assert/strict";
 import { test, type TestContext } from "node:test";
 import {
@@ -19,17 +17,17 @@
 
 const ENTRIES = ["a", "b", "c", "d"];
 const ENGINES = 6;
-/** The first holder waits for a turn of a holder that may have been before it. */
+/** Time in which the first holder waits for orders of a possible previous holder. */
 const FIRST_TURN_MS = 4000;
-/** Time from a kill to the process's next start. */
+/** Time from a kill to the restart of the process. */
 const START_MS = 1500;
-/** Pause between looks of a test at who holds the lease. */
+/** Interval at which the test checks who holds the lease. */
 const STEP_MS = 50;
 
-/** Entries, each with the process that runs there, if one does. */
+/** Running processes by entry. */
 type Processes = Map<string, TestCandidate>;
 
-/** Numbers that repeat for a seed, 0 to 1. */
+/** Returns a pseudorandom generator of numbers from 0 to 1 that is reproducible by its seed. */
 function seededRandom(seed: number): () => number {
   let state = seed * 2654435761 >>> 0;
   return () => {
@@ -46,7 +44,7 @@
   return [...processes].find(([, { roll }]) => roll.holdsLease)?.[0];
 }
 
-/** Kills a process; the entry's next one comes a while later. */
+/** Kills a process and restarts it after `forMs`. */
 function kill(
   { clock, startCandidate }: RollWorld,
   processes: Processes,
@@ -57,7 +55,7 @@
   void clock.sleep(forMs).then(() => processes.set(id, startCandidate(id)));
 }
 
-/** Lets time pass; the holder is killed at each of some times, counted from now. */
+/** Advances the clock by `untilMs` and kills the lease holder at each time of `atMs`. */
 async function killHolders(
   world: RollWorld,
   processes: Processes,
@@ -78,7 +76,7 @@
   }
 }
 
-/** @returns Pairs of orders to one engine by two holders within a turn. */
+/** @returns Pairs of orders to one engine by two different holders less than `turnMs` apart. */
 function findEarlyHandovers(orders: AcceptedOrder[], turnMs: number): string[] {
   return orders.flatMap((order, i) =>
     orders.slice(0, i).filter((before) =>
@@ -94,47 +92,47 @@
 
 async function openWithNewVersion(
   t: TestContext,
-): Promise<{ world: RollWorld; processes: Processes; namedAtMs: number }> {
+): Promise<{ world: RollWorld; processes: Processes; publishedAtMs: number }> {
   const world = openRollWorld(t, { engineCount: ENGINES });
   const processes = start(world);
   await world.clock.advance(FIRST_TURN_MS);
   world.wanted.name({ model: "m", version: 2 }, { maxAgeMs: 0 });
-  return { world, processes, namedAtMs: world.clock.nowMs() };
+  return { world, processes, publishedAtMs: world.clock.nowMs() };
 }
 
 function assertOrderedInTime(
-  { world, namedAtMs }: { world: RollWorld; namedAtMs: number },
+  { world, publishedAtMs }: { world: RollWorld; publishedAtMs: number },
   seed: number,
 ): void {
   const { orders, engines } = world;
   const lateMs = engines.map(({ id }) => {
     const order = orders.find(({ engine }) => engine === id);
-    return order ? order.atMs - namedAtMs : Infinity;
+    return order ? order.atMs - publishedAtMs : Infinity;
   });
   assert.ok(Math.max(...lateMs) < BOUND_MS, `seed ${seed}: ${lateMs}`);
   assert.deepEqual(findEarlyHandovers(orders, TURN_MS), [], `seed ${seed}`);
 }
 
-// The longest time from a naming to the last order, with a lease of 1.5 s: each holder that is lost
-// costs up to 2.1 s, and engines are ordered at once from 8.5 s on.
-test("three holders lost one after the other leave every engine ordered in time", async (t) => {
+// With a lease of 1.5 s, each lost holder delays the last order by up to 2.1 s; from 8.5 s on,
+// engines are ordered without waiting.
+test("engines are ordered in time although three holders are lost in a row", async (t) => {
   for (let seed = 1; seed <= 40; seed++) {
     const random = seededRandom(seed);
-    const named = await openWithNewVersion(t);
-    await killHolders(named.world, named.processes, {
+    const opened = await openWithNewVersion(t);
+    await killHolders(opened.world, opened.processes, {
       atMs: [0, 1, 2].map((i) => (i + random()) * 2000),
       forMs: () => START_MS + random() * 4500,
       untilMs: BOUND_MS + 2000,
     });
-    assertOrderedInTime(named, seed);
+    assertOrderedInTime(opened, seed);
   }
 });
 
-test("power lost at all entries after a holder leaves every engine ordered in time", async (t) => {
+test("engines are ordered in time although a holder and then all entries are lost", async (t) => {
   for (let seed = 1; seed <= 40; seed++) {
     const random = seededRandom(seed);
-    const named = await openWithNewVersion(t);
-    const { world, processes } = named;
+    const opened = await openWithNewVersion(t);
+    const { world, processes } = opened;
     const lostAtMs = 2500 + random() * 3500;
     await killHolders(world, processes, {
       atMs: [random() * 2000],
@@ -145,6 +143,6 @@
       kill(world, processes, { id, forMs: START_MS + random() * 300 });
     }
     await world.clock.advance(BOUND_MS + 2000 - lostAtMs);
-    assertOrderedInTime(named, seed);
+    assertOrderedInTime(opened, seed);
   }
 });
--- a/src/router/roll_pace_test.ts
+++ b/src/router/roll_pace_test.ts
@@ -7,7 +7,7 @@
   maxConcurrentLoads,
 } from "./roll_pace.ts";
 
-/** Age of replaced weights at which engines are to be ordered. */
+/** Age of replaced weights by which engines must be ordered. */
 const ORDER_BY_MS = 8500;
 
 function pace(replacedMs: number[], heldBackCount = 0) {
@@ -25,44 +25,44 @@
   return Array.from({ length: count }, () => ms);
 }
 
-test("engines that fit one after the other are not late", () => {
+test("engines that can be ordered one after the other are not urgent", () => {
   assert.equal(countUrgent(pace([])), 0);
   assert.equal(countUrgent(pace(sameAge(5, 0), 1)), 0);
 });
 
-test("more are late the less time is left", () => {
+test("more engines are urgent the less time is left", () => {
   const late = [0, 3000, 5000, 6500, 7500].map((ms) =>
     countUrgent(pace(sameAge(6, ms)))
   );
   assert.deepEqual(late, [1, 2, 2, 3, 6]);
 });
 
-test("all that are overdue are late, whatever is out", () => {
+test("all overdue engines are urgent, however many are held back", () => {
   const overdue = sameAge(4, ORDER_BY_MS + 1);
   assert.equal(countUrgent(pace(overdue, 2)), 4);
 });
 
-test("engine that is out makes room for the next ones", () => {
+test("held-back engines reduce the number of urgent ones", () => {
   assert.equal(countUrgent(pace(sameAge(3, 5000), 1)), 1);
   assert.equal(countUrgent(pace(sameAge(2, 5000), 1)), 0);
 });
 
-test("old engine among new ones counts by its own age", () => {
+test("engine with old weights is urgent by its own age", () => {
   assert.equal(countUrgent(pace([8000, 0, 0, 0], 1)), 1);
 });
 
-test("engines with runs have room for a fifth, all together for two", () => {
+test("a fifth of the engines may be held back with runs, at least two in all", () => {
   assert.deepEqual(computeCapacity(pace([])), { busy: 1, total: 2 });
   const idleOut = { ...pace([], 1), busyHeldBackCount: 0 };
   assert.deepEqual(computeCapacity(idleOut), { busy: 1, total: 1 });
 });
 
-test("a fifth of many engines, and a quarter without runs, is more than two", () => {
+test("limits are a fifth with runs and a quarter in all where engines are many", () => {
   const many = { ...pace([]), engineCount: 20 };
   assert.deepEqual(computeCapacity(many), { busy: 4, total: 5 });
 });
 
-test("more engines load at once the more there are", () => {
+test("number of concurrent loads grows with the number of engines", () => {
   assert.deepEqual([3, 8, 13, 40, 53].map(maxConcurrentLoads), [
     2,
     2,
@@ -72,7 +72,7 @@
   ]);
 });
 
-test("more are late where weights load longer", () => {
+test("more engines are urgent if loads take longer", () => {
   const input = pace(sameAge(6, 3000));
   const slow = countUrgent({ ...input, loadMs: 4000 });
   assert.ok(slow > countUrgent(input));
--- a/src/router/wanted_weights_test.ts
+++ b/src/router/wanted_weights_test.ts
@@ -12,7 +12,7 @@
   return { wanted: WantedVersions.create({ clock, boundMs: BOUND_MS }), clock };
 }
 
-test("weights are replaced since the first newer version was named", () => {
+test("weights are replaced since the first newer version was published", () => {
   const { wanted, clock } = create();
   assert.equal(wanted.replacedForMs("m", 1), 0);
   assert.ok(wanted.name({ model: "m", version: 2 }, SEEN_AT_ONCE));
@@ -25,7 +25,7 @@
   assert.equal(wanted.replacedForMs("other", 1), 0);
 });
 
-test("version that is no newer changes nothing", () => {
+test("version that is not newer changes nothing", () => {
   const { wanted, clock } = create();
   wanted.name({ model: "m", version: 3 }, SEEN_AT_ONCE);
   clock.advance(500);
@@ -34,7 +34,7 @@
   assert.equal(wanted.replacedForMs("m", 1), 500);
 });
 
-test("age that nobody knows counts as stale and is not told", () => {
+test("unknown age counts as stale and is not sent to peers", () => {
   const { wanted, clock } = create();
   wanted.name({ model: "m", version: 2 }, UNKNOWN_AGE);
   assert.equal(wanted.replacedForMs("m", 1), wanted.limits.staleFromMs);
@@ -43,7 +43,7 @@
   assert.ok(wanted.replacedForMs("m", 1) >= wanted.limits.retiredFromMs);
 });
 
-test("peer's word corrects an assumed age both ways, a heard one upwards", () => {
+test("age from a peer replaces an assumed age and raises an observed one", () => {
   for (const ageMs of [100, 20_000]) {
     const { wanted } = create();
     wanted.name({ model: "m", version: 2 }, UNKNOWN_AGE);
@@ -59,7 +59,7 @@
   assert.equal(wanted.replacedForMs("m", 1), 5000);
 });
 
-test("peer tells of a version before the store does, and of one in between", () => {
+test("peer may report a version before the store, and an intermediate one", () => {
   const { wanted } = create();
   assert.ok(wanted.tell({ model: "m", version: 3, ageMs: 50 }));
   assert.equal(wanted.newest("m"), 3);
@@ -70,7 +70,7 @@
   assert.equal(wanted.replacedForMs("m", 2), 50);
 });
 
-test("ages pass from entry to entry, and those of long ago as long ago", () => {
+test("ages are relayed between entries and capped", () => {
   const { wanted, clock } = create();
   wanted.name({ model: "m", version: 2 }, SEEN_AT_ONCE);
   clock.advance(4000);
@@ -84,7 +84,7 @@
   assert.ok(age && age.ageMs >= 2 * BOUND_MS && age.ageMs < 3 * BOUND_MS);
 });
 
-test("entry that starts learns that old weights were replaced by more than one version", () => {
+test("new entry learns that old weights were replaced by several versions", () => {
   const { wanted, clock } = create();
   for (let version = 2; version <= 6; version++) {
     wanted.name({ model: "m", version }, SEEN_AT_ONCE);
@@ -99,11 +99,11 @@
     assert.ok(started.replacedForMs("m", version) >= known, `v${version}`);
   }
   assert.equal(started.replacedForMs("m", 6), 0);
-  // Those that replaced nothing but what is too old anyway are not told.
+  // Versions that only replaced weights of the maximum age are not sent.
   assert.ok(wanted.ages().length < 6);
 });
 
-test("bound of less than the margins makes no age negative", () => {
+test("bound that is smaller than the margins makes no age negative", () => {
   const clock = new TestClock();
   const wanted = WantedVersions.create({ clock, boundMs: 2000 });
   wanted.name({ model: "m", version: 2 }, UNKNOWN_AGE);
--- a/src/router/weights_roll_test.ts
+++ b/src/router/weights_roll_test.ts
@@ -10,21 +10,21 @@
   TURN_MS,
 } from "./_roll_kit.ts";
 
-/** The first holder waits for a turn of a holder that may have been before it. */
+/** Time in which the first holder waits for orders of a possible previous holder. */
 const FIRST_TURN_MS = 4000;
-/** Time of the roll's lease. */
+/** TTL of the roll's lease. */
 const LEASE_MS = 1500;
-/** The version is heard of at once. */
+/** Options of a version that is noticed as soon as it is published. */
 const SEEN_AT_ONCE = { maxAgeMs: 0 };
 
-/** Gives every engine runs that can't go on at another one. */
+/** Gives every engine runs that can't continue on another engine. */
 function keepBusy({ fleet }: TestCandidate, runs = 1): void {
   for (const server of fleet.all()) {
     for (let i = 0; i < runs; i++) server.begin(0, true);
   }
 }
 
-/** A holder whose turn is over, and a version that has just been named. */
+/** Starts a holder that may give orders at once, and publishes version 2. */
 async function startRoll(
   t: TestContext,
   { holderId = "a", ...options }: RollWorldOptions & { holderId?: string },
@@ -36,7 +36,7 @@
   return { ...world, holder };
 }
 
-/** @returns The shortest time between orders of two holders to one engine. */
+/** @returns The shortest time between orders of two different holders to one engine. */
 function shortestHandoverMs(orders: AcceptedOrder[]): number {
   const turnsMs = orders.flatMap((order, i) =>
     orders.slice(0, i).filter(({ engine, holderId }) =>
@@ -46,12 +46,14 @@
   return Math.min(Infinity, ...turnsMs);
 }
 
-/** Names a third version when engines have just been ordered the second one, so that all lack it. */
+/** Publishes version 3 after orders of version 2, so that all engines have to change again. */
 function publishThirdVersion({ wanted }: RollWorld): void {
   wanted.name({ model: "m", version: 3 }, SEEN_AT_ONCE);
 }
 
-/** Kills the holder in its roll, starts a process, and returns the times of later orders since. */
+/**
+ * Kills the holder during its roll, starts a process, and returns the times of the later orders.
+ */
 async function orderTimesAfterKill(
   { clock, orders, startCandidate }: RollWorld,
   { holder, nextId }: { holder: TestCandidate; nextId: string },
@@ -65,7 +67,7 @@
   return orders.slice(before).map(({ atMs }) => atMs - killedAtMs);
 }
 
-/** Lets time pass, and returns how many engines were held back at most. */
+/** Advances the clock and returns the maximum number of engines held back at once. */
 async function countMostHeldBack(
   { clock }: RollWorld,
   { roll }: TestCandidate,
@@ -79,39 +81,39 @@
   return most;
 }
 
-test("roll in time takes out one of six busy engines at once", async (t) => {
+test("one of six busy engines is held back at once if there is enough time", async (t) => {
   const world = await startRoll(t, { engineCount: 6 });
   keepBusy(world.holder);
-  // A share of a fifth, of six.
+  // A fifth of six engines, rounded.
   assert.equal(
     await countMostHeldBack(world, world.holder, { forMs: 3000 }),
     1,
   );
 });
 
-test("every engine is brought to the wanted weights", async (t) => {
+test("every engine loads the published version", async (t) => {
   const { clock, engines } = await startRoll(t, { engineCount: 6 });
   await clock.advance(BOUND_MS);
   assert.ok(engines.every(({ version }) => version === 2));
 });
 
-test("successor of another holder spares the engines that it ordered for a turn", async (t) => {
+test("new holder waits only for engines that the previous holder ordered", async (t) => {
   const world = await startRoll(t, { engineCount: 4 });
   const { holder, orders } = world;
   await world.clock.advance(500);
   publishThirdVersion(world);
   const timesMs = await orderTimesAfterKill(world, { holder, nextId: "b" });
   assert.equal(timesMs.length, 4);
-  // The others have no order behind them that could be one of two within a turn.
+  // Engines that the previous holder has not ordered may be ordered at once.
   assert.ok(timesMs[0]! < 2500, `${timesMs}`);
   assert.ok(shortestHandoverMs(orders) >= TURN_MS);
   assert.ok(shortestHandoverMs(orders) < Infinity);
 });
 
-// Engines were on weights that had been replaced 16 s before, since one engine at a time was changed
-// however late the roll was: the second of six had its order 6.6 s after the naming, the last after
-// 18 s (weights_wanted at 3.03, weights_ordered at 3.59, 9.60, 13.49, 18.32 and later).
-test("roll that begins late has ordered every engine in time", async (t) => {
+// Guards against a late roll that changes one engine at a time: the second of six engines was
+// ordered 6.6 s after the publication and the last after 18 s, so that engines ran weights replaced
+// 16 s ago.
+test("roll that starts late orders every engine in time", async (t) => {
   const world = openRollWorld(t, { engineCount: 6 });
   const { clock, wanted, orders } = world;
   wanted.name({ model: "m", version: 2 }, SEEN_AT_ONCE);
@@ -122,48 +124,48 @@
   assert.ok(orders.every(({ atMs }) => atMs < BOUND_MS - 1000));
 });
 
-// An order waited for the 19 runs of its engine, and all other engines with it: engine_back with
-// loadedMs 2864.
-test("engine whose runs end late does not hold up the others", async (t) => {
+// Guards against one engine that delays all others: an order took 2.9 s, since it waited for the
+// engine's 19 runs, and all other engines waited for it.
+test("engine with long runs does not delay the others", async (t) => {
   const world = await startRoll(t, { engineCount: 6 });
   const { clock, orders, engines } = world;
   keepBusy(world.holder);
   for (const engine of engines) engine.runsMs = 2900;
-  const namedAtMs = clock.nowMs();
+  const publishedAtMs = clock.nowMs();
   await clock.advance(BOUND_MS);
   assert.equal(new Set(orders.map(({ engine }) => engine)).size, 6);
-  assert.ok(orders.every(({ atMs }) => atMs - namedAtMs < BOUND_MS - 1000));
+  assert.ok(orders.every(({ atMs }) => atMs - publishedAtMs < BOUND_MS - 1000));
 });
 
-test("engines are ordered at once when their weights may soon not be used", async (t) => {
+test("engines are ordered at once when their weights reach the age limit", async (t) => {
   const world = openRollWorld(t, { engineCount: 6 });
   const { clock, wanted, orders } = world;
   wanted.name({ model: "m", version: 2 }, SEEN_AT_ONCE);
   await clock.advance(6000);
   keepBusy(world.startCandidate("a"), 19);
-  // The turn ends at 9.2 s; runs that could be waited for end at the engine.
+  // The holder may order from 9.2 s on; no time is left to wait for runs.
   await clock.advance(BOUND_MS - 6000);
   assert.equal(new Set(orders.map(({ engine }) => engine)).size, 6);
 });
 
-// Engines that had just started, and ran nothing, were ordered one by one.
-test("engines without runs are ordered two at a time", async (t) => {
+// Guards against a slow roll: idle engines that had just started were ordered one by one.
+test("idle engines are ordered two at a time", async (t) => {
   const world = await startRoll(t, { engineCount: 6 });
   const { holder, orders } = world;
   assert.equal(await countMostHeldBack(world, holder, { forMs: 3500 }), 2);
   assert.equal(new Set(orders.map(({ engine }) => engine)).size, 6);
 });
 
-// Of 53 engines eleven were held back at once, and two of them loaded: the rest stood idle for it.
-test("engine that is held back does not wait long for others to load", async (t) => {
+// Guards against idle engines: eleven of 53 engines were held back at once, but only two loaded.
+test("held-back engine does not wait long for others to load", async (t) => {
   const world = await startRoll(t, { engineCount: 53 });
   const { clock, orders } = world;
   await clock.advance(2500);
-  // A quarter of them in each 0.9 s.
+  // A quarter of the engines every 0.9 s.
   assert.ok(orders.length >= 26, `${orders.length}`);
 });
 
-test("half of few engines stays in use, also without runs", async (t) => {
+test("at least half of a few idle engines stay in use", async (t) => {
   const world = await startRoll(t, { engineCount: 3 });
   assert.equal(
     await countMostHeldBack(world, world.holder, { forMs: 3500 }),
@@ -171,19 +173,19 @@
   );
 });
 
-// The holder's process was killed twice, was back within 1.1 s, took the lease that its former life
-// had held, and waited a turn for it: roll_lease_taken at 5.97 and 14.98, the next orders at 9.60 and
-// 18.32, 3.3 s later or more. An instance is one holder.
-test("holder that starts again orders without a wait", async (t) => {
+// Guards against a wait for the holder's own orders: a process that restarted within 1.1 s reacquired
+// its lease and then waited at least 3.3 s before its next order. A restarted instance is the same
+// holder.
+test("restarted holder orders without waiting", async (t) => {
   const world = await startRoll(t, { engineCount: 6 });
   const { holder, orders } = world;
   const timesMs = await orderTimesAfterKill(world, { holder, nextId: "a" });
-  // The lease of its former life lapses 1.5 s after its last renewal.
+  // The lease of the killed process expires 1.5 s after its last renewal.
   assert.ok(timesMs[0]! < 2000);
   assert.ok(orders.at(-1)!.fencingNumber > orders[0]!.fencingNumber);
 });
 
-test("holder that starts again waits where fences are not checked", async (t) => {
+test("restarted holder waits if engines do not check fencing numbers", async (t) => {
   const options = { engineCount: 6, enginesCheckFences: false };
   const world = await startRoll(t, options);
   const { holder } = world;
@@ -192,7 +194,7 @@
   assert.ok(timesMs.every((ms) => ms >= TURN_MS));
 });
 
-test("successor of another holder waits for its turn where fences are not checked", async (t) => {
+test("new holder waits if engines do not check fencing numbers", async (t) => {
   const options = { engineCount: 4, enginesCheckFences: false };
   const world = await startRoll(t, options);
   const { holder } = world;
@@ -202,14 +204,14 @@
   assert.ok(timesMs.every((ms) => ms >= TURN_MS));
 });
 
-test("holder before another one spares what the other ordered for a turn", async (t) => {
+test("holder that regains the lease waits for engines that the other holder ordered", async (t) => {
   const world = openRollWorld(t, { engineCount: 6 });
   const { clock, wanted, orders } = world;
   const before = world.startCandidate("a");
   await clock.advance(FIRST_TURN_MS);
   before.kill();
   const holder = world.startCandidate("b");
-  // Its turn behind a.
+  // Holder b acquires the lease after a's expires, and waits before its first order.
   await clock.advance(LEASE_MS + FIRST_TURN_MS);
   wanted.name({ model: "m", version: 2 }, SEEN_AT_ONCE);
   await clock.advance(500);
@@ -220,28 +222,28 @@
   assert.ok(shortestHandoverMs(orders) < Infinity);
 });
 
-// While the store did not answer the holder, five engines were held back for nothing within a second:
-// engine_back with drainedMs 109 to 185, loadedMs 9 and behind true.
+// Guards against engines that are held back in vain: while the holder could not reach the store,
+// five engines were held back for 0.1 to 0.2 s within a second, but none was ordered.
 test("no engine is held back when the lease ends before its order", async (t) => {
   const world = openRollWorld(t, { engineCount: 6 });
   const { clock, store, wanted } = world;
   const holder = world.startCandidate("a");
   await clock.advance(FIRST_TURN_MS);
   store.faults.down = true;
-  // The lease counts as held for 1.35 s after its last renewal.
+  // The holder considers its lease valid for 1.35 s after the last renewal.
   await clock.advance(900);
   wanted.name({ model: "m", version: 2 }, SEEN_AT_ONCE);
   assert.equal(await countMostHeldBack(world, holder, { forMs: 600 }), 0);
 });
 
-test("engine that forgot its order is ordered again soon", async (t) => {
+test("engine that lost its order is ordered again soon", async (t) => {
   const { clock, engines, orders } = await startRoll(t, { engineCount: 1 });
   engines[0]!.dropsNextOrder = true;
   await clock.advance(3000);
   assert.equal(orders.length, 2);
 });
 
-test("last holder takes the lease before others", async (t) => {
+test("last holder acquires the lease before others", async (t) => {
   const world = await startRoll(t, { engineCount: 1 });
   const { clock } = world;
   world.holder.kill();
@@ -252,7 +254,7 @@
   assert.ok(others.every(({ roll }) => !roll.holdsLease));
 });
 
-test("late engine without an answer is ordered again soon", async (t) => {
+test("overdue engine that did not answer is ordered again soon", async (t) => {
   const world = openRollWorld(t, { engineCount: 1 });
   const { clock, wanted, engines, orders } = world;
   const [engine] = engines;
@@ -262,16 +264,16 @@
   await clock.advance(BOUND_MS);
   const [order] = orders;
   assert.ok(order);
-  // A call that is not answered ends after 0.5 s.
+  // A call without an answer times out after 0.5 s.
   assert.ok(order.atMs < 9000 + 500 + 250);
 });
 
-test("holder killed within its turn spares what the one before ordered", async (t) => {
+test("holder killed after taking over waits for engines ordered before", async (t) => {
   const world = await startRoll(t, { engineCount: 6, holderId: "b" });
   const { clock, orders } = world;
   await clock.advance(500);
   publishThirdVersion(world);
-  // A planned stop gives the lease up, so that a takes it right behind an order of b.
+  // A graceful stop releases the lease, so that holder a acquires it right after an order of b.
   await world.holder.stop();
   const first = world.startCandidate("a");
   await clock.advance(500);
@@ -282,14 +284,14 @@
   const own = orders.filter(({ holderId }) => holderId === "a");
   assert.equal(new Set(own.map(({ engine }) => engine)).size, 6);
   assert.ok(shortestHandoverMs(orders) >= TURN_MS);
-  // Not a whole turn more.
+  // The wait must not start anew with the restart.
   assert.ok(shortestHandoverMs(orders) < 2 * TURN_MS);
 });
 
-// Three engines with 20 runs or more were put back in use 4 s after they had accepted an order, and
-// taken out again 0.7 s later: engine_back with left 21, loadedMs 4052 and behind true. All that time
-// they refused what they were sent.
-test("engine is held back until its order is carried out", async (t) => {
+// Guards against engines that return to use before they have loaded: three engines with 20 or more
+// runs were used again 4 s after they had accepted an order, and held back again 0.7 s later. All
+// that time they refused requests.
+test("engine is held back until it has loaded the weights", async (t) => {
   const world = await startRoll(t, { engineCount: 1 });
   const { clock, engines, holder, orders } = world;
   const [engine] = engines;
@@ -301,14 +303,14 @@
   }
 });
 
-test("engine that was taken out under a former lease waits for the turn, too", async (t) => {
+test("engine held back under an earlier lease is not ordered too early", async (t) => {
   const world = await startRoll(t, { engineCount: 1 });
   const { clock, store, holder, orders, startCandidate } = world;
   keepBusy(holder);
-  // Right behind a renewal, so that the holder does not notice soon what comes.
+  // Right after a renewal, so that the holder does not notice the loss of its lease soon.
   await clock.advance(150);
   assert.equal(holder.roll.heldBack().length, 1);
-  // The lease ends under its holder, and another process has it for a moment.
+  // The lease is revoked, and another process holds it for a moment.
   const other = startCandidate("b");
   await store.revokeLease(1n);
   await clock.advance(600);
@@ -321,7 +323,7 @@
   assert.ok(shortestHandoverMs(orders) >= TURN_MS);
 });
 
-test("wall clock that was set back makes a holder wait no longer than a turn", async (t) => {
+test("wall clock that was set back does not prolong a holder's wait", async (t) => {
   const world = await startRoll(t, { engineCount: 6 });
   world.clock.jumpWall(-60_000);
   const timesMs = await orderTimesAfterKill(world, {
@@ -329,13 +331,14 @@
     nextId: "a",
   });
   assert.ok(timesMs.length > 0);
-  // The lease of its former life, and one turn.
+  // The TTL of the killed process's lease, and one wait.
   assert.ok(timesMs[0]! < LEASE_MS + TURN_MS + 500);
 });
 
-// Engines with 8 to 25 runs when they were ordered were out of use for 3.1 to 5.9 s, of which a load
-// takes 1.8: long answers that they had been sent shortly before held up their orders.
-test("engines that change next are told, and stay so until they are taken out", async (t) => {
+// Guards against orders that wait for long answers: engines with 8 to 25 runs were out of use for
+// 3.1 to 5.9 s, although a load takes 1.8 s, because they had been sent long answers shortly
+// before.
+test("engines that change next are announced until they are held back", async (t) => {
   const world = await startRoll(t, { engineCount: 10 });
   const { clock, engines, holder: { roll } } = world;
   keepBusy(world.holder);
@@ -350,13 +353,13 @@
       waited.add(id);
       assert.ok(!out.has(id));
     }
-    // Whoever is told no more has been taken out, or has the weights.
+    // An engine that is no longer announced has been held back or has the weights.
     for (const id of before.filter((id) => !next.includes(id))) {
       const engine = engines.find((engine) => engine.id === id);
       assert.ok(out.has(id) || engine?.version === 2);
     }
     before = next;
   }
-  // All but the first ones, which are taken out at once.
+  // All but the first ones, which are held back at once.
   assert.ok(waited.size >= 8);
 });
