--- a/src/router/named_record_test.ts
+++ b/src/router/named_record_test.ts
@@ -3,12 +3,14 @@
 import { openRollWorld } from "./_roll_kit.ts";
 import { NAMED_RECORD_KEY, readNamedAges } from "./named_record.ts";
 
-/** Clocks of instances may differ by this much. */
+/** Maximum clock skew between instances. */
 const CLOCK_ERROR_MS = 2500;
 
-test("holder of the lease records when weights were named, once", async (t) => {
-  const { clock, store, wanted, hold } = openRollWorld(t, { engineCount: 2 });
-  hold("entry-1");
+test("lease holder records once when weights were published", async (t) => {
+  const { clock, store, wanted, startCandidate } = openRollWorld(t, {
+    engineCount: 2,
+  });
+  startCandidate("entry-1");
   await clock.advance(1000);
   wanted.name({ model: "m", version: 2 }, { maxAgeMs: 0 });
   await clock.advance(400);
@@ -24,15 +26,17 @@
   assert.ok(Math.abs(age!.ageMs - 3400 - CLOCK_ERROR_MS) < 100);
 });
 
-test("successor keeps what was recorded before", async (t) => {
-  const { clock, store, wanted, hold } = openRollWorld(t, { engineCount: 2 });
-  const first = hold("entry-1");
+test("new lease holder keeps the versions recorded before", async (t) => {
+  const { clock, store, wanted, startCandidate } = openRollWorld(t, {
+    engineCount: 2,
+  });
+  const first = startCandidate("entry-1");
   await clock.advance(1000);
   wanted.name({ model: "m", version: 2 }, { maxAgeMs: 0 });
   await clock.advance(400);
   first.kill();
   await clock.advance(3000);
-  hold("entry-2");
+  startCandidate("entry-2");
   await clock.advance(3000);
   wanted.name({ model: "m", version: 3 }, { maxAgeMs: 0 });
   await clock.advance(400);
@@ -41,7 +45,7 @@
   assert.deepEqual(ages.map(({ version }) => version), [2, 3]);
 });
 
-test("record that another writer has spoilt, or of a clock that is off, tells nothing", () => {
+test("malformed record, or one with a time in the future, yields no ages", () => {
   const read = (text: string, wallMs: number) =>
     readNamedAges({
       key: NAMED_RECORD_KEY,
