--- a/src/agent/_test_kit.ts
+++ b/src/agent/_test_kit.ts
@@ -1,4 +1,4 @@
-/** What this folder's tests share: an agent on loopback, and a reader of runs. */
+/** Shared helpers of the agent tests: an agent on loopback, and a client that reads runs. */
 import { ChannelCredentials } from "@grpc/grpc-js";
 import { afterEach } from "node:test";
 import { createSilentLogger, systemClock } from "../base/mod.ts";
@@ -14,10 +14,10 @@
 import type { AgentParts } from "./agent_parts.ts";
 import type { AgentOptions } from "./options.ts";
 
-const opened: (() => Promise<void>)[] = [];
+const closeCallbacks: (() => Promise<void>)[] = [];
 const openReaders = new Set<RunReader>();
 
-/** Settings of an agent for a test. */
+/** Builds the settings of a test agent. */
 export function testOptions(changes: Partial<AgentOptions> = {}): AgentOptions {
   return {
     instanceId: "agent-1",
@@ -35,7 +35,7 @@
   };
 }
 
-/** An agent with a client, closed after the test at the latest. */
+/** Starts an agent with a client; both are closed after the test at the latest. */
 export async function openAgent(
   parts: Omit<AgentParts, "owned">,
   changes: Partial<AgentOptions> = {},
@@ -49,21 +49,21 @@
     ChannelCredentials.createInsecure(),
   );
   const close = async () => {
-    // A stream that nobody reads keeps its connection open.
+    // An unread stream would keep its connection open.
     for (const reader of openReaders) reader.cut();
     openReaders.clear();
     client.close();
     await agent.kill();
   };
-  opened.push(close);
+  closeCallbacks.push(close);
   return { agent, client, close };
 }
 
 afterEach(async () => {
-  for (const close of opened.splice(0)) await close();
+  for (const close of closeCallbacks.splice(0)) await close();
 });
 
-/** An ask with little in it. */
+/** Builds a minimal ask. */
 export function testAsk(
   runId: string,
   changes: Partial<AskRequest> = {},
@@ -87,7 +87,7 @@
   };
 }
 
-/** A start of a model run. */
+/** Builds the start message of a model run. */
 export function testStart(
   runId: string,
   changes: Partial<StartRun> = {},
@@ -105,7 +105,7 @@
   };
 }
 
-/** One stream of a run. */
+/** Reads one run over one stream. */
 export class RunReader {
   readonly #stream;
   readonly #messages: AsyncIterator<RunDown>;
@@ -139,38 +139,43 @@
     this.#stream.end();
   }
 
-  /** The next message's step. */
+  /** Returns the step of the next message, or undefined if the stream is closed. */
   async next(): Promise<RunDown["step"]> {
     const { value } = await this.#messages.next();
     return value?.step;
   }
 
-  /** All up to the end: `#n` a piece's number, then its text. */
+  /**
+   * Reads to the end and acknowledges all pieces. Returns a text for each step; that of a piece is
+   * `#`, its number and its content.
+   */
   async rest(): Promise<string[]> {
-    const seen: string[] = [];
+    const received: string[] = [];
     for (;;) {
       const step = await this.next();
-      if (!step) return [...seen, "closed"];
+      if (!step) return [...received, "closed"];
       switch (step.$case) {
         case "pieces":
-          step.value.data.forEach((data, at) =>
-            seen.push(`#${step.value.firstSeq + at} ${data}`)
+          step.value.data.forEach((data, index) =>
+            received.push(`#${step.value.firstSeq + index} ${data}`)
           );
           this.ack(step.value.firstSeq + step.value.data.length);
           break;
         case "head":
-          seen.push(`head ${step.value.status}`);
+          received.push(`head ${step.value.status}`);
           break;
         case "end":
-          seen.push(`end ${step.value.outcome} of ${step.value.pieceCount}`);
+          received.push(
+            `end ${step.value.outcome} of ${step.value.pieceCount}`,
+          );
           this.finish();
-          return seen;
+          return received;
         case "refusal":
-          seen.push(`refusal ${step.value.code}`);
+          received.push(`refusal ${step.value.code}`);
           this.finish();
-          return seen;
+          return received;
         case "started":
-          seen.push(step.value.repeated ? "started again" : "started");
+          received.push(step.value.repeated ? "started again" : "started");
       }
     }
   }
--- a/src/agent/admission.ts
+++ b/src/agent/admission.ts
@@ -1,7 +1,7 @@
 /**
- * Admission to one engine. Requests wait here and not in the engine, so that priority is exact even
- * where the engine takes them in order; the engine gets just enough to keep its batch full. Whatever
- * can't make its deadline is refused at once.
+ * Admission control for one engine. Requests queue in the agent instead of in the engine, so that
+ * priorities are exact even if the engine serves requests in order of arrival. The engine gets just
+ * enough requests to keep its batch full. Requests that can't meet their deadline are refused.
  */
 import { Result } from "true-myth";
 import type { Clock } from "../base/mod.ts";
@@ -12,59 +12,61 @@
   RefusalCode,
 } from "../wire/gen/cicadahitch.ts";
 import { type CostModel } from "./cost_model.ts";
-import { EngineBacklog, type PlacedWork } from "./engine_backlog.ts";
+import { EngineBacklog, type PlacedRequest } from "./engine_backlog.ts";
 import { Holds } from "./holds.ts";
 import { Jitter } from "./jitter.ts";
 import { refuse } from "./refusals.ts";
-import { rankOf, type Waiter, WaitQueue } from "./wait_queue.ts";
+import { rankOf, type WaitingRequest, WaitQueue } from "./wait_queue.ts";
 
-/** What a request asks of the engine. */
+/** The work that a request needs from the engine, and its limits. */
 export interface Demand {
   team: string;
   priority: Priority;
   uncachedTokens: number;
   maxTokens: number;
-  /** The caller's deadline; Infinity: none. */
+  /** The caller's deadline; Infinity if there is none. */
   deadlineAtMs: number;
-  /** Requests that the team may have on this server. */
+  /** Maximum number of requests that the team may have in flight on this server. */
   teamMaxInFlight: number;
 }
 
-/** What a request can expect. */
-export interface Quote {
+/** Expected latency of a request. */
+export interface LatencyEstimate {
   queueMs: number;
   expectedTtftMs: number;
 }
 
-/** A request that was let in. */
-export interface Ticket extends Waiter, PlacedWork {
+/** An admitted request. */
+export interface Ticket extends WaitingRequest, PlacedRequest {
   demand: Demand;
+  /** Queued in the agent, sent to the engine, or no longer in either. */
   state: "waiting" | "placed" | "left";
+  /** True if no other request was in prefill on the engine when this one was sent. */
   hadEngineAlone: boolean;
-  /** Resolves when it may be passed on, or with the reason why it never will be. */
+  /** Resolves to undefined when the request may be sent, or to the refusal if it never will be. */
   ready: Promise<Refusal | undefined>;
   settle: (refusal: Refusal | undefined) => void;
 }
 
-/** What {@link Admission} is made from. */
+/** Dependencies of {@link Admission}. */
 export interface AdmissionOptions {
   clock: Clock;
   costs: CostModel;
-  /** Seed of the spread of retries. */
+  /** Seed of the jitter in retry delays. */
   seed: string;
 }
 
-/** Longest expected wait at which a request is still let in. */
+/** Maximum expected queueing time of an admitted request, by priority. */
 const MAX_QUEUE_MS = { urgent: 4000, normal: 15_000, batch: 60_000 };
-/** Prefill work that the engine is given ahead, so that it never runs dry. */
-const PREFILL_AHEAD_MS = 150;
-/** Batches of at least this size are kept full by one request more. */
-const AHEAD_FROM_RUNNING = 8;
+/** Upper bound on prefill work waiting in the engine: enough to keep it from idling. */
+const MAX_PENDING_PREFILL_MS = 150;
+/** Engines with at least this batch size get one extra request, so that the batch stays full. */
+const EXTRA_REQUEST_MIN_BATCH = 8;
 const MIN_RETRY_MS = 200;
-/** Bounds the bodies that are kept while they wait. */
+/** Maximum queue length; bounds the memory that queued request bodies use. */
 const MAX_WAITING = 1024;
 
-/** Lets requests in, in order. */
+/** Queues requests and sends them to the engine by priority. */
 export class Admission {
   readonly holds: Holds<Demand>;
   readonly #clock: Clock;
@@ -72,9 +74,10 @@
   readonly #jitter: Jitter;
   readonly #backlog = EngineBacklog.create();
   readonly #queue = WaitQueue.create<Ticket>();
-  /** Waiting and placed requests by team. */
-  readonly #inFlight = new Map<string, number>();
-  readonly #placed = new Map<string, number>();
+  /** Number of waiting and placed requests by team. */
+  readonly #inFlightByTeam = new Map<string, number>();
+  /** Number of placed requests by team. */
+  readonly #placedByTeam = new Map<string, number>();
   #maxRunning = 1;
 
   private constructor({ clock, costs, seed }: AdmissionOptions) {
@@ -86,7 +89,7 @@
 
   /**
    * @param options Clock, cost model and seed.
-   * @returns Admission to an engine that runs one request at a time.
+   * @returns Admission control for an engine that runs one request at a time.
    */
   static create(options: AdmissionOptions): Admission {
     return new Admission(options);
@@ -104,95 +107,97 @@
     return this.#maxRunning;
   }
 
-  /** @param maxRunning Requests that the engine runs at once. */
+  /** @param maxRunning Maximum number of requests that the engine runs concurrently. */
   setMaxRunning(maxRunning: number): void {
     this.#maxRunning = Math.max(1, maxRunning);
     this.#dispatch();
   }
 
-  /** @param load The engine's lagging report. */
+  /** @param load The engine's load report, which lags behind its actual load. */
   noteLoad(load: EngineLoad): void {
-    this.#backlog.report(load, this.#clock.nowMs());
+    this.#backlog.applyReport(load, this.#clock.nowMs());
     this.#dispatch();
   }
 
-  /** Forgets what reports said, after the engine came back empty. */
+  /** Discards the load reports, after the engine restarted without requests. */
   resetLoad(): void {
     this.#backlog.reset();
     this.#dispatch();
   }
 
   /**
-   * @param demand What is asked.
-   * @returns What it can expect, or why it would be refused.
+   * @param demand The work that the request needs.
+   * @returns Its expected latency, or the refusal that it would get.
    */
-  quote(demand: Demand): Result<Quote, Refusal> {
-    const quote = this.#expect(demand);
+  quote(demand: Demand): Result<LatencyEstimate, Refusal> {
+    const estimate = this.#estimate(demand);
     const nowMs = this.#clock.nowMs();
-    const endMs = nowMs + quote.expectedTtftMs +
+    const endMs = nowMs + estimate.expectedTtftMs +
       this.#costs.outputMs(demand.maxTokens);
     if (endMs > demand.deadlineAtMs) {
-      return Result.err(this.#refuse(RefusalCode.DEADLINE, quote));
+      return Result.err(this.#refuse(RefusalCode.DEADLINE, estimate));
     }
-    if (this.#isOverShare(demand)) {
-      return Result.err(this.#refuse(RefusalCode.TEAM_LIMIT, quote));
+    if (this.#exceedsTeamShare(demand)) {
+      return Result.err(this.#refuse(RefusalCode.TEAM_LIMIT, estimate));
     }
     const isFull = this.#queue.size >= MAX_WAITING;
-    if (isFull || quote.queueMs > maxQueueMs(demand.priority)) {
-      return Result.err(this.#refuse(RefusalCode.OVERLOADED, quote));
+    if (isFull || estimate.queueMs > maxQueueMs(demand.priority)) {
+      return Result.err(this.#refuse(RefusalCode.OVERLOADED, estimate));
     }
-    return Result.ok(quote);
+    return Result.ok(estimate);
   }
 
   /**
-   * @param demand What is asked.
-   * @param isHeld True: it was offered a place and has kept it.
-   * @returns A ticket, or why it is refused.
+   * Queues a request, and sends it at once if the engine has capacity.
+   *
+   * @param demand The work that the request needs.
+   * @param isHeld True if the request used up a valid hold, so it skips the admission checks.
+   * @returns The admitted request, or the refusal.
    */
   enter(demand: Demand, isHeld: boolean): Result<Ticket, Refusal> {
     if (!isHeld) {
-      const quote = this.quote(demand);
-      if (quote.isErr) return Result.err(quote.error);
+      const estimate = this.quote(demand);
+      if (estimate.isErr) return Result.err(estimate.error);
     }
     const ticket = buildTicket(demand, this.#clock.nowMs());
-    addTo(this.#inFlight, demand.team, 1);
+    adjustCount(this.#inFlightByTeam, demand.team, 1);
     this.#queue.push(ticket);
     this.#dispatch();
     return Result.ok(ticket);
   }
 
-  /** @param ticket A placed request whose first piece came. */
+  /** @param ticket A placed request whose first piece of output has arrived. */
   notePrefilled(ticket: Ticket): void {
     ticket.firstPieceMs = this.#clock.nowMs();
     this.#dispatch();
   }
 
-  /** @param ticket A request that ended, or that nobody wants any more. */
+  /** @param ticket A request that has ended or was cancelled. */
   leave(ticket: Ticket): void {
     if (ticket.state === "left") return;
     if (ticket.state === "waiting") this.#queue.remove(ticket);
-    else addTo(this.#placed, ticket.team, -1);
-    this.#backlog.leave(ticket, this.#clock.nowMs());
-    addTo(this.#inFlight, ticket.team, -1);
+    else adjustCount(this.#placedByTeam, ticket.team, -1);
+    this.#backlog.remove(ticket, this.#clock.nowMs());
+    adjustCount(this.#inFlightByTeam, ticket.team, -1);
     ticket.state = "left";
     this.#dispatch();
   }
 
-  /** Refuses what has waited past its deadline, or too long for its priority. */
+  /** Refuses queued requests that can't meet their deadline or waited too long. */
   sweep(): void {
     const nowMs = this.#clock.nowMs();
     this.holds.sweep();
     for (const ticket of [...this.#queue]) {
-      if (this.#isLate(ticket, nowMs)) {
-        this.#turnAway(ticket, RefusalCode.EXPIRED);
+      if (this.#missesDeadline(ticket, nowMs)) {
+        this.#reject(ticket, RefusalCode.EXPIRED);
       } else if (nowMs - ticket.enqueuedMs > 2 * maxQueueMs(ticket.priority)) {
-        this.#turnAway(ticket, RefusalCode.OVERLOADED);
+        this.#reject(ticket, RefusalCode.OVERLOADED);
       }
     }
     this.#dispatch();
   }
 
-  /** @param refusal Why nothing that waits will be run. */
+  /** @param refusal The refusal that every queued request gets. */
   refuseWaiting(refusal: Refusal): void {
     for (const ticket of [...this.#queue]) {
       this.leave(ticket);
@@ -202,35 +207,35 @@
 
   #dispatch(): void {
     const nowMs = this.#clock.nowMs();
-    while (this.#hasPlace(nowMs)) {
+    while (this.#hasCapacity(nowMs)) {
       const next = this.#queue.shift(
         nowMs,
-        (team) => this.#placed.get(team) ?? 0,
+        (team) => this.#placedByTeam.get(team) ?? 0,
       );
       if (!next) return;
-      if (this.#isLate(next, nowMs)) {
-        this.#turnAway(next, RefusalCode.EXPIRED);
+      if (this.#missesDeadline(next, nowMs)) {
+        this.#reject(next, RefusalCode.EXPIRED);
         continue;
       }
       next.state = "placed";
       next.placedMs = nowMs;
       next.hadEngineAlone = this.#backlog.prefillingCount === 0;
-      this.#backlog.place(next);
-      addTo(this.#placed, next.team, 1);
+      this.#backlog.add(next);
+      adjustCount(this.#placedByTeam, next.team, 1);
       next.settle(undefined);
     }
   }
 
-  #hasPlace(nowMs: number): boolean {
-    const ahead = this.#maxRunning >= AHEAD_FROM_RUNNING ? 1 : 0;
-    if (this.#backlog.count(nowMs) >= this.#maxRunning + ahead) return false;
+  #hasCapacity(nowMs: number): boolean {
+    const extra = this.#maxRunning >= EXTRA_REQUEST_MIN_BATCH ? 1 : 0;
+    if (this.#backlog.count(nowMs) >= this.#maxRunning + extra) return false;
     if (this.#backlog.prefillingCount === 0) return true;
     const prefillMs = this.#backlog.prefillTokens(nowMs) *
       this.#costs.prefillMsPerToken;
-    return prefillMs < PREFILL_AHEAD_MS;
+    return prefillMs < MAX_PENDING_PREFILL_MS;
   }
 
-  #expect(demand: Demand): Quote {
+  #estimate(demand: Demand): LatencyEstimate {
     const nowMs = this.#clock.nowMs();
     const rank = rankOf(demand.priority);
     let waiting = 0;
@@ -240,11 +245,11 @@
       waiting++;
       tokens += each.uncachedTokens;
     }
-    const places = this.#maxRunning - this.#backlog.count(nowMs);
-    const lacking = Math.max(0, waiting - places + 1);
-    const placeMs = lacking * this.#costs.runMs / this.#maxRunning;
+    const freeSlots = this.#maxRunning - this.#backlog.count(nowMs);
+    const slotsToWaitFor = Math.max(0, waiting - freeSlots + 1);
+    const slotWaitMs = slotsToWaitFor * this.#costs.runMs / this.#maxRunning;
     const prefillMs = tokens * this.#costs.prefillMsPerToken;
-    const queueMs = Math.max(placeMs, prefillMs);
+    const queueMs = Math.max(slotWaitMs, prefillMs);
     const ownMs = demand.uncachedTokens * this.#costs.prefillMsPerToken +
       this.#costs.decodeMsPerToken;
     return { queueMs, expectedTtftMs: queueMs + ownMs };
@@ -255,29 +260,29 @@
     for (const hold of this.holds.live()) yield hold.demand;
   }
 
-  #isOverShare(demand: Demand): boolean {
-    const own = this.#inFlight.get(demand.team) ?? 0;
+  #exceedsTeamShare(demand: Demand): boolean {
+    const own = this.#inFlightByTeam.get(demand.team) ?? 0;
     if (own >= demand.teamMaxInFlight) return true;
-    const teams = this.#inFlight.size + (own === 0 ? 1 : 0);
+    const teams = this.#inFlightByTeam.size + (own === 0 ? 1 : 0);
     const isContended = teams > 1 && this.#queue.size > 0;
     return isContended && own >= Math.ceil(2 * this.#maxRunning / teams);
   }
 
-  #isLate(ticket: Ticket, nowMs: number): boolean {
-    const soonestMs = ticket.uncachedTokens * this.#costs.prefillMsPerToken;
-    return nowMs + soonestMs > ticket.demand.deadlineAtMs;
+  #missesDeadline(ticket: Ticket, nowMs: number): boolean {
+    const minPrefillMs = ticket.uncachedTokens * this.#costs.prefillMsPerToken;
+    return nowMs + minPrefillMs > ticket.demand.deadlineAtMs;
   }
 
-  #turnAway(ticket: Ticket, code: RefusalCode): void {
+  #reject(ticket: Ticket, code: RefusalCode): void {
     this.leave(ticket);
-    ticket.settle(this.#refuse(code, this.#expect(ticket.demand)));
+    ticket.settle(this.#refuse(code, this.#estimate(ticket.demand)));
   }
 
-  #refuse(code: RefusalCode, quote: Quote): Refusal {
-    const baseMs = Math.max(MIN_RETRY_MS, quote.queueMs);
+  #refuse(code: RefusalCode, estimate: LatencyEstimate): Refusal {
+    const baseMs = Math.max(MIN_RETRY_MS, estimate.queueMs);
     const retryAfterMs = baseMs + this.#jitter.nextMs(baseMs);
-    const message = `Expected to wait ${Math.round(quote.queueMs)} ms and ` +
-      `to start after ${Math.round(quote.expectedTtftMs)} ms`;
+    const message = `Expected to wait ${Math.round(estimate.queueMs)} ms and ` +
+      `to start after ${Math.round(estimate.expectedTtftMs)} ms`;
     return refuse(code, message, { retryAfterMs });
   }
 }
@@ -314,7 +319,7 @@
   }
 }
 
-function addTo(
+function adjustCount(
   counts: Map<string, number>,
   team: string,
   change: number,
--- a/src/agent/admission_test.ts
+++ b/src/agent/admission_test.ts
@@ -5,15 +5,15 @@
 import { Admission, type Demand, type Ticket } from "./admission.ts";
 import { CostModel } from "./cost_model.ts";
 
-class HandClock implements Clock {
+class FakeClock implements Clock {
   now = 0;
   nowMs = () => this.now;
   wallMs = () => this.now;
   sleep = () => Promise.resolve();
 }
 
-function openAdmission(maxRunning = 1) {
-  const clock = new HandClock();
+function createAdmission(maxRunning = 1) {
+  const clock = new FakeClock();
   const costs = CostModel.create();
   costs.reset({ prefillMsPerToken: 1, decodeMsPerToken: 1 });
   const admission = Admission.create({ clock, costs, seed: "s" });
@@ -21,7 +21,7 @@
   return { clock, admission };
 }
 
-function demand(changes: Partial<Demand> = {}): Demand {
+function createDemand(changes: Partial<Demand> = {}): Demand {
   return {
     team: "t",
     priority: Priority.NORMAL,
@@ -34,12 +34,12 @@
 }
 
 function enter(admission: Admission, changes: Partial<Demand> = {}): Ticket {
-  const entered = admission.enter(demand(changes), true);
+  const entered = admission.enter(createDemand(changes), true);
   assert(entered.isOk);
   return entered.value;
 }
 
-/** Ends placed requests one by one; gives the order in which the others were placed. */
+/** Ends placed requests one by one and returns the order in which the requests were placed. */
 function drain(admission: Admission, tickets: Map<string, Ticket>): string[] {
   const order: string[] = [];
   for (;;) {
@@ -50,8 +50,8 @@
   }
 }
 
-test("urgent overtakes, and age decides within a priority", () => {
-  const { admission } = openAdmission();
+test("requests are placed by priority, then by age", () => {
+  const { admission } = createAdmission();
   const tickets = new Map([
     ["first", enter(admission)],
     ["batch", enter(admission, { priority: Priority.BATCH })],
@@ -69,7 +69,7 @@
 });
 
 test("batch work does not starve under urgent work", () => {
-  const { admission, clock } = openAdmission();
+  const { admission, clock } = createAdmission();
   let running = enter(admission, { priority: Priority.URGENT });
   const batch = enter(admission, { priority: Priority.BATCH });
   clock.now = 20_000;
@@ -84,28 +84,28 @@
   assert(turns > 1, "Urgent work still goes first most of the time");
 });
 
-test("what misses its deadline is refused at once", () => {
-  const { admission } = openAdmission();
+test("a request that can't meet its deadline is refused at once", () => {
+  const { admission } = createAdmission();
   enter(admission, { uncachedTokens: 500 });
-  const refused = admission.quote(demand({ deadlineAtMs: 400 }));
+  const refused = admission.quote(createDemand({ deadlineAtMs: 400 }));
   assert(refused.isErr);
   assert.equal(refused.error.code, RefusalCode.DEADLINE);
   assert(refused.error.retryAfterMs >= 500);
-  assert(admission.quote(demand({ deadlineAtMs: 2000 })).isOk);
+  assert(admission.quote(createDemand({ deadlineAtMs: 2000 })).isOk);
 });
 
-test("retries are spread", () => {
-  const { admission } = openAdmission();
+test("refusals suggest different retry delays", () => {
+  const { admission } = createAdmission();
   const times = new Set<number>();
   for (let i = 0; i < 10; i++) {
-    const refused = admission.quote(demand({ deadlineAtMs: 1 }));
+    const refused = admission.quote(createDemand({ deadlineAtMs: 1 }));
     times.add(refused.isErr ? refused.error.retryAfterMs : 0);
   }
   assert(times.size > 5);
 });
 
-test("what waits past its deadline is never passed on", async () => {
-  const { admission, clock } = openAdmission();
+test("a queued request that can't meet its deadline any more is never placed", async () => {
+  const { admission, clock } = createAdmission();
   const running = enter(admission);
   const late = enter(admission, { deadlineAtMs: 1000 });
   clock.now = 995;
@@ -114,20 +114,22 @@
   assert.equal(admission.runningCount, 0);
 });
 
-test("holds count until they lapse", () => {
-  const { admission, clock } = openAdmission();
-  const empty = admission.quote(demand());
-  admission.holds.open("r", 1000, { demand: demand({ uncachedTokens: 700 }) });
-  const held = admission.quote(demand());
+test("holds count as load until they expire", () => {
+  const { admission, clock } = createAdmission();
+  const empty = admission.quote(createDemand());
+  admission.holds.open("r", 1000, {
+    demand: createDemand({ uncachedTokens: 700 }),
+  });
+  const held = admission.quote(createDemand());
   clock.now = 1001;
-  const lapsed = admission.quote(demand());
+  const lapsed = admission.quote(createDemand());
   assert(empty.isOk && held.isOk && lapsed.isOk);
   assert(held.value.queueMs >= 700);
   assert.equal(lapsed.value.queueMs, empty.value.queueMs);
 });
 
-test("admissions since a lagging report count on top of it", () => {
-  const { admission, clock } = openAdmission(8);
+test("requests admitted since a lagging load report are added to it", () => {
+  const { admission, clock } = createAdmission(8);
   clock.now = 1000;
   const report = {
     incarnation: "e",
@@ -138,23 +140,23 @@
   admission.noteLoad({ ...report, ageMs: 500 });
   enter(admission, { uncachedTokens: 100 });
   admission.noteLoad({ ...report, ageMs: 500 });
-  const quote = admission.quote(demand());
+  const quote = admission.quote(createDemand());
   assert(quote.isOk);
   assert.equal(quote.value.queueMs, 400);
 });
 
-test("a crowded server is shared among teams", () => {
-  const { admission } = openAdmission(2);
+test("a contended server is shared among teams", () => {
+  const { admission } = createAdmission(2);
   for (let i = 0; i < 4; i++) enter(admission, { team: "a" });
   enter(admission, { team: "b" });
-  const more = admission.quote(demand({ team: "a" }));
+  const more = admission.quote(createDemand({ team: "a" }));
   assert(more.isErr);
   assert.equal(more.error.code, RefusalCode.TEAM_LIMIT);
-  assert(admission.quote(demand({ team: "b" })).isOk);
+  assert(admission.quote(createDemand({ team: "b" })).isOk);
 });
 
 test("the team with fewer placed requests goes first", () => {
-  const { admission } = openAdmission(2);
+  const { admission } = createAdmission(2);
   const a1 = enter(admission, { team: "a" });
   const a2 = enter(admission, { team: "a" });
   admission.notePrefilled(a1);
--- a/src/agent/agent_core.ts
+++ b/src/agent/agent_core.ts
@@ -1,6 +1,6 @@
 /**
- * What an agent decides, apart from the wire: asks, starts, attachments and cancels. A refusal of a
- * start bars its run id, so that it stays true whatever arrives late.
+ * The agent's decisions on asks, starts, attachments and cancellations, without the transport. A
+ * refused start blocks its run id, so that a duplicate that arrives late can't start the run.
  */
 import type { Clock, Logger } from "../base/mod.ts";
 import type { BranchSet } from "../config/branch_set.ts";
@@ -26,18 +26,18 @@
   refuseReused,
   type ServiceSettings,
 } from "./plain_server.ts";
-import { gone, type Opened, refused } from "./opened.ts";
+import { gone, type OpenResult, refused } from "./opened.ts";
 import { RefusalLog, refuse } from "./refusals.ts";
 import { Run } from "./run.ts";
 import type { OutputLimits } from "./run_output.ts";
-import { issueOf, RunTable } from "./runs.ts";
+import { issueTimeOf, RunTable } from "./runs.ts";
 
-/** The backend server, as the core meets it. */
+/** The component that serves calls, by the kind of backend server. */
 export type ServerParts =
   | { kind: "engine"; model: ModelServer }
   | { kind: "service"; plain: PlainServer };
 
-/** What {@link AgentCore} is made from. */
+/** Dependencies of {@link AgentCore}. */
 export interface AgentCoreOptions {
   agentIncarnation: string;
   branches: BranchSet;
@@ -48,10 +48,12 @@
 
 const MODEL_LIMITS: OutputLimits = { maxBytes: 1024 * 1024, repeatBytes: 0 };
 const PLAIN_LIMITS: OutputLimits = { maxBytes: 1024 * 1024, repeatBytes: 0 };
+/** At-most-once calls: small answers stay available to repeated requests. */
 const ONCE_LIMITS: OutputLimits = {
   maxBytes: 1024 * 1024,
   repeatBytes: 256 * 1024,
 };
+/** Settings of a service that the team's branch does not configure. */
 const DEFAULT_SETTINGS: ServiceSettings = {
   timeoutMs: 10_000,
   retryWindowMs: 600_000,
@@ -59,7 +61,7 @@
 };
 const LEAVING_RETRY_MS = 100;
 
-/** Decides on everything that entries ask for. */
+/** Handles the requests of entries. */
 export class AgentCore {
   readonly refusals: RefusalLog;
   readonly #options: AgentCoreOptions;
@@ -76,9 +78,9 @@
   }
 
   /**
-   * @param options Surroundings.
-   * @param server The backend server.
-   * @returns A core that takes work.
+   * @param options Dependencies.
+   * @param server The component that serves calls on the backend server.
+   * @returns A core that accepts requests.
    */
   static create(options: AgentCoreOptions, server: ServerParts): AgentCore {
     return new AgentCore(options, server);
@@ -88,24 +90,24 @@
     return this.#isStopping || this.#isDraining;
   }
 
-  /** Connections that read a run. */
+  /** Number of connections that currently read a run. */
   get attachedCount(): number {
     return this.#attachments.size;
   }
 
-  /** Refuses all new work from now on. */
+  /** Refuses all new requests from now on. */
   leave(): void {
     this.#isStopping = true;
   }
 
-  /** @param isDraining Whether an order says to take no new work. */
+  /** @param isDraining Whether an order told the agent to accept no new requests. */
   setDraining(isDraining: boolean): void {
     this.#isDraining = isDraining;
   }
 
   /**
    * @param ask A request.
-   * @returns An offer, or why there is none.
+   * @returns An offer, or a refusal.
    */
   ask(ask: AskRequest): AskReply {
     const { agentIncarnation, branches } = this.#options;
@@ -124,36 +126,36 @@
    * Starts a run or attaches to it.
    *
    * @param start The first message of a connection.
-   * @returns The reader's place, or why there is none.
+   * @returns The reader's attachment, or the reason why there is none.
    */
-  open(start: StartRun): Opened {
+  open(start: StartRun): OpenResult {
     const { ask } = start;
     if (!ask || ask.runId === "") {
       return refused(refuse(RefusalCode.INVALID, "The run id is missing"));
     }
-    const found = this.#options.runs.find(ask.runId, issueOf(ask));
+    const found = this.#options.runs.find(ask.runId, issueTimeOf(ask));
     switch (found.kind) {
       case "kept":
         return this.#attach(found.run, start, found.run.runId !== ask.runId);
       case "forgotten_output":
-        return found.fate.kind === "ran"
+        return found.status.kind === "ran"
           ? gone(RunOutcome.ANSWER_GONE, "It ran, and its output is gone")
           : refused(refuse(RefusalCode.CANCELLED, "It was not run"));
       case "too_old":
-        return this.#openOld(start, ask);
+        return this.#openExpiredId(start, ask);
       case "new":
         return this.#openNew(start, ask);
     }
   }
 
-  /** @param attachment A reader that is gone. */
+  /** @param attachment The attachment of a reader that disconnected. */
   detach(attachment: Attachment): void {
     this.#attachments.detach(attachment);
   }
 
   /**
-   * @param request Which run.
-   * @returns Whether it was ever passed on.
+   * @param request Id of the run, and the reason.
+   * @returns Whether the run was ever sent to the backend server.
    */
   cancel(request: CancelRequest): CancelReply {
     const { runs, agentIncarnation } = this.#options;
@@ -162,7 +164,7 @@
   }
 
   #offer(ask: AskRequest): Result<Offer, Refusal> {
-    const refusal = this.#refuseEarly(ask);
+    const refusal = this.#refuseNewWork(ask);
     if (refusal) return Result.err(refusal);
     switch (this.#server.kind) {
       case "engine":
@@ -172,8 +174,8 @@
     }
   }
 
-  /** Without a hold nobody can tell whether the id ran, so this can't be a refusal. */
-  #openOld(start: StartRun, ask: AskRequest): Opened {
+  /** Without a hold it is unknown whether this old id ran, so it must not be refused as not run. */
+  #openExpiredId(start: StartRun, ask: AskRequest): OpenResult {
     if (!start.attachOnly && this.#hasHold(start, ask)) {
       return this.#openNew(start, ask);
     }
@@ -181,26 +183,26 @@
     return gone(RunOutcome.UNKNOWN, message);
   }
 
-  #openNew(start: StartRun, ask: AskRequest): Opened {
-    const opened = this.#findByKey(start, ask) ??
+  #openNew(start: StartRun, ask: AskRequest): OpenResult {
+    const opened = this.#attachByKey(start, ask) ??
       (start.attachOnly
         ? refused(refuse(RefusalCode.HOLD_GONE, "The run is not known here"))
         : this.#startNew(start, ask));
     if (opened.kind === "refused") {
-      this.#options.runs.bar(ask);
+      this.#options.runs.blockId(ask);
       this.refusals.add(opened.refusal, ask.team);
     }
     return opened;
   }
 
-  /** A caller's second request with the same key reads the first one's run. */
-  #findByKey(start: StartRun, ask: AskRequest): Opened | undefined {
+  /** Attaches a repeated request to the run of the first request with the same idempotency key. */
+  #attachByKey(start: StartRun, ask: AskRequest): OpenResult | undefined {
     if (this.#server.kind !== "service") return undefined;
     if (start.call?.$case !== "plainCall") return undefined;
     const call = start.call.value;
     if (!call.atMostOnce) return undefined;
     const { answers } = this.#server.plain;
-    const found = answers.find(keyOf(ask, call), call.fingerprint);
+    const found = answers.find(keyDigestHex(ask, call), call.fingerprint);
     switch (found.kind) {
       case "new":
         return undefined;
@@ -212,22 +214,22 @@
     }
   }
 
-  #startNew(start: StartRun, ask: AskRequest): Opened {
-    const refusal = this.#refuseEarly(ask) ?? this.#refuseForeignHold(start);
+  #startNew(start: StartRun, ask: AskRequest): OpenResult {
+    const refusal = this.#refuseNewWork(ask) ?? this.#refuseForeignHold(start);
     if (refusal) return refused(refusal);
     const { call } = start;
     const server = this.#server;
     if (server.kind === "engine" && call?.$case === "modelCall") {
-      return this.#startModel(server.model, start, ask);
+      return this.#runModel(server.model, start, ask);
     }
     if (server.kind === "service" && call?.$case === "plainCall") {
-      return this.#startPlain(server.plain, start, ask);
+      return this.#runPlain(server.plain, start, ask);
     }
     const message = "This server takes no such calls";
     return refused(refuse(RefusalCode.INVALID, message));
   }
 
-  #refuseEarly(ask: AskRequest): Refusal | undefined {
+  #refuseNewWork(ask: AskRequest): Refusal | undefined {
     if (this.isLeaving) {
       return refuse(RefusalCode.LEAVING, "This server is leaving", {
         retryAfterMs: LEAVING_RETRY_MS,
@@ -245,16 +247,16 @@
   }
 
   /**
-   * A hold of this process that has lapsed costs only the place; its run is let in like one without
-   * a hold. Another process may have run what it held.
+   * Refuses a hold of another process, which may already have run the request. A run with an
+   * expired hold of this process only loses its reservation; it is admitted like one without a hold.
    */
   #refuseForeignHold({ holdId }: StartRun): Refusal | undefined {
     if (holdId === "" || this.#server.kind !== "engine") return undefined;
-    if (this.#server.model.admission.holds.isOwn(holdId)) return undefined;
+    if (this.#server.model.admission.holds.isLocal(holdId)) return undefined;
     return refuse(RefusalCode.HOLD_GONE, "The hold is another process's");
   }
 
-  #startModel(model: ModelServer, start: StartRun, ask: AskRequest): Opened {
+  #runModel(model: ModelServer, start: StartRun, ask: AskRequest): OpenResult {
     if (start.call?.$case !== "modelCall") throw new CallMismatchError();
     const call = start.call.value;
     const run = this.#buildRun(start, ask, MODEL_LIMITS);
@@ -269,7 +271,7 @@
     return this.#attach(run, start, false);
   }
 
-  #startPlain(plain: PlainServer, start: StartRun, ask: AskRequest): Opened {
+  #runPlain(plain: PlainServer, start: StartRun, ask: AskRequest): OpenResult {
     if (start.call?.$case !== "plainCall") throw new CallMismatchError();
     const call = start.call.value;
     const refusal = plain.admit();
@@ -279,14 +281,14 @@
     const settings = this.#settingsOf(ask.team, call.service);
     this.#options.runs.add(run);
     if (isOnce) {
-      plain.answers.add(keyOf(ask, call), run, {
+      plain.answers.add(keyDigestHex(ask, call), run, {
         fingerprint: call.fingerprint,
         keepMs: settings.retryWindowMs,
       });
     }
     const served = plain.serve({ run, call, settings });
     void this.#finish(run, served).then(() => {
-      if (isOnce) plain.answers.settle(keyOf(ask, call));
+      if (isOnce) plain.answers.markEnded(keyDigestHex(ask, call));
     });
     return this.#attach(run, start, false);
   }
@@ -306,17 +308,17 @@
     try {
       await served;
     } catch (error) {
-      log.error({ err: error, runId: run.runId }, "A run was broken off");
+      log.error({ err: error, runId: run.runId }, "Run failed unexpectedly");
       run.end(RunOutcome.UNKNOWN, "The agent failed");
     }
     const { ending } = run.output;
     if (ending?.kind === "refused") {
       this.refusals.add(ending.refusal, run.ask.team);
     }
-    runs.settle(run);
+    runs.markEnded(run);
   }
 
-  #attach(run: Run, start: StartRun, isRepeated: boolean): Opened {
+  #attach(run: Run, start: StartRun, isRepeated: boolean): OpenResult {
     const attachment = this.#attachments.attach(run, start, { isRepeated });
     if (attachment) return { kind: "attached", attachment };
     return gone(RunOutcome.ANSWER_GONE, "The output is gone");
@@ -333,13 +335,13 @@
   }
 }
 
-/** A call that does not fit its server came past the check for that. */
+/** Internal error: a call reached a backend server of the wrong kind despite the checks. */
 class CallMismatchError extends Error {
   constructor() {
-    super("The call does not fit the server");
+    super("The kind of the call does not match the kind of the backend server");
   }
 }
 
-function keyOf(ask: AskRequest, call: PlainCall): string {
+function keyDigestHex(ask: AskRequest, call: PlainCall): string {
   return Buffer.from(keyDigestOf(ask, call)).toString("hex");
 }
--- a/src/agent/agent_core_fuzz_test.ts
+++ b/src/agent/agent_core_fuzz_test.ts
@@ -14,9 +14,9 @@
 const SEED = 20261202;
 const START_WALL_MS = 1_000_000_000;
 
-type Step =
+type Action =
   | { kind: "start"; isHeld: boolean }
-  /** An earlier start arrives once more. */
+  /** An earlier start message arrives again. */
   | { kind: "duplicate"; at: number }
   | { kind: "cancel"; at: number }
   | { kind: "attach"; at: number }
@@ -25,7 +25,7 @@
   | { kind: "engine"; isUp: boolean };
 
 const at = fc.nat(3);
-const step: fc.Arbitrary<Step> = fc.oneof(
+const action: fc.Arbitrary<Action> = fc.oneof(
   fc.record({ kind: fc.constant("start" as const), isHeld: fc.boolean() }),
   fc.record({ kind: fc.constant("duplicate" as const), at }),
   fc.record({ kind: fc.constant("cancel" as const), at }),
@@ -38,10 +38,10 @@
   fc.record({ kind: fc.constant("engine" as const), isUp: fc.boolean() }),
 );
 
-const STEPS = fc.array(step, { minLength: 10, maxLength: 40, size: "max" });
+const ACTIONS = fc.array(action, { minLength: 10, maxLength: 40, size: "max" });
 
-/** An agent's core on time that tests move, and the oracle's record. */
-class World {
+/** An agent core with a manual clock, and a record of starts and of runs reported as not run. */
+class CoreSimulation {
   readonly engine = FakeEngine.create();
   readonly starts: StartRun[] = [];
   readonly notRun = new Set<string>();
@@ -74,32 +74,32 @@
     });
   }
 
-  async take(step: Step): Promise<void> {
-    switch (step.kind) {
+  async apply(action: Action): Promise<void> {
+    switch (action.kind) {
       case "start":
-        this.#start(step.isHeld);
+        this.#start(action.isHeld);
         break;
       case "duplicate":
-        this.#open(this.starts[step.at]);
+        this.#open(this.starts[action.at]);
         break;
       case "attach": {
-        const start = this.starts[step.at];
+        const start = this.starts[action.at];
         if (start) this.#open({ ...start, attachOnly: true, call: undefined });
         break;
       }
       case "cancel":
-        this.#cancel(this.starts[step.at]);
+        this.#cancel(this.starts[action.at]);
         break;
       case "end":
-        this.engine.runs[step.at]?.end();
+        this.engine.runs[action.at]?.end();
         break;
       case "wait":
-        this.nowMs += step.ms;
+        this.nowMs += action.ms;
         this.#runs.sweep();
         this.#model.admission.sweep();
         break;
       case "engine":
-        this.engine.isUp = step.isUp;
+        this.engine.isUp = action.isUp;
     }
     await nextTurn();
     await this.#model.watch.poll();
@@ -132,23 +132,23 @@
   }
 }
 
-test("no id runs twice, and what was not run never runs", async () => {
+test("no run id runs twice, and a run reported as not run never runs", async () => {
   await fc.assert(
-    fc.asyncProperty(STEPS, async (steps) => {
-      const world = new World();
-      await world.take({ kind: "wait", ms: 1 });
+    fc.asyncProperty(ACTIONS, async (actions) => {
+      const simulation = new CoreSimulation();
+      await simulation.apply({ kind: "wait", ms: 1 });
       const ranBefore = new Set<string>();
-      for (const each of steps) {
-        const notRun = new Set(world.notRun);
-        const count = world.engine.runs.length;
-        await world.take(each);
-        for (const { call } of world.engine.runs.slice(count)) {
+      for (const each of actions) {
+        const notRun = new Set(simulation.notRun);
+        const count = simulation.engine.runs.length;
+        await simulation.apply(each);
+        for (const { call } of simulation.engine.runs.slice(count)) {
           assert(!ranBefore.has(call.requestId), `${call.requestId} ran twice`);
           assert(!notRun.has(call.requestId), `${call.requestId} was not run`);
           ranBefore.add(call.requestId);
         }
       }
-      for (const runId of world.notRun) {
+      for (const runId of simulation.notRun) {
         const ran = ranBefore.has(runId);
         assert(!ran, `${runId} ran, and was said not to have run`);
       }
--- a/src/agent/cost_model.ts
+++ b/src/agent/cost_model.ts
@@ -1,22 +1,24 @@
-/** What work costs on this server: the engine's own figures at first, then those of own runs. */
+/** Latency model of one engine, initialized from the engine's own rates and updated by its runs. */
 
-/** How a run went. */
+/** Measured timing of a completed run. */
 export interface RunTiming {
   uncachedTokens: number;
-  /** From passing it on to the first piece. */
+  /** Time from sending the run to the engine to its first piece of output. */
   firstPieceMs: number;
-  /** True when no other run's prefill was under way. */
+  /** True if no other run was in prefill on the engine when this run was sent. */
   hadEngineAlone: boolean;
   outputTokens: number;
   totalMs: number;
 }
 
-const WEIGHT = 0.1;
+/** Weight of a new sample in the exponential moving averages. */
+const SAMPLE_WEIGHT = 0.1;
+/** Prefills shorter than this are not used as samples of the prefill rate. */
 const MIN_PREFILL_SAMPLE_TOKENS = 64;
 const INITIAL_OUTPUT_TOKENS = 64;
 const INITIAL_RUN_MS = 1000;
 
-/** Learns rates as moving averages. */
+/** Estimates rates and run times as exponential moving averages. */
 export class CostModel {
   #prefillMsPerToken = 0.2;
   #decodeMsPerToken = 20;
@@ -25,7 +27,7 @@
 
   private constructor() {}
 
-  /** @returns A model with figures of a middling engine. */
+  /** @returns A model with default rates. */
   static create(): CostModel {
     return new CostModel();
   }
@@ -38,12 +40,12 @@
     return this.#decodeMsPerToken;
   }
 
-  /** Mean time that a run holds its place. */
+  /** Average time from sending a run to the engine to its end. */
   get runMs(): number {
     return this.#runMs;
   }
 
-  /** @param rates What the engine says about itself; taken when it comes up. */
+  /** @param rates Rates that the engine reports when it starts; a rate of 0 is ignored. */
   reset(rates: { prefillMsPerToken: number; decodeMsPerToken: number }): void {
     if (rates.prefillMsPerToken > 0) {
       this.#prefillMsPerToken = rates.prefillMsPerToken;
@@ -54,27 +56,33 @@
     }
   }
 
-  /** @param timing A run that ended well. */
+  /** @param timing Timing of a run that completed successfully. */
   learn(timing: RunTiming): void {
     if (
       timing.hadEngineAlone &&
       timing.uncachedTokens >= MIN_PREFILL_SAMPLE_TOKENS
     ) {
-      const rate = timing.firstPieceMs / timing.uncachedTokens;
-      this.#prefillMsPerToken = blend(this.#prefillMsPerToken, rate);
+      const msPerToken = timing.firstPieceMs / timing.uncachedTokens;
+      this.#prefillMsPerToken = updateAverage(
+        this.#prefillMsPerToken,
+        msPerToken,
+      );
     }
     if (timing.outputTokens > 1) {
       const decodeMs = timing.totalMs - timing.firstPieceMs;
-      const rate = decodeMs / (timing.outputTokens - 1);
-      this.#decodeMsPerToken = blend(this.#decodeMsPerToken, rate);
+      const msPerToken = decodeMs / (timing.outputTokens - 1);
+      this.#decodeMsPerToken = updateAverage(
+        this.#decodeMsPerToken,
+        msPerToken,
+      );
     }
-    this.#outputTokens = blend(this.#outputTokens, timing.outputTokens);
-    this.#runMs = blend(this.#runMs, timing.totalMs);
+    this.#outputTokens = updateAverage(this.#outputTokens, timing.outputTokens);
+    this.#runMs = updateAverage(this.#runMs, timing.totalMs);
   }
 
   /**
-   * @param maxTokens The request's bound; 0: none.
-   * @returns Expected time from first to last token.
+   * @param maxTokens The request's limit on output tokens; 0 if there is none.
+   * @returns Expected time from the first to the last output token.
    */
   outputMs(maxTokens: number): number {
     const tokens = maxTokens > 0
@@ -84,6 +92,6 @@
   }
 }
 
-function blend(old: number, sample: number): number {
-  return old + WEIGHT * (sample - old);
+function updateAverage(average: number, sample: number): number {
+  return average + SAMPLE_WEIGHT * (sample - average);
 }
--- a/src/agent/engine_backlog.ts
+++ b/src/agent/engine_backlog.ts
@@ -1,106 +1,108 @@
 /**
- * What is on the engine: own requests, exactly, and what its lagging load report shows beyond them.
- * A report speaks of a moment in the past, so it is compared with what was on the engine by then;
- * requests admitted since count on top.
+ * Tracks the load of one engine: the agent's own requests, which are counted exactly, plus requests
+ * of other clients, which are derived from the engine's load reports. A report describes an earlier
+ * moment, so the own requests that were on the engine at that moment are subtracted from it. Own
+ * requests sent since then are added.
  */
 import type { EngineLoad } from "../backends/engine.ts";
 
-/** A request that was passed to the engine. */
-export interface PlacedWork {
+/** A request that was sent to the engine. */
+export interface PlacedRequest {
   uncachedTokens: number;
   placedMs: number;
-  /** When its first piece came; Infinity: not yet. */
+  /** Time of the first piece of output; Infinity until then. */
   firstPieceMs: number;
-  /** When it left the engine; Infinity: not yet. */
+  /** Time at which the request left the engine; Infinity until then. */
   leftMs: number;
 }
 
+/** Load reports older than this are ignored. */
 const REPORT_MAX_AGE_MS = 5000;
 
-/** Work on the engine. */
+/** Requests and pending prefill tokens on the engine. */
 export class EngineBacklog {
-  readonly #placed = new Set<PlacedWork>();
-  /** Left a short while ago: a report may still count it. */
-  #recentlyLeft: PlacedWork[] = [];
-  #foreignCount = 0;
-  #foreignTokens = 0;
-  #reportUntilMs = -Infinity;
+  readonly #requests = new Set<PlacedRequest>();
+  /** Requests that left recently; a lagging report may still include them. */
+  #recentlyLeft: PlacedRequest[] = [];
+  #otherRequestCount = 0;
+  #otherPrefillTokens = 0;
+  #reportExpiresMs = -Infinity;
 
   private constructor() {}
 
-  /** @returns An engine that nothing was passed to. */
+  /** @returns The backlog of an idle engine. */
   static create(): EngineBacklog {
     return new EngineBacklog();
   }
 
   get ownCount(): number {
-    return this.#placed.size;
+    return this.#requests.size;
   }
 
-  /** Own requests without a first piece. */
+  /** Number of own requests still in prefill. */
   get prefillingCount(): number {
     let count = 0;
-    for (const work of this.#placed) {
-      if (work.firstPieceMs === Infinity) count++;
+    for (const request of this.#requests) {
+      if (request.firstPieceMs === Infinity) count++;
     }
     return count;
   }
 
-  /** @returns Requests on the engine. */
+  /** @returns Number of requests on the engine, including those of other clients. */
   count(nowMs: number): number {
     return this.ownCount +
-      (nowMs < this.#reportUntilMs ? this.#foreignCount : 0);
+      (nowMs < this.#reportExpiresMs ? this.#otherRequestCount : 0);
   }
 
-  /** @returns Tokens that the engine has still to prefill. */
+  /** @returns Number of tokens that the engine still has to prefill. */
   prefillTokens(nowMs: number): number {
-    let tokens = nowMs < this.#reportUntilMs ? this.#foreignTokens : 0;
-    for (const work of this.#placed) {
-      if (work.firstPieceMs === Infinity) tokens += work.uncachedTokens;
+    let tokens = nowMs < this.#reportExpiresMs ? this.#otherPrefillTokens : 0;
+    for (const request of this.#requests) {
+      if (request.firstPieceMs === Infinity) tokens += request.uncachedTokens;
     }
     return tokens;
   }
 
-  /** @param work A request that is being passed on. */
-  place(work: PlacedWork): void {
-    this.#placed.add(work);
+  /** @param request A request that is being sent to the engine. */
+  add(request: PlacedRequest): void {
+    this.#requests.add(request);
   }
 
   /**
-   * @param work A request that ended, or was cancelled.
-   * @param nowMs The time.
+   * @param request A request that has ended or was cancelled.
+   * @param nowMs Current time.
    */
-  leave(work: PlacedWork, nowMs: number): void {
-    if (!this.#placed.delete(work)) return;
-    work.leftMs = nowMs;
-    this.#recentlyLeft.push(work);
+  remove(request: PlacedRequest, nowMs: number): void {
+    if (!this.#requests.delete(request)) return;
+    request.leftMs = nowMs;
+    this.#recentlyLeft.push(request);
   }
 
   /**
-   * @param load The engine's report.
-   * @param nowMs When it was received.
+   * @param load The engine's load report.
+   * @param nowMs Time at which the report was received.
    */
-  report(load: EngineLoad, nowMs: number): void {
-    const atMs = nowMs - load.ageMs;
-    this.#recentlyLeft = this.#recentlyLeft.filter((work) =>
-      work.leftMs > nowMs - REPORT_MAX_AGE_MS
+  applyReport(load: EngineLoad, nowMs: number): void {
+    const asOfMs = nowMs - load.ageMs;
+    this.#recentlyLeft = this.#recentlyLeft.filter((request) =>
+      request.leftMs > nowMs - REPORT_MAX_AGE_MS
     );
     let count = 0;
     let tokens = 0;
-    for (const work of [...this.#placed, ...this.#recentlyLeft]) {
-      if (work.placedMs > atMs || work.leftMs <= atMs) continue;
+    for (const request of [...this.#requests, ...this.#recentlyLeft]) {
+      if (request.placedMs > asOfMs || request.leftMs <= asOfMs) continue;
       count++;
-      if (work.firstPieceMs > atMs) tokens += work.uncachedTokens;
+      if (request.firstPieceMs > asOfMs) tokens += request.uncachedTokens;
     }
-    this.#foreignCount = Math.max(0, load.running + load.waiting - count);
-    this.#foreignTokens = Math.max(0, load.prefillTokensQueued - tokens);
-    this.#reportUntilMs = atMs + REPORT_MAX_AGE_MS;
+    this.#otherRequestCount = Math.max(0, load.running + load.waiting - count);
+    this.#otherPrefillTokens = Math.max(0, load.prefillTokensQueued - tokens);
+    this.#reportExpiresMs = asOfMs + REPORT_MAX_AGE_MS;
   }
 
-  /** Forgets reports, after the engine came back empty. */
+  /** Discards the load reports, after the engine restarted without requests. */
   reset(): void {
-    this.#foreignCount = 0;
-    this.#foreignTokens = 0;
-    this.#reportUntilMs = -Infinity;
+    this.#otherRequestCount = 0;
+    this.#otherPrefillTokens = 0;
+    this.#reportExpiresMs = -Infinity;
   }
 }
--- a/src/agent/holds.ts
+++ b/src/agent/holds.ts
@@ -1,19 +1,21 @@
-/** Places that were offered and are kept for a moment. */
+/** Short-lived reservations for requests that were offered admission but have not started yet. */
 import { randomBytes } from "node:crypto";
 import type { Clock } from "../base/mod.ts";
 
-/** A kept place. */
+/** A reservation for one run. */
 export interface Hold<T> {
   runId: string;
   expiresMs: number;
-  /** What the place is for. */
+  /** The work that is reserved. */
   demand: T;
 }
 
+/** Maximum number of open holds. */
 const MAX_HOLDS = 4096;
+/** Maximum lifetime of a hold. */
 const MAX_HOLD_MS = 5000;
 
-/** Kept places by id. An id is good once, on this process only. */
+/** Open holds by id. A hold can be used once, and only in the process that issued it. */
 export class Holds<T> {
   readonly #clock: Clock;
   readonly #holds = new Map<string, Hold<T>>();
@@ -25,8 +27,8 @@
   }
 
   /**
-   * @param clock Ends holds.
-   * @returns No holds.
+   * @param clock Clock by which holds expire.
+   * @returns An empty collection.
    */
   static create<T>(clock: Clock): Holds<T> {
     return new Holds(clock);
@@ -36,7 +38,7 @@
     return this.#holds.size;
   }
 
-  /** Holds that have not lapsed. */
+  /** Holds that have not expired. */
   *live(): IterableIterator<Hold<T>> {
     const nowMs = this.#clock.nowMs();
     for (const hold of this.#holds.values()) {
@@ -45,10 +47,12 @@
   }
 
   /**
-   * @param runId Who may use it.
-   * @param holdMs For how long.
-   * @param demand What the place is for.
-   * @returns The hold's id; empty when there are too many holds.
+   * Creates a hold.
+   *
+   * @param runId The run that may use the hold.
+   * @param holdMs Lifetime of the hold.
+   * @param demand The work that is reserved.
+   * @returns The hold's id; empty if there are too many holds.
    */
   open(
     runId: string,
@@ -64,9 +68,9 @@
   }
 
   /**
-   * @param holdId The hold.
-   * @param runId Who would use it.
-   * @returns Whether it is there and has not lapsed.
+   * @param holdId Id of the hold.
+   * @param runId The run that wants to use it.
+   * @returns Whether the hold exists for this run and has not expired.
    */
   has(holdId: string, runId: string): boolean {
     const hold = this.#holds.get(holdId);
@@ -74,19 +78,19 @@
   }
 
   /**
-   * @param holdId A hold, lapsed or not.
-   * @returns Whether this process gave it.
+   * @param holdId Id of a hold, expired or not.
+   * @returns Whether this process issued the hold.
    */
-  isOwn(holdId: string): boolean {
+  isLocal(holdId: string): boolean {
     return holdId.startsWith(`${this.#prefix}-`);
   }
 
   /**
-   * Uses a hold up.
+   * Uses up a hold.
    *
-   * @param holdId The hold.
-   * @param runId Who uses it.
-   * @returns The hold, or undefined when it lapsed, was used or is another's.
+   * @param holdId Id of the hold.
+   * @param runId The run that uses it.
+   * @returns The hold, or undefined if it has expired, was used or belongs to another run.
    */
   use(holdId: string, runId: string): Hold<T> | undefined {
     if (!this.has(holdId, runId)) return undefined;
@@ -95,7 +99,7 @@
     return hold;
   }
 
-  /** Drops lapsed holds. */
+  /** Removes expired holds. */
   sweep(): void {
     const nowMs = this.#clock.nowMs();
     for (const [holdId, hold] of this.#holds) {
--- a/src/agent/jitter.ts
+++ b/src/agent/jitter.ts
@@ -1,9 +1,9 @@
-/** Seeded jitter, so that those refused together don't come back together. */
+/** Seeded jitter for retry delays, so that requests refused together don't retry together. */
 import { hash } from "node:crypto";
 
 const UINT32 = 0x1_0000_0000;
 
-/** A small deterministic generator. */
+/** A small deterministic pseudorandom number generator. */
 export class Jitter {
   #state: number;
 
@@ -12,7 +12,7 @@
   }
 
   /**
-   * @param seed Any text; the same one gives the same numbers.
+   * @param seed Any text; equal seeds give equal sequences.
    * @returns A generator.
    */
   static create(seed: string): Jitter {
@@ -20,8 +20,8 @@
   }
 
   /**
-   * @param spreadMs The width.
-   * @returns A time from 0 up to the width.
+   * @param spreadMs Upper bound of the result, exclusive.
+   * @returns A random time between 0 and the bound.
    */
   nextMs(spreadMs: number): number {
     this.#state = (this.#state + 0x9e3779b9) >>> 0;
--- a/src/agent/kept_answers.ts
+++ b/src/agent/kept_answers.ts
@@ -1,50 +1,51 @@
 /**
- * Runs by idempotency key, so that a repeat meets the first run. Answers are kept for a while and
- * within a byte bound; after that the key is still known here, and its answer is gone.
+ * Runs by idempotency key, so that a repeated request gets the answer of the first run. Answers are
+ * kept for a limited time and within a byte limit. If the byte limit evicts an answer, its key
+ * stays known, so that a repeat still does not run again.
  */
 import type { Clock } from "../base/mod.ts";
 import { type Run, RunState } from "./run.ts";
 
-/** Bounds of {@link KeptAnswers}. */
-export interface KeptAnswersOptions {
+/** Clock and limits of {@link KeptAnswers}. */
+export interface AnswerCacheOptions {
   clock: Clock;
   maxBytes?: number;
   maxKeys?: number;
 }
 
-/** What is known of a key. */
+/** Result of looking up an idempotency key. */
 export type KeyLookup =
   | { kind: "new" }
   | { kind: "known"; run: Run }
-  /** It came with another request. */
+  /** The key was used before with a different request. */
   | { kind: "reused" };
 
-interface KeptAnswer {
+interface CachedAnswer {
   run: Run;
   fingerprint: Buffer;
   keepMs: number;
-  /** Counted against the bound; 0 until the run has ended. */
+  /** Bytes counted against the limit; 0 until the run has ended. */
   sizeBytes: number;
 }
 
 const DEFAULTS = { maxBytes: 8 * 1024 * 1024, maxKeys: 20_000 };
 
-/** Answers of calls that may not be repeated. */
+/** Answers of at-most-once calls. */
 export class KeptAnswers {
-  readonly #options: Required<KeptAnswersOptions>;
-  /** In order of the first request. */
-  readonly #answers = new Map<string, KeptAnswer>();
+  readonly #options: Required<AnswerCacheOptions>;
+  /** In order of each key's first request. */
+  readonly #answers = new Map<string, CachedAnswer>();
   #sizeBytes = 0;
 
-  private constructor(options: Required<KeptAnswersOptions>) {
+  private constructor(options: Required<AnswerCacheOptions>) {
     this.#options = options;
   }
 
   /**
-   * @param options Clock and bounds.
-   * @returns No answers.
+   * @param options Clock and limits.
+   * @returns An empty cache.
    */
-  static create(options: KeptAnswersOptions): KeptAnswers {
+  static create(options: AnswerCacheOptions): KeptAnswers {
     return new KeptAnswers({ ...DEFAULTS, ...options });
   }
 
@@ -55,7 +56,7 @@
   /**
    * @param key Digest of the key, in hex.
    * @param fingerprint Hash of the call.
-   * @returns The key's run, if there is one.
+   * @returns Whether the key is new, and its run if it is known.
    */
   find(key: string, fingerprint: Uint8Array): KeyLookup {
     const answer = this.#answers.get(key);
@@ -67,7 +68,7 @@
   /**
    * @param key Digest of a new key, in hex.
    * @param run The run that it started.
-   * @param options Hash of the call, and how long repeats are recognised.
+   * @param options Hash of the call, and how long repeats are recognized after the run's end.
    */
   add(
     key: string,
@@ -77,14 +78,18 @@
     const fingerprint = Buffer.from(options.fingerprint);
     const { keepMs } = options;
     this.#answers.set(key, { run, fingerprint, keepMs, sizeBytes: 0 });
-    this.#dropSurplusKeys();
+    this.#removeExcessKey();
   }
 
-  /** @param key A key whose run has ended. */
-  settle(key: string): void {
+  /**
+   * Records that a key's run has ended, and evicts the oldest answers beyond the byte limit.
+   *
+   * @param key Digest of the key, in hex.
+   */
+  markEnded(key: string): void {
     const answer = this.#answers.get(key);
     if (!answer) return;
-    // Nothing was run, so a repeat is a first try.
+    // A refused run did not execute, so a repeat counts as a first attempt.
     if (answer.run.output.ending?.kind === "refused") {
       this.#answers.delete(key);
       return;
@@ -93,36 +98,36 @@
     this.#sizeBytes += answer.sizeBytes;
     for (const each of this.#answers.values()) {
       if (this.#sizeBytes <= this.#options.maxBytes) return;
-      this.#dropAnswer(each);
+      this.#evictAnswer(each);
     }
   }
 
-  /** Forgets keys that are past their time. */
+  /** Removes keys whose retention time is over. */
   sweep(): void {
     const nowMs = this.#options.clock.nowMs();
     for (const [key, answer] of this.#answers) {
       if (answer.run.state !== RunState.Ended) continue;
       if (nowMs - answer.run.endedMs < answer.keepMs) continue;
-      this.#forget(key, answer);
+      this.#remove(key, answer);
     }
   }
 
-  #dropSurplusKeys(): void {
+  #removeExcessKey(): void {
     if (this.#answers.size <= this.#options.maxKeys) return;
     for (const [key, answer] of this.#answers) {
       if (answer.run.state !== RunState.Ended) continue;
-      // The journal still knows the key.
-      this.#forget(key, answer);
+      // The claims journal still recognizes this key if the request is repeated.
+      this.#remove(key, answer);
       return;
     }
   }
 
-  #forget(key: string, answer: KeptAnswer): void {
-    this.#dropAnswer(answer);
+  #remove(key: string, answer: CachedAnswer): void {
+    this.#evictAnswer(answer);
     this.#answers.delete(key);
   }
 
-  #dropAnswer(answer: KeptAnswer): void {
+  #evictAnswer(answer: CachedAnswer): void {
     this.#sizeBytes -= answer.sizeBytes;
     answer.sizeBytes = 0;
     if (answer.run.state === RunState.Ended) answer.run.output.drop();
--- a/src/agent/lapsed_hold_test.ts
+++ b/src/agent/lapsed_hold_test.ts
@@ -8,13 +8,13 @@
 import { FakeEngine } from "./_fake_engine.ts";
 import { testAsk, testStart } from "./_test_kit.ts";
 import { ModelServer } from "./model_server.ts";
-import type { Opened } from "./opened.ts";
+import type { OpenResult } from "./opened.ts";
 import { RunTable } from "./runs.ts";
 
 const HOLD_MS = 50;
 
-/** An agent's core over an engine that runs one request at a time, on time that tests move. */
-class World {
+/** An agent core with a manual clock and an engine that runs one request at a time. */
+class CoreSetup {
   readonly engine = FakeEngine.create();
   readonly clock = ManualClock.create();
   readonly core: AgentCore;
@@ -37,11 +37,11 @@
     this.core = AgentCore.create(options, server);
   }
 
-  static async create(): Promise<World> {
-    const world = new World();
-    world.engine.maxRunning = 1;
-    await world.model.watch.poll();
-    return world;
+  static async create(): Promise<CoreSetup> {
+    const setup = new CoreSetup();
+    setup.engine.maxRunning = 1;
+    await setup.model.watch.poll();
+    return setup;
   }
 
   hold(runId: string, holdMs = HOLD_MS): string {
@@ -49,7 +49,7 @@
     return verdict?.$case === "offer" ? verdict.value.holdId : "";
   }
 
-  start(runId: string, holdId: string): Opened {
+  start(runId: string, holdId: string): OpenResult {
     const ask = this.#askOf(runId, HOLD_MS);
     return this.core.open(testStart(runId, { ask, holdId }));
   }
@@ -61,51 +61,51 @@
   }
 }
 
-test("a lapsed hold costs the place, not the run", async () => {
-  const world = await World.create();
-  const holdId = world.hold("r1");
-  await world.clock.advance(HOLD_MS + 1);
-  assert.equal(world.start("r1", holdId).kind, "attached");
-  await world.engine.nthRun(0);
+test("a run with an expired hold is still admitted", async () => {
+  const setup = await CoreSetup.create();
+  const holdId = setup.hold("r1");
+  await setup.clock.advance(HOLD_MS + 1);
+  assert.equal(setup.start("r1", holdId).kind, "attached");
+  await setup.engine.nthRun(0);
 });
 
-test("a run whose hold lapsed still runs once", async () => {
-  const world = await World.create();
-  const holdId = world.hold("r1");
-  await world.clock.advance(HOLD_MS + 1);
-  world.start("r1", holdId);
-  await world.engine.nthRun(0);
-  assert.equal(world.start("r1", holdId).kind, "attached");
+test("a run with an expired hold runs only once", async () => {
+  const setup = await CoreSetup.create();
+  const holdId = setup.hold("r1");
+  await setup.clock.advance(HOLD_MS + 1);
+  setup.start("r1", holdId);
+  await setup.engine.nthRun(0);
+  assert.equal(setup.start("r1", holdId).kind, "attached");
   await new Promise((resolve) => setImmediate(resolve));
-  assert.equal(world.engine.runs.length, 1);
+  assert.equal(setup.engine.runs.length, 1);
 });
 
-test("an id that was cancelled does not start by its lapsed hold", async () => {
-  const world = await World.create();
-  const holdId = world.hold("r1");
-  await world.clock.advance(HOLD_MS + 1);
-  const issuedWallMs = BigInt(world.clock.wallMs());
-  world.core.cancel({ runId: "r1", reason: "", issuedWallMs });
-  assert.equal(world.start("r1", holdId).kind, "refused");
-  assert.equal(world.engine.runs.length, 0);
+test("a cancelled run id does not start with its expired hold", async () => {
+  const setup = await CoreSetup.create();
+  const holdId = setup.hold("r1");
+  await setup.clock.advance(HOLD_MS + 1);
+  const issuedWallMs = BigInt(setup.clock.wallMs());
+  setup.core.cancel({ runId: "r1", reason: "", issuedWallMs });
+  assert.equal(setup.start("r1", holdId).kind, "refused");
+  assert.equal(setup.engine.runs.length, 0);
 });
 
-test("a hold lets in once the queue is too long, a lapsed one does not", async () => {
-  const world = await World.create();
-  const [kept, lapsed] = [world.hold("kept", 5000), world.hold("lapsed")];
-  await world.clock.advance(HOLD_MS + 1);
-  for (let i = 0; i < 1100; i++) world.start(`r${i}`, "");
-  const refused = world.start("lapsed", lapsed);
+test("with a full queue, a valid hold is admitted and an expired one is refused", async () => {
+  const setup = await CoreSetup.create();
+  const [kept, lapsed] = [setup.hold("kept", 5000), setup.hold("lapsed")];
+  await setup.clock.advance(HOLD_MS + 1);
+  for (let i = 0; i < 1100; i++) setup.start(`r${i}`, "");
+  const refused = setup.start("lapsed", lapsed);
   assert.ok(refused.kind === "refused", refused.kind);
   assert.equal(refused.refusal.code, RefusalCode.OVERLOADED);
   assert.ok(refused.refusal.retryAfterMs > 0);
-  assert.equal(world.start("kept", kept).kind, "attached");
+  assert.equal(setup.start("kept", kept).kind, "attached");
 });
 
-test("a hold of another process starts nothing", async () => {
-  const [world, other] = [await World.create(), await World.create()];
-  const refused = world.start("r1", other.hold("r1"));
+test("a hold of another process is refused", async () => {
+  const [setup, other] = [await CoreSetup.create(), await CoreSetup.create()];
+  const refused = setup.start("r1", other.hold("r1"));
   assert.ok(refused.kind === "refused", refused.kind);
   assert.equal(refused.refusal.code, RefusalCode.HOLD_GONE);
-  assert.equal(world.engine.runs.length, 0);
+  assert.equal(setup.engine.runs.length, 0);
 });
--- a/src/agent/opened.ts
+++ b/src/agent/opened.ts
@@ -1,4 +1,4 @@
-/** What became of a connection's first message. */
+/** Results of starting a run, or attaching to one, with a connection's first message. */
 import {
   type Refusal,
   type RunEnd,
@@ -6,27 +6,27 @@
 } from "../wire/gen/cicadahitch.ts";
 import type { Attachment } from "./attachment.ts";
 
-/** What a start came to. */
-export type Opened =
+/** Result of a start. */
+export type OpenResult =
   | { kind: "attached"; attachment: Attachment }
   | { kind: "refused"; refusal: Refusal }
-  /** It ran, and its output is gone. */
+  /** The run is known or may have run, but its output can't be read. */
   | { kind: "gone"; end: RunEnd };
 
 /**
- * @param refusal Why nothing was run.
- * @returns A start that was refused.
+ * @param refusal The refusal.
+ * @returns The result of a refused start.
  */
-export function refused(refusal: Refusal): Opened {
+export function refused(refusal: Refusal): OpenResult {
   return { kind: "refused", refusal };
 }
 
 /**
- * @param outcome How it ended.
- * @param message For people.
- * @returns A start whose run ended without output.
+ * @param outcome Outcome of the run.
+ * @param message Readable description.
+ * @returns The result of a start whose run has no readable output.
  */
-export function gone(outcome: RunOutcome, message: string): Opened {
+export function gone(outcome: RunOutcome, message: string): OpenResult {
   const end: RunEnd = {
     outcome,
     pieceCount: 0,
--- a/src/agent/prefills_in_flight.ts
+++ b/src/agent/prefills_in_flight.ts
@@ -1,67 +1,69 @@
 /**
- * Prefixes that the engine is about to have cached: those of requests that were let in and whose
- * blocks it doesn't report yet. A request with the same prefix that comes meanwhile will find it, so
- * it has less to compute. Nothing here says that a block is cached; that is {@link CacheView}'s word.
+ * Tracks prompt prefixes that the engine is currently computing: those of admitted requests whose
+ * blocks the engine has not yet reported as cached. A new request with the same prefix will find it
+ * in the cache, so it needs less prefill. Only {@link CacheView} tells whether a block is cached.
  *
- * A new incarnation computes none of it any more, and counts are kept apart by whole scope.
+ * Everything is cleared when the engine restarts. Prefixes are counted separately by scope, which
+ * includes team, workspace, model, adapter and weights version.
  */
 import type { Clock } from "../base/mod.ts";
 import { CHAIN_BLOCK_TOKENS, scopeId } from "../placement/chain.ts";
 import { InFlightPrefixes } from "../placement/in_flight_prefixes.ts";
 import type { AskRequest } from "../wire/gen/cicadahitch.ts";
 
-/** A request that was let in. */
+/** The prefill of an admitted request. */
 interface Prefill {
   ask: AskRequest;
   scope: string;
-  /** False once its first piece came. */
+  /** False once the first piece of output has arrived. */
   isPrefilling: boolean;
 }
 
-interface Leaving {
-  holder: object;
+/** A prefill that is removed at `dueMs`. */
+interface PendingRemoval {
+  request: object;
   prefill: Prefill;
-  atMs: number;
+  dueMs: number;
 }
 
-/** How long after the first piece the engine's events are surely in the view. */
-const REPORTED_AFTER_MS = 150;
+/** Time after the first piece by which the engine's cache events have reached the cache view. */
+const EVENT_DELAY_MS = 150;
 
-/** Prefixes in flight on one engine. */
+/** Prefixes in prefill on one engine. */
 export class PrefillsInFlight {
   readonly #clock: Clock;
   readonly #scopes = new Map<string, InFlightPrefixes>();
   readonly #prefills = new Map<object, Prefill>();
-  /** In the order in which they leave. */
-  #leaving: Leaving[] = [];
+  /** In order of removal. */
+  #pendingRemovals: PendingRemoval[] = [];
 
   private constructor(clock: Clock) {
     this.#clock = clock;
   }
 
   /**
-   * @param clock Ends the wait for the engine's events.
-   * @returns Nothing in flight.
+   * @param clock Clock for the delay of the engine's cache events.
+   * @returns A tracker without prefixes.
    */
   static create(clock: Clock): PrefillsInFlight {
     return new PrefillsInFlight(clock);
   }
 
-  /** Requests that are counted. */
+  /** Number of tracked requests. */
   get size(): number {
-    this.#dropReported();
+    this.#removeDue();
     return this.#prefills.size;
   }
 
   /**
-   * A request was let in.
+   * Adds an admitted request.
    *
-   * @param holder Stands for the request.
-   * @param ask What was asked.
-   * @param options The version that serves it.
+   * @param request Object that identifies the request.
+   * @param ask The ask of the request.
+   * @param options The weights version that serves the request.
    */
   enter(
-    holder: object,
+    request: object,
     ask: AskRequest,
     { weightsVersion }: { weightsVersion: string },
   ): void {
@@ -71,32 +73,32 @@
       this.#scopes.set(scope, prefixes = InFlightPrefixes.create());
     }
     prefixes.enter(ask.chain);
-    this.#prefills.set(holder, { ask, scope, isPrefilling: true });
+    this.#prefills.set(request, { ask, scope, isPrefilling: true });
   }
 
-  /** @param holder A request whose first piece came: the engine's events will follow. */
-  notePrefilled(holder: object): void {
-    this.#dropReported();
-    const prefill = this.#prefills.get(holder);
+  /** @param request A request whose first piece has arrived; the engine's cache events follow. */
+  notePrefilled(request: object): void {
+    this.#removeDue();
+    const prefill = this.#prefills.get(request);
     if (!prefill?.isPrefilling) return;
     prefill.isPrefilling = false;
-    const atMs = this.#clock.nowMs() + REPORTED_AFTER_MS;
-    this.#leaving.push({ holder, prefill, atMs });
+    const dueMs = this.#clock.nowMs() + EVENT_DELAY_MS;
+    this.#pendingRemovals.push({ request, prefill, dueMs });
   }
 
-  /** @param holder A request that ended; without a first piece it came to nothing. */
-  leave(holder: object): void {
-    const prefill = this.#prefills.get(holder);
-    if (prefill?.isPrefilling) this.#drop(holder, prefill);
+  /** @param request A request that ended; it is removed at once if no first piece has arrived. */
+  leave(request: object): void {
+    const prefill = this.#prefills.get(request);
+    if (prefill?.isPrefilling) this.#remove(request, prefill);
   }
 
   /**
    * @param ask A request.
-   * @param weightsVersion The version that would serve it.
-   * @returns Tokens of its prompt that requests before it compute.
+   * @param weightsVersion The weights version that would serve it.
+   * @returns Number of tokens of its prompt that earlier requests are computing.
    */
   comingTokens(ask: AskRequest, weightsVersion: string): number {
-    this.#dropReported();
+    this.#removeDue();
     if (this.#scopes.size === 0) return 0;
     const prefixes = this.#scopes.get(scopeId({ ...ask, weightsVersion }));
     if (!prefixes) return 0;
@@ -104,28 +106,28 @@
     return Math.min(blocks * CHAIN_BLOCK_TOKENS, ask.promptTokens);
   }
 
-  /** The engine started anew, with an empty cache. */
+  /** Removes everything, after the engine restarted with an empty cache. */
   clear(): void {
     this.#scopes.clear();
     this.#prefills.clear();
-    this.#leaving = [];
+    this.#pendingRemovals = [];
   }
 
-  #dropReported(): void {
+  #removeDue(): void {
     const nowMs = this.#clock.nowMs();
     let count = 0;
-    for (const { atMs } of this.#leaving) {
-      if (atMs > nowMs) break;
+    for (const { dueMs } of this.#pendingRemovals) {
+      if (dueMs > nowMs) break;
       count++;
     }
     if (count === 0) return;
-    for (const { holder, prefill } of this.#leaving.splice(0, count)) {
-      this.#drop(holder, prefill);
+    for (const { request, prefill } of this.#pendingRemovals.splice(0, count)) {
+      this.#remove(request, prefill);
     }
   }
 
-  #drop(holder: object, { ask, scope }: Prefill): void {
-    this.#prefills.delete(holder);
+  #remove(request: object, { ask, scope }: Prefill): void {
+    this.#prefills.delete(request);
     const prefixes = this.#scopes.get(scope);
     prefixes?.leave(ask.chain);
     if (prefixes?.size === 0) this.#scopes.delete(scope);
--- a/src/agent/prefills_in_flight_test.ts
+++ b/src/agent/prefills_in_flight_test.ts
@@ -14,15 +14,15 @@
 const TEXT = "x".repeat(4 * PROMPT_TOKENS);
 const LIMITS = { maxBytes: 1 << 20, repeatBytes: 0 };
 
-function askWith(runId: string, changes: Partial<AskRequest> = {}) {
+function createAsk(runId: string, changes: Partial<AskRequest> = {}) {
   const ask = testAsk(runId, { promptTokens: PROMPT_TOKENS, ...changes });
   const scope = { ...ask, weightsVersion: "1" };
   const text = Buffer.from(TEXT.slice(0, 4 * SHARED_TOKENS));
   return { ...ask, chain: selectPoints(promptChain(scope, text), [4]) };
 }
 
-/** An agent's side of an engine with one request let in, which has no piece yet. */
-class World {
+/** A model server with a fake engine and a manual clock. */
+class EngineSetup {
   readonly engine = FakeEngine.create();
   readonly clock = ManualClock.create();
   readonly server: ModelServer;
@@ -38,10 +38,10 @@
     });
   }
 
-  static async create(countsInFlight?: boolean): Promise<World> {
-    const world = new World(countsInFlight);
-    await world.server.watch.poll();
-    return world;
+  static async create(countsInFlight?: boolean): Promise<EngineSetup> {
+    const setup = new EngineSetup(countsInFlight);
+    await setup.server.watch.poll();
+    return setup;
   }
 
   async start(ask: AskRequest): Promise<{ run: Run; engineRun: FakeRun }> {
@@ -63,93 +63,96 @@
     });
   }
 
-  missing(changes: Partial<AskRequest> = {}): number {
-    return this.offer(askWith("other", changes)).recomputeTokens;
+  recomputeTokens(changes: Partial<AskRequest> = {}): number {
+    return this.offer(createAsk("other", changes)).recomputeTokens;
   }
 }
 
-async function untilOver(run: Run): Promise<void> {
+async function waitForEnd(run: Run): Promise<void> {
   while (!run.output.ending) await run.output.changed.wait();
   await new Promise((resolve) => setImmediate(resolve));
 }
 
-async function untilFirstPiece(run: Run): Promise<void> {
+async function waitForFirstPiece(run: Run): Promise<void> {
   while (run.output.pieceCount === 0) await run.output.changed.wait();
 }
 
-test("a prefix that is being computed need not be computed again", async () => {
-  const world = await World.create();
-  await world.start(askWith("r1"));
-  assert.equal(world.missing(), PROMPT_TOKENS - SHARED_TOKENS);
+test("a prefix in prefill is not counted as work of later requests", async () => {
+  const setup = await EngineSetup.create();
+  await setup.start(createAsk("r1"));
+  assert.equal(setup.recomputeTokens(), PROMPT_TOKENS - SHARED_TOKENS);
 });
 
-test("what is being computed is not said to be cached", async () => {
-  const world = await World.create();
-  await world.start(askWith("r1"));
-  assert.equal(world.offer(askWith("r2")).matchedTokens, 0);
-  const { run } = await world.start(askWith("r3"));
+test("a prefix in prefill is not reported as cached", async () => {
+  const setup = await EngineSetup.create();
+  await setup.start(createAsk("r1"));
+  assert.equal(setup.offer(createAsk("r2")).matchedTokens, 0);
+  const { run } = await setup.start(createAsk("r3"));
   assert.equal(run.matchedTokens, 0);
 });
 
-test("a prefix in flight counts in its own scope only", async () => {
-  const world = await World.create();
-  await world.start(askWith("r1"));
-  const { chain } = askWith("r1");
-  const { server } = world;
+test("a prefix in prefill counts only in its own scope", async () => {
+  const setup = await EngineSetup.create();
+  await setup.start(createAsk("r1"));
+  const { chain } = createAsk("r1");
+  const { server } = setup;
   const missing = (changes: Partial<AskRequest>) =>
     server.offer({ ...testAsk("r2"), chain, promptTokens: 900, ...changes }, 9)
       .unwrapOr(undefined)?.recomputeTokens;
   assert.equal(missing({}), 900 - SHARED_TOKENS);
-  // The keys are the same here, as if cut digests had met.
+  // All scopes have the same chain keys here, as in a collision of truncated digests.
   assert.equal(missing({ team: "u" }), 900);
   assert.equal(missing({ workspace: "v" }), 900);
-  assert.equal(server.prefills.comingTokens(askWith("r2"), "1"), SHARED_TOKENS);
-  assert.equal(server.prefills.comingTokens(askWith("r2"), "2"), 0);
+  assert.equal(
+    server.prefills.comingTokens(createAsk("r2"), "1"),
+    SHARED_TOKENS,
+  );
+  assert.equal(server.prefills.comingTokens(createAsk("r2"), "2"), 0);
 });
 
-test("a new incarnation computes nothing", async () => {
-  const world = await World.create();
-  const { run, engineRun } = await world.start(askWith("r1"));
-  world.engine.incarnation = "engine-2";
-  await world.server.watch.poll();
-  assert.equal(world.server.watch.incarnation, "engine-2");
-  assert.equal(world.missing(), PROMPT_TOKENS);
+test("an engine restart clears the prefixes in prefill", async () => {
+  const setup = await EngineSetup.create();
+  const { run, engineRun } = await setup.start(createAsk("r1"));
+  setup.engine.incarnation = "engine-2";
+  await setup.server.watch.poll();
+  assert.equal(setup.server.watch.incarnation, "engine-2");
+  assert.equal(setup.recomputeTokens(), PROMPT_TOKENS);
   engineRun.say("late");
-  await untilFirstPiece(run);
-  assert.equal(world.missing(), PROMPT_TOKENS);
-  assert.equal(world.server.prefills.size, 0);
+  await waitForFirstPiece(run);
+  assert.equal(setup.recomputeTokens(), PROMPT_TOKENS);
+  assert.equal(setup.server.prefills.size, 0);
 });
 
-test("after the first piece the events have 150 ms to come", async () => {
-  const world = await World.create();
-  const { run, engineRun } = await world.start(askWith("r1"));
+test("a prefix is dropped 150 ms after the first piece if no cache event arrives", async () => {
+  const setup = await EngineSetup.create();
+  const { run, engineRun } = await setup.start(createAsk("r1"));
   engineRun.say("a");
-  await untilFirstPiece(run);
+  await waitForFirstPiece(run);
   engineRun.end();
-  await untilOver(run);
-  await world.clock.advance(149);
-  assert.equal(world.missing(), PROMPT_TOKENS - SHARED_TOKENS);
-  await world.clock.advance(2);
-  assert.equal(world.missing(), PROMPT_TOKENS);
-  assert.equal(world.server.prefills.size, 0);
+  await waitForEnd(run);
+  await setup.clock.advance(149);
+  assert.equal(setup.recomputeTokens(), PROMPT_TOKENS - SHARED_TOKENS);
+  await setup.clock.advance(2);
+  assert.equal(setup.recomputeTokens(), PROMPT_TOKENS);
+  assert.equal(setup.server.prefills.size, 0);
 });
 
-test("a request that came to nothing leaves nothing", async () => {
-  const world = await World.create();
-  const failed = await world.start(askWith("r1"));
+test("a failed or cancelled request leaves no prefix", async () => {
+  const setup = await EngineSetup.create();
+  const failed = await setup.start(createAsk("r1"));
   failed.engineRun.fail({ kind: "broken", message: "gone" });
-  await untilOver(failed.run);
-  assert.equal(world.missing(), PROMPT_TOKENS);
-  const cancelled = await world.start(askWith("r2"));
+  await waitForEnd(failed.run);
+  assert.equal(setup.recomputeTokens(), PROMPT_TOKENS);
+  const cancelled = await setup.start(createAsk("r2"));
   cancelled.run.cancel("nobody waits");
   cancelled.engineRun.say("a");
-  await untilOver(cancelled.run);
-  assert.equal(world.missing(), PROMPT_TOKENS);
-  assert.equal(world.server.prefills.size, 0);
+  await waitForEnd(cancelled.run);
+  assert.equal(setup.recomputeTokens(), PROMPT_TOKENS);
+  assert.equal(setup.server.prefills.size, 0);
 });
 
-test("counting can be switched off for measurements", async () => {
-  const world = await World.create(false);
-  await world.start(askWith("r1"));
-  assert.equal(world.missing(), PROMPT_TOKENS);
+test("counting of prefixes in prefill can be disabled", async () => {
+  const setup = await EngineSetup.create(false);
+  await setup.start(createAsk("r1"));
+  assert.equal(setup.recomputeTokens(), PROMPT_TOKENS);
 });
--- a/src/agent/refusals.ts
+++ b/src/agent/refusals.ts
@@ -1,13 +1,14 @@
-/** Refusals: what was asked for was not run here and never will be. */
+/** Refusals of requests. A refused request was not run by this agent and never will be. */
 import type { Clock } from "../base/mod.ts";
 import { type Refusal, RefusalCode } from "../wire/gen/cicadahitch.ts";
 
+/** Number of recent refusals kept for state dumps. */
 const KEPT_REFUSALS = 32;
 const CODE_NAMES = new Map<RefusalCode, string>(
   Object.entries(RefusalCode).map(([name, code]) => [code, name]),
 );
 
-/** A refusal as a state dump shows it. */
+/** A refusal as it appears in a state dump. */
 export interface RefusalRecord {
   ageMs: number;
   code: string;
@@ -16,9 +17,9 @@
 }
 
 /**
- * @param code Why.
- * @param message For people; without prompts or keys.
- * @param retryAfterMs When a repeat may succeed; 0: not known.
+ * @param code Reason of the refusal.
+ * @param message Readable description, without prompts or keys.
+ * @param retryAfterMs Time after which a retry may succeed; 0 if unknown.
  * @returns The refusal.
  */
 export function refuse(
@@ -34,7 +35,7 @@
   };
 }
 
-/** Counts refusals by code and keeps the last few. */
+/** Counts refusals by code and keeps the most recent ones. */
 export class RefusalLog {
   readonly #clock: Clock;
   readonly #counts = new Map<string, number>();
@@ -45,7 +46,7 @@
   }
 
   /**
-   * @param clock Dates the refusals.
+   * @param clock Clock for the times of refusals.
    * @returns An empty log.
    */
   static create(clock: Clock): RefusalLog {
@@ -53,16 +54,16 @@
   }
 
   /**
-   * @param refusal What was answered.
-   * @param team Whose request it was.
+   * @param refusal The refusal that was sent.
+   * @param team Team of the refused request.
    */
   add(refusal: Refusal, team: string): void {
     const code = CODE_NAMES.get(refusal.code) ?? String(refusal.code);
     this.#counts.set(code, (this.#counts.get(code) ?? 0) + 1);
     const atMs = this.#clock.nowMs();
-    // The server's words about an invalid request may quote it.
-    const isQuoted = refusal.code === RefusalCode.INVALID;
-    const message = isQuoted ? "" : refusal.message;
+    // The backend server's message about an invalid request may quote the request.
+    const mayQuoteRequest = refusal.code === RefusalCode.INVALID;
+    const message = mayQuoteRequest ? "" : refusal.message;
     this.#recent.push({ atMs, code, team, message });
     if (this.#recent.length > KEPT_REFUSALS) this.#recent.shift();
   }
@@ -72,7 +73,7 @@
     return Object.fromEntries(this.#counts);
   }
 
-  /** The last refusals, oldest first. */
+  /** The most recent refusals, oldest first. */
   get recent(): RefusalRecord[] {
     const nowMs = this.#clock.nowMs();
     return this.#recent.map(({ atMs, code, team, message }) => ({
--- a/src/agent/relay.ts
+++ b/src/agent/relay.ts
@@ -1,4 +1,4 @@
-/** Copies the answer of a run that another agent has, for a key that was claimed there. */
+/** Copies the answer of a run on another agent, which has claimed the run's idempotency key. */
 import type { ClientDuplexStream, ServiceError } from "@grpc/grpc-js";
 import type { Clock } from "../base/mod.ts";
 import type { Claimant, ClaimEnd } from "../journal/mod.ts";
@@ -18,51 +18,52 @@
 } from "../wire/mod.ts";
 import type { Run } from "./run.ts";
 
-/** What to read, and where. */
+/** The call, and the agent that claimed its key. */
 export interface RelayOptions {
   call: PlainCall;
   claimant: Claimant;
 }
 
-/** Reads runs of other agents. */
+/** Copies runs of other agents. */
 export interface Relay {
   /**
-   * Ends a run with the answer of the claimant's run.
+   * Copies the answer of the claimant's run into a local run, and ends the local run.
    *
-   * @param run A run that waits.
-   * @param options The call, and where the claimed run is.
-   * @returns How the claimed run ended, or undefined when nobody can tell.
+   * @param run A waiting local run.
+   * @param options The call, and the claimant of its key.
+   * @returns How the claimant's run ended, or undefined if this can't be determined.
    */
   copy(run: Run, options: RelayOptions): Promise<ClaimEnd | undefined>;
 }
 
-/** What a {@link GrpcRelay} is made from. */
+/** Dependencies and timeout of a {@link GrpcRelay}. */
 export interface GrpcRelayOptions {
   /** Channels to other agents. */
   channels: ChannelPool;
   clock: Clock;
-  /** A connection without a message for this long is replaced, in ms. */
-  silenceMs?: number;
+  /** A connection without a message for this time is replaced. */
+  silenceTimeoutMs?: number;
 }
 
-/** What one connection to the claimant came to. */
-type Reading =
-  /** Nothing more will come; without an end, nobody can tell how the run ended. */
+/** Result of reading from one connection to the claimant. */
+type ReadResult =
+  /** The run is over; without an `end`, it is unknown how it ended. */
   | { kind: "over"; end: ClaimEnd | undefined }
-  /** The connection brought nothing more; the run may go on. */
+  /** The connection failed or closed; the run may continue. */
   | { kind: "quiet" };
 
-const SILENCE_MS = 5000;
+const SILENCE_TIMEOUT_MS = 5000;
+/** Maximum number of pieces that the claimant sends without acknowledgement. */
 const WINDOW_PIECES = 64;
-const FIRST_PAUSE_MS = 100;
-const MAX_PAUSE_MS = 2000;
-const OVER: Reading = { kind: "over", end: undefined };
-const QUIET: Reading = { kind: "quiet" };
+const INITIAL_BACKOFF_MS = 100;
+const MAX_BACKOFF_MS = 2000;
+const UNKNOWN_END: ReadResult = { kind: "over", end: undefined };
+const DISCONNECTED: ReadResult = { kind: "quiet" };
 
 /**
- * The relay over gRPC. The claimed run goes on while its agent or its service is silent, so it is
- * attached to again until the claimant says how it ended, its process is gone, or the deadline of
- * the run that waits for it is over.
+ * Relay over gRPC. The claimant's run may continue while its agent or service sends nothing, so the
+ * relay reconnects with backoff until the claimant reports the end of the run, another process has
+ * taken the claimant's place, or the deadline of the local run has passed.
  */
 export class GrpcRelay implements Relay {
   readonly #options: Required<GrpcRelayOptions>;
@@ -72,59 +73,63 @@
   }
 
   /**
-   * @param options Channels and times.
+   * @param options Channels, clock and timeout.
    * @returns A relay.
    */
   static create(options: GrpcRelayOptions): GrpcRelay {
-    return new GrpcRelay({ silenceMs: SILENCE_MS, ...options });
+    return new GrpcRelay({ silenceTimeoutMs: SILENCE_TIMEOUT_MS, ...options });
   }
 
   async copy(run: Run, options: RelayOptions): Promise<ClaimEnd | undefined> {
     const { channels, clock } = this.#options;
     let lease = channels.acquire(options.claimant.address);
-    let pauseMs = FIRST_PAUSE_MS;
-    let reading = QUIET;
+    let backoffMs = INITIAL_BACKOFF_MS;
+    let result = DISCONNECTED;
     while (!channels.isClosed && clock.nowMs() < run.deadlineAtMs) {
-      const before = run.output.pieceCount;
-      reading = await this.#readOnce(run, lease, options);
-      if (reading.kind === "over") break;
-      if (run.output.pieceCount > before) pauseMs = FIRST_PAUSE_MS;
-      await clock.sleep(pauseMs);
-      pauseMs = Math.min(pauseMs * 2, MAX_PAUSE_MS);
+      const piecesBefore = run.output.pieceCount;
+      result = await this.#readOnce(run, lease, options);
+      if (result.kind === "over") break;
+      if (run.output.pieceCount > piecesBefore) backoffMs = INITIAL_BACKOFF_MS;
+      await clock.sleep(backoffMs);
+      backoffMs = Math.min(backoffMs * 2, MAX_BACKOFF_MS);
       lease = channels.replace(lease);
     }
     lease.release();
     if (!run.output.ending) {
       run.end(RunOutcome.UNKNOWN, "The agent that has the call is gone");
     }
-    return reading.kind === "over" ? reading.end : undefined;
+    return result.kind === "over" ? result.end : undefined;
   }
 
   async #readOnce(
     run: Run,
     lease: ChannelLease,
     options: RelayOptions,
-  ): Promise<Reading> {
+  ): Promise<ReadResult> {
     const stream = lease.agent.run();
-    const { silenceMs } = this.#options;
-    const silence = setTimeout(() => stream.cancel(), silenceMs);
-    stream.write({ step: { $case: "start", value: attachTo(run, options) } });
+    const { silenceTimeoutMs } = this.#options;
+    const silenceTimer = setTimeout(() => stream.cancel(), silenceTimeoutMs);
+    stream.write({
+      step: { $case: "start", value: buildAttachRequest(run, options) },
+    });
     try {
-      return await read(run, stream, {
+      return await readStream(run, stream, {
         incarnation: options.claimant.agentIncarnation,
-        onMessage: () => silence.refresh(),
+        onMessage: () => silenceTimer.refresh(),
       });
     } catch (error) {
-      return isRefused(failureOf(error as ServiceError)) ? OVER : QUIET;
+      return isRefused(failureOf(error as ServiceError))
+        ? UNKNOWN_END
+        : DISCONNECTED;
     } finally {
-      clearTimeout(silence);
+      clearTimeout(silenceTimer);
       stream.cancel();
     }
   }
 }
 
-/** The claimant finds the run by the key in the call. */
-function attachTo(run: Run, { call }: RelayOptions): StartRun {
+/** Builds the message that attaches to the claimant's run, which is found by the call's key. */
+function buildAttachRequest(run: Run, { call }: RelayOptions): StartRun {
   return {
     ask: run.ask,
     holdId: "",
@@ -136,18 +141,18 @@
   };
 }
 
-async function read(
+async function readStream(
   run: Run,
   stream: ClientDuplexStream<RunUp, RunDown>,
   options: { incarnation: string; onMessage: () => void },
-): Promise<Reading> {
+): Promise<ReadResult> {
   let isStarted = false;
   for await (const { step } of stream as AsyncIterable<RunDown>) {
     options.onMessage();
     switch (step?.$case) {
       case "started":
         if (step.value.agentIncarnation !== options.incarnation) {
-          return OVER;
+          return UNKNOWN_END;
         }
         isStarted = true;
         break;
@@ -155,19 +160,19 @@
         run.output.setHead(step.value);
         break;
       case "pieces":
-        if (step.value.firstSeq !== run.output.pieceCount) return QUIET;
+        if (step.value.firstSeq !== run.output.pieceCount) return DISCONNECTED;
         for (const piece of step.value.data) run.output.append(piece);
         acknowledge(stream, run.output.pieceCount);
         break;
       case "end":
-        return { kind: "over", end: takeEnd(run, step.value) };
+        return { kind: "over", end: applyEnd(run, step.value) };
       case "refusal":
-        if (!isStarted) return OVER;
+        if (!isStarted) return UNKNOWN_END;
         run.refuse(step.value);
         return { kind: "over", end: { kind: "not_run" } };
     }
   }
-  return QUIET;
+  return DISCONNECTED;
 }
 
 function acknowledge(
@@ -177,9 +182,9 @@
   stream.write({ step: { $case: "ack", value: { nextSeq } } });
 }
 
-function takeEnd(run: Run, end: RunEnd): ClaimEnd | undefined {
-  const isWhole = end.pieceCount === run.output.pieceCount;
-  if (end.outcome === RunOutcome.DONE && !isWhole) return undefined;
+function applyEnd(run: Run, end: RunEnd): ClaimEnd | undefined {
+  const isComplete = end.pieceCount === run.output.pieceCount;
+  if (end.outcome === RunOutcome.DONE && !isComplete) return undefined;
   run.end(end.outcome, end.message);
   const status = run.output.head?.status ?? 0;
   switch (end.outcome) {
--- a/src/agent/relay_test.ts
+++ b/src/agent/relay_test.ts
@@ -23,7 +23,7 @@
   fingerprint: Buffer.from("x"),
 };
 
-async function openRelay(options: { silenceMs?: number } = {}) {
+async function startClaimedRun(options: { silenceTimeoutMs?: number } = {}) {
   const service = FakeService.create();
   const store = MemoryStore.create();
   const clock = systemClock;
@@ -57,16 +57,16 @@
   };
 }
 
-function waitingRun() {
+function createWaitingRun() {
   const limits = { maxBytes: 1000, repeatBytes: 1000 };
   const ask = testAsk("r2", { model: "" });
   return Run.create({ ask, attempt: 1, nowMs: 0, limits });
 }
 
-test("a run is relayed from the agent that has it", async () => {
-  const { agent, service, first, relay, closeAll } = await openRelay();
+test("a run is copied from the agent that claimed its key", async () => {
+  const { agent, service, first, relay, closeAll } = await startClaimedRun();
   await first.rest();
-  const run = waitingRun();
+  const run = createWaitingRun();
   const { address, agentIncarnation } = agent;
   const claimant = { address, agentIncarnation, runId: "r1" };
   const end = await relay.copy(run, { call: CALL, claimant });
@@ -76,49 +76,50 @@
   await closeAll();
 });
 
-// A service that took longer than a few seconds to answer was called unknown, for repeats as well.
-test("a run whose service is slow is relayed to its end", async (context) => {
-  const { agent, service, first, relay, closeAll } = await openRelay({
-    silenceMs: 30,
+// A relay that gave up after a few silent seconds reported the run of a slow service as unknown,
+// and so did all repeats of the request.
+test("a run of a slow service is copied to its end", async (context) => {
+  const { agent, service, first, relay, closeAll } = await startClaimedRun({
+    silenceTimeoutMs: 30,
   });
   context.after(closeAll);
   service.hold();
   while (service.calls.length === 0) await service.arrived.wait();
-  const run = waitingRun();
+  const run = createWaitingRun();
   const { address, agentIncarnation } = agent;
   const claimant = { address, agentIncarnation, runId: "r1" };
-  const copied = relay.copy(run, { call: CALL, claimant });
+  const copying = relay.copy(run, { call: CALL, claimant });
   await sleep(600);
   service.release();
-  assert.deepEqual(await copied, { kind: "done", status: 201 });
+  assert.deepEqual(await copying, { kind: "done", status: 201 });
   assert.equal(run.output.pieceCount, 1);
   assert.equal(service.calls.length, 1);
   await first.rest();
 });
 
-// A connection that fails says nothing about the run behind it.
-test("a run is relayed over another connection where the first one is cut", async (context) => {
-  const { agent, service, first, relay, closeAll } = await openRelay();
+// A failed connection does not mean that the run has failed.
+test("a run is copied over a new connection after the first one is cut", async (context) => {
+  const { agent, service, first, relay, closeAll } = await startClaimedRun();
   context.after(closeAll);
   service.hold();
   while (service.calls.length === 0) await service.arrived.wait();
   const link = await TcpRelay.create({ targetAddress: agent.address });
   context.after(() => link.close());
-  const run = waitingRun();
+  const run = createWaitingRun();
   const { agentIncarnation } = agent;
   const claimant = { address: link.address, agentIncarnation, runId: "r1" };
-  const copied = relay.copy(run, { call: CALL, claimant });
+  const copying = relay.copy(run, { call: CALL, claimant });
   while (agent.dumpState().runs.attached < 2) await sleep(5);
   link.cutOpen();
   service.release();
-  assert.deepEqual(await copied, { kind: "done", status: 201 });
+  assert.deepEqual(await copying, { kind: "done", status: 201 });
   await first.rest();
 });
 
-test("another process in the claimant's place knows nothing", async () => {
-  const { agent, first, relay, closeAll } = await openRelay();
+test("the outcome is unknown if another process took the claimant's place", async () => {
+  const { agent, first, relay, closeAll } = await startClaimedRun();
   await first.rest();
-  const run = waitingRun();
+  const run = createWaitingRun();
   const { address } = agent;
   const claimant = { address, agentIncarnation: "earlier", runId: "r1" };
   assert.equal(await relay.copy(run, { call: CALL, claimant }), undefined);
--- a/src/agent/run.ts
+++ b/src/agent/run.ts
@@ -1,4 +1,4 @@
-/** One run: what was asked, its output and who is attached to it. */
+/** One run: the request, its output and the number of attached readers. */
 import type { EngineFailure } from "../backends/engine.ts";
 import {
   type AskRequest,
@@ -7,27 +7,27 @@
 } from "../wire/gen/cicadahitch.ts";
 import { type OutputLimits, RunOutput } from "./run_output.ts";
 
-/** Where a run stands. */
+/** State of a run. */
 export const RunState = {
-  /** Accepted, not passed to the server. */
+  /** Accepted, but not sent to the backend server. */
   Waiting: "waiting",
-  /** Passed to the server, so it may have had effects. */
+  /** Sent to the backend server, so it may have had effects. */
   Running: "running",
   Ended: "ended",
 } as const;
 /** One of {@link RunState}. */
 export type RunState = (typeof RunState)[keyof typeof RunState];
 
-/** Tokens of a run, as far as the server said. */
+/** Token counts of a run, as far as the backend server reported them. */
 export interface RunUsage {
   promptTokens: number;
   completionTokens: number;
   cachedTokens: number;
-  /** Incarnation of the engine that ended while it had the run. */
+  /** Incarnation of the engine that terminated during the run. */
   endedEngine?: string;
 }
 
-/** What a run is made from. */
+/** The request and the limits of a run. */
 export interface RunOptions {
   ask: AskRequest;
   attempt: number;
@@ -42,30 +42,33 @@
   cachedTokens: 0,
 };
 
-/** A run that was accepted. It belongs to the agent and outlives connections. */
+/** An accepted run. It belongs to the agent and continues if its connections are closed. */
 export class Run {
   readonly runId: string;
   readonly attempt: number;
   readonly ask: AskRequest;
   readonly createdMs: number;
-  /** The caller's deadline; Infinity: none. */
+  /** The caller's deadline; Infinity if there is none. */
   readonly deadlineAtMs: number;
   readonly output: RunOutput;
   state: RunState = RunState.Waiting;
-  /** Last time a reader was attached and made progress. */
+  /** Last time a reader attached, acknowledged pieces or detached. */
   lastReadMs: number;
-  /** Number of connections that read this run. */
+  /** Number of connections that currently read this run. */
   attached = 0;
   endedMs = 0;
-  /** True once another request with the same idempotency key reads it too. */
+  /** True once another request with the same idempotency key shares this run. */
   isShared = false;
   /** True once a reader has acknowledged the end. */
   isEndRead = false;
   engineIncarnation = "";
   matchedTokens = 0;
-  /** The weights that serve it; empty: not known yet, or no model. */
+  /** Weights version that serves the run; empty if not known yet, or if it is no model run. */
   weightsVersion = "";
-  /** It may run at most once, ever: it isn't stopped midway, and its answer is kept for repeats. */
+  /**
+   * True if the request must never run more than once. Such a run is not cancelled once it was
+   * sent, and its answer is kept for repeated requests.
+   */
   readonly isAtMostOnce: boolean;
   readonly #abort = new AbortController();
   #cancelReason = "";
@@ -83,24 +86,24 @@
   }
 
   /**
-   * @param options What was asked, and bounds.
-   * @returns A run that waits.
+   * @param options The request and the limits.
+   * @returns A waiting run.
    */
   static create(options: RunOptions): Run {
     return new Run(options);
   }
 
-  /** Aborted when the run is cancelled. */
+  /** Aborts when the run is cancelled. */
   get signal(): AbortSignal {
     return this.#abort.signal;
   }
 
-  /** Why it was cancelled; empty: it was not. */
+  /** Reason of the cancellation; empty if the run was not cancelled. */
   get cancelReason(): string {
     return this.#cancelReason;
   }
 
-  /** @param reason Why nobody wants the run any more. */
+  /** @param reason Reason of the cancellation, as a readable text. */
   cancel(reason: string): void {
     if (this.#abort.signal.aborted) return;
     this.#cancelReason = reason;
@@ -108,16 +111,16 @@
     this.output.wake();
   }
 
-  /** @param refusal Ends a run that was never passed on. */
+  /** @param refusal The refusal that ends a run that was never sent to the backend server. */
   refuse(refusal: Refusal): void {
     this.state = RunState.Ended;
     this.output.finish({ kind: "refused", refusal });
   }
 
   /**
-   * @param outcome How it ended.
-   * @param message For people.
-   * @param usage Tokens, as far as known.
+   * @param outcome Outcome of the run.
+   * @param message Readable description.
+   * @param usage Token counts, as far as known.
    */
   end(outcome: RunOutcome, message: string, usage: RunUsage = NO_USAGE): void {
     this.state = RunState.Ended;
@@ -126,7 +129,11 @@
     this.output.finish({ kind: "end", end });
   }
 
-  /** @param message For people; the engine ended while it had the run. */
+  /**
+   * Fails the run because its engine terminated.
+   *
+   * @param message Readable description.
+   */
   endWithEngine(message: string): void {
     const endedEngine = this.engineIncarnation || undefined;
     this.end(RunOutcome.FAILED, message, { ...NO_USAGE, endedEngine });
@@ -134,8 +141,8 @@
 }
 
 /**
- * @param failure What went wrong between agent and server.
- * @returns One sentence for people, without prompts or keys.
+ * @param failure A failed call from the agent to the backend server.
+ * @returns A one-sentence description, without prompts or keys.
  */
 export function describeFailure(failure: EngineFailure): string {
   switch (failure.kind) {
--- a/src/agent/run_memory.ts
+++ b/src/agent/run_memory.ts
@@ -1,123 +1,134 @@
 /**
- * What an agent remembers of run ids, so that an id starts at most once ever.
+ * The agent's history of run ids, which ensures that an id starts at most once.
  *
- * Ids are forgotten after a while and beyond a count. What closes the gap that this leaves for a
- * very late duplicate:
- * - A start with a hold needs the hold, which lapses soon and is used up by the first start.
- * - A start without one carries the time at which its id was made. The memory keeps the latest such
- *   time of all ids that it forgot; whatever isn't later is not started, and its outcome is called
- *   unknown. Both times come from senders and a duplicate carries the same one, so this holds
- *   whatever clocks show; a sender whose clock lags by more than the memory loses nothing but the
- *   direct path.
- * - Bytes sent to an earlier process of the agent can't reach this one: their connection is gone.
+ * Ids are forgotten after a limited time and beyond a maximum number. A very late duplicate of a
+ * forgotten id is rejected as follows:
+ * - A start with a hold needs that hold, which expires soon and is used up by the first start.
+ * - A start without a hold carries the time at which its id was created. The history keeps the
+ *   latest creation time of all forgotten ids. An id that is not newer is not started, and its
+ *   outcome is reported as unknown. Both times come from senders, and a duplicate carries the same
+ *   time as the original, so this does not depend on synchronized clocks. A sender whose clock lags
+ *   by more than the retention time only loses the ability to start runs without a hold.
+ * - Bytes sent to an earlier process of the agent can't reach this one, because their connection is
+ *   closed.
  */
 
-/** What became of a run id that is no longer live. */
-export type RunFate =
-  /** Never passed on: cancelled before it came or while it waited, or refused. */
+/** Whether a run that is no longer live was ever sent to the backend server. */
+export type PastRunStatus =
+  /** Never sent: refused, or cancelled before it arrived or while it waited. */
   | { kind: "not_run" }
-  /** Passed on. */
+  /** Sent to the backend server. */
   | { kind: "ran" };
 
-/** Whether a run id may start. */
-export type Novelty = "new" | "known" | "too_old";
+/** Whether a run id may start: only a `new` one may. */
+export type StartEligibility = "new" | "known" | "too_old";
 
-/** Bounds of a {@link RunMemory}. */
-export interface RunMemoryLimits {
+/** Limits of a {@link RunIdHistory}. */
+export interface RunIdHistoryLimits {
   rememberMs: number;
   maxIds: number;
 }
 
-interface MemoryEntry {
-  fate: RunFate;
+interface HistoryEntry {
+  status: PastRunStatus;
   issuedWallMs: number;
   endedMs: number;
 }
 
-/** Allowance for a sender's clock where a bar carries no time of issue. */
+/** Allowed clock difference to the sender, for ids whose creation time is not given. */
 const UNKNOWN_ISSUE_MARGIN_MS = 300_000;
 
-/** Remembers run ids that ended or were barred. */
-export class RunMemory {
-  readonly #limits: RunMemoryLimits;
-  /** In order of their ends. */
-  readonly #entries = new Map<string, MemoryEntry>();
-  #forgottenWallMs = -Infinity;
+/** Remembers the ids of runs that ended or must not start. */
+export class RunIdHistory {
+  readonly #limits: RunIdHistoryLimits;
+  /** In the order in which the ids were added. */
+  readonly #entries = new Map<string, HistoryEntry>();
+  #latestForgottenIssueMs = -Infinity;
 
-  private constructor(limits: RunMemoryLimits) {
+  private constructor(limits: RunIdHistoryLimits) {
     this.#limits = limits;
   }
 
   /**
-   * @param limits How long and how many ids are remembered.
-   * @returns An empty memory.
+   * @param limits Retention time and maximum number of ids.
+   * @returns An empty history.
    */
-  static create(limits: RunMemoryLimits): RunMemory {
-    return new RunMemory(limits);
+  static create(limits: RunIdHistoryLimits): RunIdHistory {
+    return new RunIdHistory(limits);
   }
 
   get size(): number {
     return this.#entries.size;
   }
 
-  /** Ids made at or before this time need a hold. */
-  get forgottenWallMs(): number {
-    return this.#forgottenWallMs;
+  /** Ids created at or before this time can start only with a hold. */
+  get latestForgottenIssueMs(): number {
+    return this.#latestForgottenIssueMs;
   }
 
   /**
-   * @param runId The id.
-   * @returns What became of it, or undefined when it is not remembered.
+   * @param runId Id of a run.
+   * @returns Status of the run, or undefined if the id is not remembered.
    */
-  fateOf(runId: string): RunFate | undefined {
-    return this.#entries.get(runId)?.fate;
+  statusOf(runId: string): PastRunStatus | undefined {
+    return this.#entries.get(runId)?.status;
   }
 
   /**
-   * @param runId An id that comes without a hold.
-   * @param issuedWallMs When its sender made it; undefined: not said.
-   * @returns Whether it may start.
+   * @param runId Id of a run to be started without a hold.
+   * @param issuedWallMs Time at which the sender created the id; undefined if not given.
+   * @returns Whether the run may start.
    */
-  noveltyOf(runId: string, issuedWallMs: number | undefined): Novelty {
+  eligibilityOf(
+    runId: string,
+    issuedWallMs: number | undefined,
+  ): StartEligibility {
     if (this.#entries.has(runId)) return "known";
     const issued = issuedWallMs ?? -Infinity;
-    if (this.#forgottenWallMs === -Infinity) return "new";
-    return issued > this.#forgottenWallMs ? "new" : "too_old";
+    if (this.#latestForgottenIssueMs === -Infinity) return "new";
+    return issued > this.#latestForgottenIssueMs ? "new" : "too_old";
   }
 
   /**
-   * @param runId An id that must not start any more.
-   * @param fate What became of it.
-   * @param times Now, and when its sender made it (undefined: not said).
+   * @param runId Id of a run that must not start from now on.
+   * @param status Whether the run was sent to the backend server.
+   * @param times Current time, and the time at which the sender created the id, if given.
    */
   remember(
     runId: string,
-    fate: RunFate,
+    status: PastRunStatus,
     times: { nowMs: number; wallMs: number; issuedWallMs: number | undefined },
   ): void {
     this.#entries.delete(runId);
-    const latestIssue = times.wallMs + UNKNOWN_ISSUE_MARGIN_MS;
+    const latestIssueMs = times.wallMs + UNKNOWN_ISSUE_MARGIN_MS;
     this.#entries.set(runId, {
-      fate,
-      issuedWallMs: times.issuedWallMs ?? latestIssue,
+      status,
+      issuedWallMs: times.issuedWallMs ?? latestIssueMs,
       endedMs: times.nowMs,
     });
-    if (this.#entries.size > this.#limits.maxIds) this.#forgetFirst();
+    if (this.#entries.size > this.#limits.maxIds) this.#forgetOldest();
   }
 
-  /** @param nowMs Ids that ended too long before are forgotten. */
+  /**
+   * Forgets ids whose retention time is over.
+   *
+   * @param nowMs Current time.
+   */
   prune(nowMs: number): void {
     for (const entry of this.#entries.values()) {
       if (nowMs - entry.endedMs < this.#limits.rememberMs) return;
-      this.#forgetFirst();
+      this.#forgetOldest();
     }
   }
 
-  #forgetFirst(): void {
+  #forgetOldest(): void {
     const [first] = this.#entries;
     if (!first) return;
     const [runId, entry] = first;
     this.#entries.delete(runId);
-    this.#forgottenWallMs = Math.max(this.#forgottenWallMs, entry.issuedWallMs);
+    this.#latestForgottenIssueMs = Math.max(
+      this.#latestForgottenIssueMs,
+      entry.issuedWallMs,
+    );
   }
 }
--- a/src/agent/run_output.ts
+++ b/src/agent/run_output.ts
@@ -1,7 +1,7 @@
 /**
- * The output of one run: numbered pieces, kept until every reader has acknowledged them. When the
- * window or the byte bound is used up the writer waits, so a slow reader holds back the engine and
- * does not grow memory.
+ * The output of one run: numbered pieces, kept until every reader has acknowledged them. The writer
+ * waits while the window or the byte limit is used up, so a slow reader causes backpressure on the
+ * engine instead of unbounded memory use.
  */
 import type { Refusal, RunEnd, RunHead } from "../wire/gen/cicadahitch.ts";
 import { Wakeup } from "./wakeup.ts";
@@ -9,27 +9,28 @@
 /** How a run ended. */
 export type RunEnding =
   | { kind: "end"; end: RunEnd }
-  /** Nothing was run. */
+  /** The run was never sent to the backend server. */
   | { kind: "refused"; refusal: Refusal };
 
-/** Bounds of an output. */
+/** Memory limits of an output. */
 export interface OutputLimits {
-  /** Bytes kept before the writer waits. */
+  /** Number of kept bytes at which the writer waits. */
   maxBytes: number;
-  /** Answers up to this size stay whole after they were read, for a repeat; 0: none. */
+  /** Answers up to this size are kept after they were read, for repeated requests; 0 keeps none. */
   repeatBytes: number;
 }
 
-/** One reader's place. */
+/** Read position of one reader. */
 export interface OutputReader {
-  /** Everything below was received. */
+  /** The reader has received all pieces before this one. */
   ackedSeq: number;
-  /** Next piece to send. */
+  /** Number of the next piece to send. */
   nextSeq: number;
+  /** Maximum number of sent pieces without acknowledgement. */
   windowPieces: number;
 }
 
-/** Consecutive pieces. */
+/** Consecutive pieces of output. */
 export interface PieceBatch {
   firstSeq: number;
   data: Uint8Array[];
@@ -38,11 +39,11 @@
 const DEFAULT_WINDOW_PIECES = 256;
 const MAX_WINDOW_PIECES = 4096;
 
-/** Pieces of a run between its writer and its readers. */
+/** Buffers the pieces of a run between its writer and its readers. */
 export class RunOutput {
-  /** Wakes readers: a piece, the end, or a reader taken off. */
+  /** Notified when there is a new head or piece, the run ends, or a reader is removed. */
   readonly changed = Wakeup.create();
-  readonly #room = Wakeup.create();
+  readonly #roomAvailable = Wakeup.create();
   readonly #limits: OutputLimits;
   readonly #readers = new Set<OutputReader>();
   #pieces: Uint8Array[] = [];
@@ -50,17 +51,17 @@
   #ackedSeq = 0;
   #windowPieces = DEFAULT_WINDOW_PIECES;
   #keptBytes = 0;
-  #isWhole: boolean;
+  #keepsAllPieces: boolean;
   #head: RunHead | undefined;
   #ending: RunEnding | undefined;
 
   private constructor(limits: OutputLimits) {
     this.#limits = limits;
-    this.#isWhole = limits.repeatBytes > 0;
+    this.#keepsAllPieces = limits.repeatBytes > 0;
   }
 
   /**
-   * @param limits Bounds on memory.
+   * @param limits Memory limits.
    * @returns An empty output.
    */
   static create(limits: OutputLimits): RunOutput {
@@ -80,57 +81,57 @@
     return this.#head;
   }
 
-  /** Undefined while the run goes on. */
+  /** Undefined until the run has ended. */
   get ending(): RunEnding | undefined {
     return this.#ending;
   }
 
-  /** True while the writer may go on. */
+  /** True while the writer may append pieces. */
   get hasRoom(): boolean {
-    if (this.#isWhole) return true;
+    if (this.#keepsAllPieces) return true;
     return this.#keptBytes < this.#limits.maxBytes &&
       this.pieceCount - this.#ackedSeq < this.#windowPieces;
   }
 
-  /** @param head Status and headers of the answer. */
+  /** @param head Status and headers of the response. */
   setHead(head: RunHead): void {
     this.#head = head;
     this.changed.notify();
   }
 
-  /** @param data The next piece. */
+  /** @param data The next piece of output. */
   append(data: Uint8Array): void {
     this.#pieces.push(data);
     this.#keptBytes += data.length;
-    if (this.#isWhole && this.#keptBytes > this.#limits.repeatBytes) {
-      this.#isWhole = false;
+    if (this.#keepsAllPieces && this.#keptBytes > this.#limits.repeatBytes) {
+      this.#keepsAllPieces = false;
       this.#trim();
     }
     this.changed.notify();
   }
 
-  /** @param ending How the run ended; later calls change nothing. */
+  /** @param ending How the run ended; only the first call has an effect. */
   finish(ending: RunEnding): void {
     this.#ending ??= ending;
     this.changed.notify();
-    this.#room.notify();
+    this.#roomAvailable.notify();
   }
 
-  /** @returns Resolves when a reader has acknowledged something or the run was woken. */
+  /** @returns Resolves at an acknowledgement, a reader's removal, the run's end or a wake-up. */
   waitForRoom(): Promise<void> {
-    return this.#room.wait();
+    return this.#roomAvailable.wait();
   }
 
-  /** Wakes the writer and all readers, so that they look at their signals. */
+  /** Wakes the writer and all readers, so that they check for cancellation. */
   wake(): void {
     this.changed.notify();
-    this.#room.notify();
+    this.#roomAvailable.notify();
   }
 
   /**
-   * @param fromSeq First piece wanted.
-   * @param windowPieces Pieces beyond the last acknowledged one; 0: a default.
-   * @returns The reader, or undefined when pieces that it wants are gone.
+   * @param fromSeq Number of the first piece to read.
+   * @param windowPieces Maximum number of sent pieces without acknowledgement; 0 for the default.
+   * @returns The reader, or undefined if that piece was discarded or lies beyond the written ones.
    */
   addReader(fromSeq: number, windowPieces: number): OutputReader | undefined {
     if (fromSeq < this.#firstSeq || fromSeq > this.pieceCount) return undefined;
@@ -149,15 +150,15 @@
     return reader;
   }
 
-  /** @param reader Who reads no longer; what it lacks stays kept. */
+  /** @param reader A reader that disconnected; pieces that it did not acknowledge stay kept. */
   removeReader(reader: OutputReader): void {
     this.#readers.delete(reader);
     this.wake();
   }
 
   /**
-   * @param reader Who received pieces.
-   * @param nextSeq Everything below was received.
+   * @param reader The reader that received pieces.
+   * @param nextSeq Number of the first piece that the reader has not received.
    */
   acknowledge(reader: OutputReader, nextSeq: number): void {
     if (!this.#readers.has(reader)) return;
@@ -169,9 +170,11 @@
   }
 
   /**
-   * @param reader Who is to receive pieces; they count as sent.
-   * @param maxBytes Where to cut the batch; it has at least one piece.
-   * @returns What has arrived and fits its window, or undefined.
+   * Takes the next batch of pieces for a reader and counts them as sent.
+   *
+   * @param reader The reader that will receive the pieces.
+   * @param maxBytes Size at which the batch ends; it has at least one piece.
+   * @returns Available pieces within the reader's window, or undefined if there are none.
    */
   take(reader: OutputReader, maxBytes: number): PieceBatch | undefined {
     const limitSeq = Math.min(
@@ -191,12 +194,12 @@
     return { firstSeq, data };
   }
 
-  /** Drops every piece, after the time to read them again is over. */
+  /** Discards all pieces, once the time to read them again is over. */
   drop(): void {
     this.#firstSeq = this.pieceCount;
     this.#pieces = [];
     this.#keptBytes = 0;
-    this.#isWhole = false;
+    this.#keepsAllPieces = false;
   }
 
   #trim(): void {
@@ -206,14 +209,14 @@
     }
     if (ackedSeq === Infinity) return;
     this.#ackedSeq = Math.max(this.#ackedSeq, ackedSeq);
-    if (this.#isWhole) return;
-    const surplus = this.#ackedSeq - this.#firstSeq;
-    if (surplus <= 0) return;
-    for (let i = 0; i < surplus; i++) {
+    if (this.#keepsAllPieces) return;
+    const removable = this.#ackedSeq - this.#firstSeq;
+    if (removable <= 0) return;
+    for (let i = 0; i < removable; i++) {
       this.#keptBytes -= this.#pieces[i]!.length;
     }
-    this.#pieces.splice(0, surplus);
-    this.#firstSeq += surplus;
+    this.#pieces.splice(0, removable);
+    this.#firstSeq += removable;
   }
 }
 
--- a/src/agent/runs.ts
+++ b/src/agent/runs.ts
@@ -1,40 +1,42 @@
 /**
- * The run table: live runs, ended runs whose output may still be read, and the memory of ids. A run
- * id starts at most once; see `run_memory.ts` for ids that were forgotten.
+ * The run table: live runs, ended runs whose output can still be read, and the history of run ids.
+ * A run id starts at most once, also if it was forgotten; see {@link RunIdHistory}.
  */
 import type { Clock } from "../base/mod.ts";
 import type { CancelRequest } from "../wire/gen/cicadahitch.ts";
 import { type Run, RunState } from "./run.ts";
-import { type RunFate, RunMemory } from "./run_memory.ts";
+import { type PastRunStatus, RunIdHistory } from "./run_memory.ts";
 
-/** Bounds of a {@link RunTable}. */
+/** Clock and limits of a {@link RunTable}. */
 export interface RunTableOptions {
   clock: Clock;
-  /** How long ended output can be read again. */
+  /** How long the output of an ended run stays readable. */
   keepEndedMs?: number;
-  /** Bytes of ended output kept in all. */
+  /** Maximum total output of ended runs that is kept, in bytes. */
   keepEndedBytes?: number;
-  /** A run that nobody is attached to for so long is cancelled. */
+  /** A run without an attached reader is cancelled after this time. */
   abandonMs?: number;
-  /** A run whose window stays full for so long is cancelled. */
+  /** A run whose readers don't free up its full output buffer is cancelled after this time. */
   stallMs?: number;
+  /** How long the ids of runs are remembered after their removal from the table. */
   rememberMs?: number;
+  /** Maximum number of remembered ids. */
   maxIds?: number;
 }
 
-/** What the table knows of a run id. */
+/** Result of looking up a run id. */
 export type RunLookup =
   | { kind: "kept"; run: Run }
-  | { kind: "forgotten_output"; fate: RunFate }
+  | { kind: "forgotten_output"; status: PastRunStatus }
   | { kind: "new" }
-  /** Too old to tell whether it ran. */
+  /** The id is too old to tell whether it ran. */
   | { kind: "too_old" };
 
-/** What a cancel came to. */
+/** Result of a cancellation. */
 export type CancelOutcome =
-  /** Never passed on, and never will be. */
+  /** The run was never sent to the server, and never will be. */
   | "not_run"
-  /** Passed on, maybe ended. */
+  /** The run was sent to the server, and may have ended. */
   | "ran";
 
 interface Alias {
@@ -44,7 +46,7 @@
 
 interface EndedRun {
   run: Run;
-  /** Bytes kept when it ended; acknowledgements since then only lower them. */
+  /** Output bytes kept when the run ended; later acknowledgements only lower the real number. */
   sizeBytes: number;
 }
 
@@ -60,21 +62,21 @@
 /** All runs of one agent. */
 export class RunTable {
   readonly #options: Required<RunTableOptions>;
-  readonly #memory: RunMemory;
+  readonly #idHistory: RunIdHistory;
   readonly #live = new Map<string, Run>();
-  /** In order of their ends. */
+  /** In order of the runs' ends. */
   readonly #ended = new Map<string, EndedRun>();
-  /** Run ids that share another caller's run, by idempotency key. */
+  /** Run ids of repeated requests that share an earlier run because of their idempotency key. */
   readonly #aliases = new Map<string, Alias>();
   #endedBytes = 0;
 
   private constructor(options: Required<RunTableOptions>) {
     this.#options = options;
-    this.#memory = RunMemory.create(options);
+    this.#idHistory = RunIdHistory.create(options);
   }
 
   /**
-   * @param options Clock and bounds.
+   * @param options Clock and limits.
    * @returns An empty table.
    */
   static create(options: RunTableOptions): RunTable {
@@ -97,13 +99,13 @@
       endedKept: this.#ended.size,
       endedKeptBytes: this.#endedBytes,
       aliases: this.#aliases.size,
-      idsRemembered: this.#memory.size,
+      idsRemembered: this.#idHistory.size,
     };
   }
 
   /**
-   * @param withinMs How long a reader has to come back.
-   * @returns True while a run that ended lately was not read to its end.
+   * @param withinMs How long after a run's end its reader may reconnect.
+   * @returns True while the output of a recently ended run was not read to its end.
    */
   hasUnread(withinMs: number): boolean {
     const nowMs = this.#options.clock.nowMs();
@@ -114,28 +116,28 @@
   }
 
   /**
-   * @param runId The id.
-   * @param issuedWallMs When its sender made it; undefined: not said.
-   * @returns What is known of it.
+   * @param runId Id of the run.
+   * @param issuedWallMs Time at which the sender created the id; undefined if not given.
+   * @returns The run, or what is known about its id.
    */
   find(runId: string, issuedWallMs?: number): RunLookup {
     const run = this.#live.get(runId) ?? this.#ended.get(runId)?.run ??
       this.#aliases.get(runId)?.run;
     if (run) return { kind: "kept", run };
-    const fate = this.#memory.fateOf(runId);
-    if (fate) return { kind: "forgotten_output", fate };
-    const novelty = this.#memory.noveltyOf(runId, issuedWallMs);
-    return novelty === "too_old" ? { kind: "too_old" } : { kind: "new" };
+    const status = this.#idHistory.statusOf(runId);
+    if (status) return { kind: "forgotten_output", status };
+    const eligibility = this.#idHistory.eligibilityOf(runId, issuedWallMs);
+    return eligibility === "too_old" ? { kind: "too_old" } : { kind: "new" };
   }
 
-  /** @param run A run whose id {@link find} called new. */
+  /** @param run A run whose id {@link find} reported as new. */
   add(run: Run): void {
     this.#live.set(run.runId, run);
   }
 
   /**
-   * @param runId Another id under which a run can be read.
-   * @param run A kept run.
+   * @param runId An additional id under which the run can be read.
+   * @param run A run of this table.
    */
   addAlias(runId: string, run: Run): void {
     const addedMs = this.#options.clock.nowMs();
@@ -143,48 +145,48 @@
     run.isShared = true;
   }
 
-  /** @param run A run that has ended; its output stays readable for a while. */
-  settle(run: Run): void {
+  /** @param run A run that has ended; its output stays readable for a limited time. */
+  markEnded(run: Run): void {
     if (!this.#live.delete(run.runId)) return;
     run.endedMs = this.#options.clock.nowMs();
     const sizeBytes = run.output.keptBytes;
     this.#ended.set(run.runId, { run, sizeBytes });
     this.#endedBytes += sizeBytes;
     this.#remember(run.runId, run);
-    while (this.#endedBytes > this.#options.keepEndedBytes) this.#dropFirst();
+    while (this.#endedBytes > this.#options.keepEndedBytes) this.#dropOldest();
   }
 
   /**
-   * Cancels a run; an id that was never seen is barred.
+   * Cancels a run. An id that was never seen is blocked, so that it can't start later.
    *
-   * @param request Id, reason and time of issue.
-   * @returns Whether the run was ever passed on.
+   * @param request Id, reason and creation time of the id.
+   * @returns Whether the run was ever sent to the server.
    */
   cancel(request: CancelRequest): CancelOutcome {
-    const found = this.find(request.runId, issueOf(request));
+    const found = this.find(request.runId, issueTimeOf(request));
     switch (found.kind) {
       case "kept":
         return this.#cancelKept(request, found.run);
       case "forgotten_output":
-        return found.fate.kind;
+        return found.status.kind;
       case "too_old":
         return "ran";
       case "new":
-        this.bar(request);
+        this.blockId(request);
         return "not_run";
     }
   }
 
-  /** @param message Names a run id that must never start here: it was cancelled or refused. */
-  bar(message: { runId: string; issuedWallMs?: bigint | undefined }): void {
-    this.#memory.remember(message.runId, { kind: "not_run" }, {
+  /** @param message Contains a run id that was cancelled or refused, and must never start here. */
+  blockId(message: { runId: string; issuedWallMs?: bigint | undefined }): void {
+    this.#idHistory.remember(message.runId, { kind: "not_run" }, {
       nowMs: this.#options.clock.nowMs(),
       wallMs: this.#options.clock.wallMs(),
-      issuedWallMs: issueOf(message),
+      issuedWallMs: issueTimeOf(message),
     });
   }
 
-  /** Drops what is past its time, and cancels runs that nobody reads. */
+  /** Removes expired runs and ids, and cancels runs without an active reader. */
   sweep(): void {
     const nowMs = this.#options.clock.nowMs();
     for (const run of this.#live.values()) {
@@ -192,38 +194,40 @@
     }
     for (const { run } of this.#ended.values()) {
       if (nowMs - run.endedMs < this.#options.keepEndedMs) break;
-      this.#dropFirst();
+      this.#dropOldest();
     }
-    this.#dropAliases(nowMs);
-    this.#memory.prune(nowMs);
+    this.#removeExpiredAliases(nowMs);
+    this.#idHistory.prune(nowMs);
   }
 
   #isAbandoned(run: Run, nowMs: number): boolean {
-    if (run.isAtMostOnce && passedOn(run)) return false;
+    if (run.isAtMostOnce && wasSentToServer(run)) return false;
     const unreadMs = nowMs - run.lastReadMs;
     if (run.attached === 0) return unreadMs >= this.#options.abandonMs;
     return !run.output.hasRoom && unreadMs >= this.#options.stallMs;
   }
 
   #cancelKept(request: CancelRequest, run: Run): CancelOutcome {
-    // Another caller still wants the answer, so it may run yet.
+    // Another caller still waits for the answer, so the run continues.
     if (run.isShared) return "ran";
-    const isPassedOn = passedOn(run);
-    const mustFinish = run.isAtMostOnce && isPassedOn;
+    const wasSent = wasSentToServer(run);
+    const mustFinish = run.isAtMostOnce && wasSent;
     if (!mustFinish) run.cancel(request.reason || "Cancelled by the caller");
-    return isPassedOn ? "ran" : "not_run";
+    return wasSent ? "ran" : "not_run";
   }
 
   #remember(runId: string, run: Run): void {
-    const fate: RunFate = { kind: passedOn(run) ? "ran" : "not_run" };
-    this.#memory.remember(runId, fate, {
+    const status: PastRunStatus = {
+      kind: wasSentToServer(run) ? "ran" : "not_run",
+    };
+    this.#idHistory.remember(runId, status, {
       nowMs: this.#options.clock.nowMs(),
       wallMs: this.#options.clock.wallMs(),
-      issuedWallMs: issueOf(run.ask),
+      issuedWallMs: issueTimeOf(run.ask),
     });
   }
 
-  #dropAliases(nowMs: number): void {
+  #removeExpiredAliases(nowMs: number): void {
     for (const [runId, { run, addedMs }] of this.#aliases) {
       if (this.#live.has(run.runId)) continue;
       const sinceMs = Math.max(addedMs, run.endedMs);
@@ -233,28 +237,28 @@
     }
   }
 
-  #dropFirst(): void {
+  #dropOldest(): void {
     const [first] = this.#ended.values();
     if (!first) return;
     const { run, sizeBytes } = first;
     this.#ended.delete(run.runId);
     this.#endedBytes -= sizeBytes;
-    // Answers of calls that may not be repeated are kept, and dropped, by `kept_answers.ts`.
+    // The cache of answers by idempotency key evicts the answers of at-most-once calls.
     if (!run.isAtMostOnce) run.output.drop();
   }
 }
 
 /**
- * @param message An ask or a cancel.
- * @returns When the run id was made, or undefined.
+ * @param message An ask or a cancel request.
+ * @returns Time at which the run id was created, or undefined if not given.
  */
-export function issueOf(
+export function issueTimeOf(
   message: { issuedWallMs?: bigint | undefined },
 ): number | undefined {
   return message.issuedWallMs ? Number(message.issuedWallMs) : undefined;
 }
 
-function passedOn(run: Run): boolean {
+function wasSentToServer(run: Run): boolean {
   if (run.state === RunState.Running) return true;
   return run.output.ending?.kind === "end";
 }
--- a/src/agent/runs_test.ts
+++ b/src/agent/runs_test.ts
@@ -7,7 +7,7 @@
 import { RunOutput } from "./run_output.ts";
 import { RunTable } from "./runs.ts";
 
-function openTable() {
+function createTable() {
   const time = { nowMs: 0, wallMs: 1_000_000 };
   const clock = {
     ...systemClock,
@@ -25,11 +25,11 @@
   return run;
 }
 
-test("a forgotten id can't start again, and a later one can", () => {
-  const { time, table } = openTable();
+test("a forgotten run id can't start again, but a newer one can", () => {
+  const { time, table } = createTable();
   const run = addRun(table, "r1", 5000);
   run.end(RunOutcome.DONE, "");
-  table.settle(run);
+  table.markEnded(run);
   assert.equal(table.find("r1", 5000).kind, "kept");
   time.nowMs = 15_000;
   table.sweep();
@@ -41,18 +41,18 @@
   assert.equal(table.find("r2", 5001).kind, "new");
 });
 
-test("the memory of ids is bounded and stays safe", () => {
-  const { table } = openTable();
+test("the id history is bounded and rejects ids that it forgot", () => {
+  const { table } = createTable();
   for (let i = 0; i < 10; i++) {
-    table.bar({ runId: `r${i}`, issuedWallMs: BigInt(5000 + i) });
+    table.blockId({ runId: `r${i}`, issuedWallMs: BigInt(5000 + i) });
   }
   assert.equal(table.sizes["idsRemembered"], 3);
   assert.equal(table.find("r0", 5000).kind, "too_old");
   assert.equal(table.find("r9", 5009).kind, "forgotten_output");
 });
 
-test("a run that nobody reads is cancelled", () => {
-  const { time, table } = openTable();
+test("a run without a reader is cancelled", () => {
+  const { time, table } = createTable();
   const run = addRun(table, "r1", 5000);
   time.nowMs = 9000;
   table.sweep();
@@ -62,23 +62,23 @@
   assert.equal(run.signal.aborted, true);
 });
 
-test("one caller's cancel leaves a shared run to the other", () => {
-  const { table } = openTable();
+test("cancelling one caller's request does not cancel a shared run", () => {
+  const { table } = createTable();
   const run = addRun(table, "r1", 5000);
   table.addAlias("r2", run);
   assert.equal(table.cancel({ runId: "r2", reason: "" }), "ran");
   assert.equal(run.signal.aborted, false);
 });
 
-test("a run that was passed on counts as run", () => {
-  const { table } = openTable();
+test("cancelling a running run reports that it ran", () => {
+  const { table } = createTable();
   const run = addRun(table, "r1", 5000);
   run.state = RunState.Running;
   assert.equal(table.cancel({ runId: "r1", reason: "" }), "ran");
   assert.equal(run.signal.aborted, true);
 });
 
-test("output keeps what its slowest reader lacks", () => {
+test("output keeps pieces that the slowest reader has not acknowledged", () => {
   const output = RunOutput.create({ maxBytes: 3, repeatBytes: 0 });
   const fast = output.addReader(0, 10)!;
   const slow = output.addReader(0, 10)!;
--- a/src/agent/wait_queue.ts
+++ b/src/agent/wait_queue.ts
@@ -1,18 +1,19 @@
 /**
- * The order in which waiting requests are passed on. A higher priority goes first. Once a lower one
- * has waited past its patience it gets every few places, so it neither starves nor overruns urgent
- * work. Within a priority the team with the fewest requests on the server goes first, then age.
+ * Priority queue with aging. The highest priority is dispatched first. A lower priority whose
+ * oldest request has waited longer than its aging threshold gets one of every
+ * {@link AGED_INTERVAL} dispatches, so it neither starves nor crowds out urgent work. Within a
+ * priority, the team with the fewest requests on the server goes first, then the oldest request.
  */
 import { Priority } from "../wire/gen/cicadahitch.ts";
 
-/** What the queue needs to know of a request. */
-export interface Waiter {
+/** The properties of a request that decide its position in the queue. */
+export interface WaitingRequest {
   team: string;
   priority: Priority;
   enqueuedMs: number;
 }
 
-/** Priorities, first to last. */
+/** Priorities, highest first. */
 export const PRIORITY_ORDER = [
   Priority.URGENT,
   Priority.NORMAL,
@@ -22,17 +23,18 @@
 /** One of {@link PRIORITY_ORDER}. */
 export type RankedPriority = (typeof PRIORITY_ORDER)[number];
 
-const PATIENCE_MS: Record<RankedPriority, number> = {
+/** Time in the queue after which a request counts as aged, by priority. */
+const AGING_THRESHOLD_MS: Record<RankedPriority, number> = {
   [Priority.URGENT]: 0,
   [Priority.NORMAL]: 2000,
   [Priority.BATCH]: 8000,
 };
-/** One place in so many goes to a request that is past its patience. */
-const AGED_EVERY = 6;
+/** One dispatch in this many goes to an aged request, if there is one. */
+const AGED_INTERVAL = 6;
 
 /**
- * @param priority As it came over the wire.
- * @returns The priority to treat it with.
+ * @param priority Priority as received, possibly unspecified.
+ * @returns The effective priority; unspecified counts as normal.
  */
 export function rankOf(priority: Priority): RankedPriority {
   switch (priority) {
@@ -45,19 +47,19 @@
   }
 }
 
-/** Requests that wait for a place. */
-export class WaitQueue<T extends Waiter> {
+/** Requests that wait to be sent to the engine. */
+export class WaitQueue<T extends WaitingRequest> {
   readonly #lists: Record<RankedPriority, T[]> = {
     [Priority.URGENT]: [],
     [Priority.NORMAL]: [],
     [Priority.BATCH]: [],
   };
-  #placesSinceAged = 0;
+  #dispatchesSinceAged = 0;
 
   private constructor() {}
 
   /** @returns An empty queue. */
-  static create<T extends Waiter>(): WaitQueue<T> {
+  static create<T extends WaitingRequest>(): WaitQueue<T> {
     return new WaitQueue();
   }
 
@@ -67,78 +69,84 @@
     return size;
   }
 
-  /** All waiting requests, by priority, then age. */
+  /** Iterates over all waiting requests, by priority, then by age. */
   *[Symbol.iterator](): IterableIterator<T> {
     for (const priority of PRIORITY_ORDER) yield* this.#lists[priority];
   }
 
-  /** @param waiter A request that now waits. */
-  push(waiter: T): void {
-    this.#lists[rankOf(waiter.priority)].push(waiter);
+  /** @param request A request to append to the queue. */
+  push(request: T): void {
+    this.#lists[rankOf(request.priority)].push(request);
   }
 
   /**
-   * @param waiter A request that waits no longer.
-   * @returns False when it did not wait.
+   * @param request A request to remove from the queue.
+   * @returns False if the request was not in the queue.
    */
-  remove(waiter: T): boolean {
-    const list = this.#lists[rankOf(waiter.priority)];
-    const at = list.indexOf(waiter);
-    if (at < 0) return false;
-    list.splice(at, 1);
+  remove(request: T): boolean {
+    const list = this.#lists[rankOf(request.priority)];
+    const index = list.indexOf(request);
+    if (index < 0) return false;
+    list.splice(index, 1);
     return true;
   }
 
   /**
-   * Takes the request that is next.
+   * Removes and returns the next request to dispatch.
    *
-   * @param nowMs The time.
-   * @param inFlightOf Requests of a team that are on the server.
-   * @returns The request, or undefined when none waits.
+   * @param nowMs Current time.
+   * @param inFlightOf Number of a team's requests on the server.
+   * @returns The request, or undefined if the queue is empty.
    */
   shift(nowMs: number, inFlightOf: (team: string) => number): T | undefined {
-    const first = PRIORITY_ORDER.find((each) => this.#lists[each].length > 0);
-    if (first === undefined) return undefined;
-    const aged = this.#agedBelow(first, nowMs);
-    const isAgedTurn = aged !== undefined &&
-      this.#placesSinceAged + 1 >= AGED_EVERY;
-    this.#placesSinceAged = isAgedTurn ? 0 : this.#placesSinceAged + 1;
-    const priority = isAgedTurn ? aged : first;
-    const next = pick(this.#lists[priority], inFlightOf);
+    const highestPriority = PRIORITY_ORDER.find((each) =>
+      this.#lists[each].length > 0
+    );
+    if (highestPriority === undefined) return undefined;
+    const agedPriority = this.#findMostAgedBelow(highestPriority, nowMs);
+    const isAgedTurn = agedPriority !== undefined &&
+      this.#dispatchesSinceAged + 1 >= AGED_INTERVAL;
+    this.#dispatchesSinceAged = isAgedTurn ? 0 : this.#dispatchesSinceAged + 1;
+    const priority = isAgedTurn ? agedPriority : highestPriority;
+    const next = selectFromLeastLoadedTeam(this.#lists[priority], inFlightOf);
     this.remove(next);
     return next;
   }
 
-  /** The lower priority whose oldest request is furthest past its patience. */
-  #agedBelow(first: RankedPriority, nowMs: number): RankedPriority | undefined {
-    let best: RankedPriority | undefined;
-    let bestMs = 0;
+  /** Finds the lower priority whose oldest request exceeds its aging threshold the most. */
+  #findMostAgedBelow(
+    highest: RankedPriority,
+    nowMs: number,
+  ): RankedPriority | undefined {
+    let mostAged: RankedPriority | undefined;
+    let mostOverdueMs = 0;
     for (const priority of PRIORITY_ORDER) {
       const oldest = this.#lists[priority][0];
-      if (priority <= first || !oldest) continue;
-      const pastMs = nowMs - oldest.enqueuedMs - PATIENCE_MS[priority];
-      if (pastMs <= bestMs) continue;
-      best = priority;
-      bestMs = pastMs;
+      if (priority <= highest || !oldest) continue;
+      const overdueMs = nowMs - oldest.enqueuedMs -
+        AGING_THRESHOLD_MS[priority];
+      if (overdueMs <= mostOverdueMs) continue;
+      mostAged = priority;
+      mostOverdueMs = overdueMs;
     }
-    return best;
+    return mostAged;
   }
 }
 
-function pick<T extends Waiter>(
+function selectFromLeastLoadedTeam<T extends WaitingRequest>(
   list: T[],
   inFlightOf: (team: string) => number,
 ): T {
-  let best = list[0]!;
-  let fewest = inFlightOf(best.team);
-  const seen = new Set([best.team]);
+  let selected = list[0]!;
+  let fewestInFlight = inFlightOf(selected.team);
+  const seenTeams = new Set([selected.team]);
   for (const waiter of list) {
-    if (seen.has(waiter.team)) continue;
-    seen.add(waiter.team);
+    if (seenTeams.has(waiter.team)) continue;
+    seenTeams.add(waiter.team);
     const inFlight = inFlightOf(waiter.team);
-    if (inFlight >= fewest) continue;
-    best = waiter;
-    fewest = inFlight;
+    if (inFlight >= fewestInFlight) continue;
+    selected = waiter;
+    fewestInFlight = inFlight;
   }
-  return best;
+  return selected;
 }
--- a/src/agent/wakeup.ts
+++ b/src/agent/wakeup.ts
@@ -1,26 +1,26 @@
-/** Wakes whoever waits for a change. */
+/** A condition variable for promises. */
 
-/** A condition that can be waited for; a wait started before {@link notify} ends with it. */
+/** A condition variable: {@link Wakeup.notify} ends all waits that started before it. */
 export class Wakeup {
-  #waiting: (() => void)[] = [];
+  #waiters: (() => void)[] = [];
 
   private constructor() {}
 
-  /** @returns A condition nobody waits for. */
+  /** @returns A condition variable without waits. */
   static create(): Wakeup {
     return new Wakeup();
   }
 
-  /** @returns Resolves with the next {@link notify}. */
+  /** @returns Resolves at the next call of {@link Wakeup.notify}. */
   wait(): Promise<void> {
-    return new Promise((resolve) => this.#waiting.push(resolve));
+    return new Promise((resolve) => this.#waiters.push(resolve));
   }
 
-  /** Ends every wait. */
+  /** Ends all current waits. */
   notify(): void {
-    if (this.#waiting.length === 0) return;
-    const waiting = this.#waiting;
-    this.#waiting = [];
-    for (const resolve of waiting) resolve();
+    if (this.#waiters.length === 0) return;
+    const waiters = this.#waiters;
+    this.#waiters = [];
+    for (const resolve of waiters) resolve();
   }
 }
