--- a/src/agent/_fake_engine.ts
+++ b/src/agent/_fake_engine.ts
@@ -1,4 +1,4 @@
-/** A small engine in memory for this folder's tests: runs say what they are told, when told. */
+/** An in-memory engine for this folder's tests, which control the output of each run. */
 import { Result } from "true-myth";
 import type {
   CacheEvent,
@@ -15,34 +15,34 @@
 
 type Snapshot = Extract<CacheFeedStep, { kind: "snapshot" }>;
 
-/** One request as the engine got it. */
+/** A request that the engine received, with controls for its output. */
 export interface FakeRun {
   call: EngineCall;
   isCancelled: boolean;
-  /** Pieces that were read by the agent. */
-  taken: number;
+  /** Number of pieces that the agent has read. */
+  piecesRead: number;
   say(text: string): void;
   end(cachedTokens?: number): void;
   fail(failure: EngineFailure): void;
 }
 
-/** An {@link Engine} that tests drive by hand. */
+/** An {@link Engine} whose runs and cache events are controlled by tests. */
 export class FakeEngine implements Engine {
   incarnation = "engine-1";
   isUp = true;
   maxRunning = 2;
   models = [{ model: "m", adapter: "", weightsVersion: "1" }];
-  /** True: runs end at once, without a piece. */
-  endsAtOnce = false;
+  /** True if runs end immediately, without a piece. */
+  endsImmediately = false;
   readonly runs: FakeRun[] = [];
   readonly orders: EngineOrder[] = [];
   blocks: CacheEvent[] = [];
   nextSeq = 1;
   snapshots = 0;
-  /** Set: orders wait for it. */
+  /** If set, orders wait until this promise resolves. */
   orderGate: Promise<void> | undefined;
-  readonly #arrived = Wakeup.create();
-  readonly #feed = Wakeup.create();
+  readonly #runAdded = Wakeup.create();
+  readonly #eventAdded = Wakeup.create();
   readonly #events: CacheFeedStep[] = [];
 
   private constructor() {}
@@ -51,19 +51,19 @@
     return new FakeEngine();
   }
 
-  /** Waits for the nth request, from 0. */
+  /** Waits for the request with this zero-based index. */
   async nthRun(index: number): Promise<FakeRun> {
-    while (!this.runs[index]) await this.#arrived.wait();
+    while (!this.runs[index]) await this.#runAdded.wait();
     return this.runs[index];
   }
 
   publish(event: CacheEvent): void {
     this.#events.push({ kind: "event", incarnation: this.incarnation, event });
-    this.#feed.notify();
+    this.#eventAdded.notify();
   }
 
   info(): Promise<Result<EngineInfo, EngineFailure>> {
-    return Promise.resolve(this.#answer({
+    return Promise.resolve(this.#reply({
       incarnation: this.incarnation,
       models: [...this.models],
       blockBytes: 256,
@@ -75,7 +75,7 @@
   }
 
   load(): Promise<Result<EngineLoad, EngineFailure>> {
-    return Promise.resolve(this.#answer({
+    return Promise.resolve(this.#reply({
       incarnation: this.incarnation,
       running: 0,
       waiting: 0,
@@ -89,43 +89,43 @@
     signal: AbortSignal,
   ): AsyncGenerator<Result<EngineStep, EngineFailure>> {
     const steps: Result<EngineStep, EngineFailure>[] = [];
-    const more = Wakeup.create();
+    const stepAdded = Wakeup.create();
     const push = (step: Result<EngineStep, EngineFailure>) => {
       steps.push(step);
-      more.notify();
+      stepAdded.notify();
     };
     const run: FakeRun = {
       call,
       isCancelled: false,
-      taken: 0,
+      piecesRead: 0,
       say: (text) =>
         push(Result.ok({ kind: "piece", data: Buffer.from(text) })),
       end: (cachedTokens = 0) =>
         push(Result.ok({
           kind: "end",
           promptTokens: 10,
-          completionTokens: run.taken,
+          completionTokens: run.piecesRead,
           cachedTokens,
         })),
       fail: (failure) => push(Result.err(failure)),
     };
     signal.addEventListener("abort", () => {
       run.isCancelled = true;
-      more.notify();
+      stepAdded.notify();
     });
     if (!this.isUp) {
       return yield Result.err({ kind: "unreachable", message: "down" });
     }
     this.runs.push(run);
-    if (this.endsAtOnce) run.end();
-    this.#arrived.notify();
+    if (this.endsImmediately) run.end();
+    this.#runAdded.notify();
     while (!signal.aborted) {
       const step = steps.shift();
       if (!step) {
-        await more.wait();
+        await stepAdded.wait();
         continue;
       }
-      if (step.isOk && step.value.kind === "piece") run.taken++;
+      if (step.isOk && step.value.kind === "piece") run.piecesRead++;
       yield step;
       if (step.isErr || step.value.kind === "end") return;
     }
@@ -133,7 +133,7 @@
 
   cacheSnapshot(): Promise<Result<Snapshot, EngineFailure>> {
     this.snapshots++;
-    return Promise.resolve(this.#answer({
+    return Promise.resolve(this.#reply({
       kind: "snapshot",
       incarnation: this.incarnation,
       nextSeq: this.nextSeq,
@@ -145,11 +145,11 @@
     _sinceSeq: number,
     signal: AbortSignal,
   ): AsyncGenerator<Result<CacheFeedStep, EngineFailure>> {
-    signal.addEventListener("abort", () => this.#feed.notify());
+    signal.addEventListener("abort", () => this.#eventAdded.notify());
     while (!signal.aborted) {
       const step = this.#events.shift();
       if (step) yield Result.ok(step);
-      else await this.#feed.wait();
+      else await this.#eventAdded.wait();
     }
   }
 
@@ -169,7 +169,7 @@
 
   close(): void {}
 
-  #answer<T>(value: T): Result<T, EngineFailure> {
+  #reply<T>(value: T): Result<T, EngineFailure> {
     if (this.isUp) return Result.ok(value);
     return Result.err({ kind: "unreachable", message: "The engine is down" });
   }
--- a/src/agent/_fake_service.ts
+++ b/src/agent/_fake_service.ts
@@ -1,4 +1,4 @@
-/** A small plain service in memory for this folder's tests. */
+/** An in-memory plain service for this folder's tests. */
 import { Result } from "true-myth";
 import type {
   PlainService,
@@ -10,16 +10,16 @@
 
 type Step = Result<ServiceStep, ServiceFailure>;
 
-/** A {@link PlainService} that counts calls and answers when it is told. */
+/** A {@link PlainService} that records calls and can delay or fail its answers. */
 export class FakeService implements PlainService {
   readonly calls: ServiceCall[] = [];
-  /** Set: calls fail with it. */
+  /** If set, every call fails with this failure. */
   failure: ServiceFailure | undefined;
-  /** Appended to answers. */
+  /** Text appended to every answer. */
   padding = "";
   readonly arrived = Wakeup.create();
-  readonly #answers = Wakeup.create();
-  #isHeld = false;
+  readonly #released = Wakeup.create();
+  #isPaused = false;
 
   private constructor() {}
 
@@ -27,14 +27,14 @@
     return new FakeService();
   }
 
-  /** Lets calls wait until {@link release}. */
+  /** Delays all answers until {@link release} is called. */
   hold(): void {
-    this.#isHeld = true;
+    this.#isPaused = true;
   }
 
   release(): void {
-    this.#isHeld = false;
-    this.#answers.notify();
+    this.#isPaused = false;
+    this.#released.notify();
   }
 
   async *run(call: ServiceCall): AsyncGenerator<Step> {
@@ -44,7 +44,7 @@
     this.calls.push(call);
     this.arrived.notify();
     if (this.failure) return yield Result.err(this.failure);
-    while (this.#isHeld) await this.#answers.wait();
+    while (this.#isPaused) await this.#released.wait();
     yield Result.ok({ kind: "head", status: 201, headers: [] });
     const data = Buffer.from(`answer ${this.calls.length}${this.padding}`);
     yield Result.ok({ kind: "piece", data });
--- a/src/agent/agent.ts
+++ b/src/agent/agent.ts
@@ -1,4 +1,4 @@
-/** The process beside one backend server; the only sender to it. */
+/** The agent process, which runs beside one backend server and is its only client. */
 import { randomUUID } from "node:crypto";
 import { Lifecycle } from "../base/mod.ts";
 import { BranchSet } from "../config/branch_set.ts";
@@ -10,31 +10,31 @@
 import { AgentCore, type ServerParts } from "./agent_core.ts";
 import { buildAgentService } from "./agent_service.ts";
 import { type AgentParts, buildParts } from "./agent_parts.ts";
-import { Branches } from "./branches.ts";
+import { BranchExchange } from "./branches.ts";
 import { ModelServer } from "./model_server.ts";
 import type { AgentOptions } from "./options.ts";
-import { type OrderedEngine, Orders } from "./orders.ts";
+import { type OrderedEngine, OrderQueue } from "./orders.ts";
 import { PlainServer } from "./plain_server.ts";
 import { GrpcRelay } from "./relay.ts";
 import { RunTable } from "./runs.ts";
 import { buildStateDump } from "./state_dump.ts";
 
-/** A new version is loaded beside the old one. */
+/** Default number of models loaded at once: a new weights version is loaded beside the old one. */
 const DEFAULT_MODEL_SLOTS = 2;
-const SWEEP_MS = 100;
-/** Without runs there is little to sweep; each round costs a tenth of a millisecond. */
-const IDLE_SWEEP_MS = 500;
-const DRAIN_POLL_MS = 20;
-/** How long the reader of a run that ended has to come back on a planned stop. */
-const UNREAD_MS = 3000;
-/** How long the ends of runs that were cut have to reach their readers. */
-const LAST_WORD_MS = 500;
+const SWEEP_INTERVAL_MS = 100;
+/** Sweep interval without live runs: there is little to sweep, and a sweep costs about 0.1 ms. */
+const IDLE_SWEEP_INTERVAL_MS = 500;
+const DRAIN_POLL_INTERVAL_MS = 20;
+/** How long a planned stop waits for the readers of ended runs to reconnect. */
+const UNREAD_TIMEOUT_MS = 3000;
+/** How long a planned stop waits for the ends of cancelled runs to reach their readers. */
+const END_DELIVERY_TIMEOUT_MS = 500;
 
-/** An agent could not open its listener. */
+/** Thrown when an agent can't open its listener. */
 export class ListenError extends Error {
   readonly failure: ListenFailure;
 
-  /** @param failure Why. */
+  /** @param failure The address and the reason. */
   constructor(failure: ListenFailure) {
     super(`Could not listen on ${failure.address}: ${failure.message}`);
     this.failure = failure;
@@ -46,11 +46,11 @@
   readonly agentIncarnation = randomUUID();
   readonly branches = BranchSet.create();
   readonly #options: AgentOptions;
-  readonly #life = Lifecycle.create("agent");
+  readonly #lifecycle = Lifecycle.create("agent");
   readonly #runs: RunTable;
   readonly #core: AgentCore;
   readonly #server: ServerParts;
-  readonly #gate: FencingGate;
+  readonly #fencingGate: FencingGate;
   readonly #listener: GrpcListener;
   readonly #channels: ChannelPool;
   #journal: ClaimsJournal | undefined;
@@ -60,7 +60,7 @@
     const { clock, log, listenAddress, security } = options;
     this.#options = options;
     this.#runs = RunTable.create({ clock });
-    this.#gate = FencingGate.create(parts.readFencingFloor);
+    this.#fencingGate = FencingGate.create(parts.readFencingNumber);
     this.#listener = GrpcListener.create(listenAddress, security);
     this.#channels = ChannelPool.create({ security, clock });
     this.#server = this.#buildServer(parts);
@@ -71,15 +71,17 @@
       clock,
       log,
     }, this.#server);
-    for (const owned of parts.owned) this.#life.own(owned);
-    this.#life.own(this.#channels);
-    this.#life.own(this.#listener);
+    for (const owned of parts.owned) this.#lifecycle.own(owned);
+    this.#lifecycle.own(this.#channels);
+    this.#lifecycle.own(this.#listener);
   }
 
   /**
+   * Creates an agent and opens its listener.
+   *
    * @param options Settings.
-   * @param parts Stand-ins for the backend server and the store; left out: the real ones.
-   * @returns An agent that listens.
+   * @param parts Adapters of the backend server and the store, by default the real ones.
+   * @returns An agent that accepts connections.
    */
   static async create(
     options: AgentOptions,
@@ -96,24 +98,24 @@
   }
 
   /**
-   * Stops as planned: new work is refused, runs end and are read to their end, then all is closed.
-   * What is left after `drainMs` is cut.
+   * Performs a planned stop: refuses new runs, waits until all runs have ended and were read, then
+   * closes all resources. Runs that are still live after `drainMs` are cancelled.
    *
-   * @returns Resolves when all is closed.
+   * @returns Resolves when all resources are closed.
    */
   stop(): Promise<void> {
     this.#stopped ??= this.#drainAndClose();
     return this.#stopped;
   }
 
-  /** Closes at once, as a crash would. */
+  /** Closes all resources immediately, like a crash. */
   async kill(): Promise<void> {
-    this.#stopped ??= this.#life.stop();
+    this.#stopped ??= this.#lifecycle.stop();
     this.#listener.close();
     await this.#stopped;
   }
 
-  /** @returns The state, ready for `JSON.stringify`. */
+  /** @returns The agent's state, ready for `JSON.stringify`. */
   dumpState(): ReturnType<typeof buildStateDump> {
     const { instanceId, zone, pool, clock } = this.#options;
     return buildStateDump({
@@ -126,7 +128,7 @@
       server: this.#server,
       runs: this.#runs,
       branches: this.branches,
-      gate: this.#gate,
+      gate: this.#fencingGate,
       journal: this.#journal,
       clock,
     });
@@ -136,16 +138,16 @@
     this.#listener.addService(LEAN_AGENT_SERVICE, this.#buildService(parts));
     const listening = await this.#listener.start();
     if (listening.isErr) {
-      await this.#life.stop();
+      await this.#lifecycle.stop();
       throw new ListenError(listening.error);
     }
     this.#openJournal(parts);
-    this.#life.task("sweep", (signal) => this.#sweep(signal));
+    this.#lifecycle.task("sweep", (signal) => this.#sweep(signal));
     if (this.#server.kind === "engine") {
       const { watch, follower } = this.#server.model;
       await watch.poll();
-      this.#life.task("engine-watch", (signal) => watch.run(signal));
-      this.#life.task("cache-follower", (signal) => follower.run(signal));
+      this.#lifecycle.task("engine-watch", (signal) => watch.run(signal));
+      this.#lifecycle.task("cache-follower", (signal) => follower.run(signal));
     }
     this.#options.log.info({ address: this.address }, "Agent listens");
   }
@@ -181,19 +183,19 @@
       this.#core.setDraining(isDraining);
     return buildAgentService({
       core: this.#core,
-      branches: Branches.create({
+      branches: BranchExchange.create({
         set: this.branches,
         processId: instanceId,
         address: () => this.address,
         log,
       }),
-      orders: Orders.create({
-        gate: this.#gate,
+      orders: OrderQueue.create({
+        gate: this.#fencingGate,
         clock,
         server: this.#orderedEngine(parts),
         setDraining,
-        onCarriedOut: () => this.#rereadInfo(),
-        signal: this.#life.signal,
+        onOrderSent: () => this.#refreshEngineInfo(),
+        signal: this.#lifecycle.signal,
       }),
       reportModels: () => this.#reportModels(),
       dumpState: () => JSON.stringify(this.dumpState()),
@@ -224,7 +226,7 @@
     };
   }
 
-  async #rereadInfo(): Promise<void> {
+  async #refreshEngineInfo(): Promise<void> {
     if (this.#server.kind !== "engine") return;
     await this.#server.model.watch.readInfo();
   }
@@ -241,7 +243,10 @@
       if (this.#server.kind === "engine") this.#server.model.admission.sweep();
       else this.#server.plain.answers.sweep();
       const isIdle = this.#runs.liveCount === 0;
-      await clock.sleep(isIdle ? IDLE_SWEEP_MS : SWEEP_MS, signal);
+      await clock.sleep(
+        isIdle ? IDLE_SWEEP_INTERVAL_MS : SWEEP_INTERVAL_MS,
+        signal,
+      );
     }
   }
 
@@ -250,21 +255,21 @@
     this.#core.leave();
     await this.#waitWhileBusy(drainMs);
     for (const run of this.#runs.live) run.cancel("The agent stops");
-    await this.#waitWhileBusy(LAST_WORD_MS);
+    await this.#waitWhileBusy(END_DELIVERY_TIMEOUT_MS);
     await this.#journal?.close();
-    await this.#life.stop();
+    await this.#lifecycle.stop();
   }
 
   async #waitWhileBusy(limitMs: number): Promise<void> {
     const { clock } = this.#options;
     const untilMs = clock.nowMs() + limitMs;
     while (this.#isBusy() && clock.nowMs() < untilMs) {
-      await clock.sleep(DRAIN_POLL_MS);
+      await clock.sleep(DRAIN_POLL_INTERVAL_MS);
     }
   }
 
   #isBusy(): boolean {
     return this.#runs.liveCount > 0 || this.#core.attachedCount > 0 ||
-      this.#runs.hasUnread(UNREAD_MS);
+      this.#runs.hasUnread(UNREAD_TIMEOUT_MS);
   }
 }
--- a/src/agent/agent_parts.ts
+++ b/src/agent/agent_parts.ts
@@ -1,4 +1,4 @@
-/** What an agent reaches outside itself; tests put stand-ins in its place. */
+/** External dependencies of an agent, which tests replace with fakes. */
 import { Result } from "true-myth";
 import type { Owned } from "../base/mod.ts";
 import type { FloorReader } from "../lease/mod.ts";
@@ -11,40 +11,45 @@
 import type { KeyValueStore } from "../store/store.ts";
 import type { AgentOptions } from "./options.ts";
 
-/** Who claims: this process. */
+/** Identity under which this process claims idempotency keys. */
 export interface ClaimantIdentity {
   address: string;
   agentIncarnation: string;
 }
 
-/** The backend server's adapter. */
+/** Adapter of the backend server. */
 export type ServerAdapter =
   | { kind: "engine"; engine: Engine }
   | { kind: "service"; service: PlainService };
 
-/** Adapters that an agent is made from. */
+/** External dependencies of an agent. */
 export interface AgentParts {
   server: ServerAdapter;
-  /** Undefined: calls that may not be repeated are refused. */
+  /** Opens the claims journal; without it, at-most-once calls are refused. */
   openJournal?: (self: ClaimantIdentity) => ClaimsJournal;
-  /** Undefined: the server checks fencing numbers itself. */
-  readFencingFloor?: FloorReader;
-  /** Closed when the agent stops. */
+  /** Reads the fencing number of a lease; undefined if the server checks fencing numbers itself. */
+  readFencingNumber?: FloorReader;
+  /** Resources to close when the agent stops. */
   owned: Owned[];
 }
 
 /**
+ * Builds the adapters of the real backend server and store.
+ *
  * @param options Settings.
- * @returns Adapters of the real systems; they connect when they are first used.
+ * @returns Adapters, which connect on first use.
  */
 export function buildParts(options: AgentOptions): AgentParts {
   const { server, storeAddress } = options;
   const adapter = buildServer(server);
-  const parts: AgentParts = { server: adapter, owned: [ownedBy(adapter)] };
+  const parts: AgentParts = {
+    server: adapter,
+    owned: [ownedResource(adapter)],
+  };
   if (storeAddress === "") return parts;
   const store = EtcdStore.create({ address: storeAddress });
   parts.owned.push({ name: "store", close: () => store.close() });
-  parts.readFencingFloor = (leaseKey) => readFloor(store, leaseKey);
+  parts.readFencingNumber = (leaseKey) => readHolderNumber(store, leaseKey);
   const { clock, log } = options;
   parts.openJournal = (self) =>
     StoreClaimsJournal.create({ ...self, store, clock, log });
@@ -52,25 +57,28 @@
 }
 
 /**
- * A server that pauses goes on with its answer, so silence ends no run: its caller's deadline, the
- * service's timeout and the end of the engine's process do.
+ * Disables the adapters' timeouts, since a server that pauses may resume its answer. A run is ended
+ * by the caller's deadline, the service's timeout or the end of the engine process instead.
  */
-const PATIENT = { headMs: 0, silenceMs: 0 };
+const NO_TIMEOUTS = { headMs: 0, silenceMs: 0 };
 
 function buildServer(server: AgentOptions["server"]): ServerAdapter {
   const { url } = server;
   switch (server.kind) {
     case "engine":
-      return { kind: "engine", engine: HttpEngine.create({ url, ...PATIENT }) };
+      return {
+        kind: "engine",
+        engine: HttpEngine.create({ url, ...NO_TIMEOUTS }),
+      };
     case "service":
       return {
         kind: "service",
-        service: HttpService.create({ url, ...PATIENT }),
+        service: HttpService.create({ url, ...NO_TIMEOUTS }),
       };
   }
 }
 
-function ownedBy(adapter: ServerAdapter): Owned {
+function ownedResource(adapter: ServerAdapter): Owned {
   switch (adapter.kind) {
     case "engine":
       return { name: "engine", close: () => adapter.engine.close() };
@@ -79,8 +87,11 @@
   }
 }
 
-/** A lease's number is the revision at which its holder made the key. */
-async function readFloor(
+/**
+ * Reads the fencing number of a lease's current holder, which is the store revision at which the
+ * holder created the key; 0 if nobody holds the lease.
+ */
+async function readHolderNumber(
   store: KeyValueStore,
   leaseKey: string,
 ): Promise<Result<bigint, { message: string }>> {
--- a/src/agent/agent_parts_test.ts
+++ b/src/agent/agent_parts_test.ts
@@ -6,7 +6,7 @@
 import { buildParts } from "./agent_parts.ts";
 import { testOptions } from "./_test_kit.ts";
 
-/** Longer than the adapters allow by themselves. */
+/** Longer than the default silence timeout of the adapters. */
 const PAUSE_MS = 23_000;
 const CALL = {
   requestId: "r1",
@@ -47,8 +47,9 @@
   return buildParts(testOptions({ server: { kind, url } }));
 }
 
-// The connection to a server that paused for 20 s was closed, and its run ended as broken.
-test("answer goes on after its server paused for long", async (context) => {
+// Guards against silence timeouts: the connection to a server that paused for 20 s was closed, and
+// its run ended as broken.
+test("an answer resumes after a long pause of its server", async (context) => {
   const listener = createServer((_request, response) => {
     void writeWithPause(response);
   });
--- a/src/agent/agent_service.ts
+++ b/src/agent/agent_service.ts
@@ -1,4 +1,4 @@
-/** The gRPC service of an agent. Each stream is one task that reads one run. */
+/** gRPC handlers of an agent. Each `Run` stream sends the output of one run to one reader. */
 import {
   type handleBidiStreamingCall,
   type handleUnaryCall,
@@ -15,15 +15,15 @@
 } from "../wire/gen/cicadahitch.ts";
 import type { AgentCore } from "./agent_core.ts";
 import type { Attachment, RunSink } from "./attachment.ts";
-import type { Branches } from "./branches.ts";
-import type { Orders } from "./orders.ts";
+import type { BranchExchange } from "./branches.ts";
+import type { OrderQueue } from "./orders.ts";
 import { Wakeup } from "./wakeup.ts";
 
-/** What the service is made from. */
+/** Dependencies of the handlers. */
 export interface AgentServiceOptions {
   core: AgentCore;
-  branches: Branches;
-  orders: Orders;
+  branches: BranchExchange;
+  orders: OrderQueue;
   reportModels: () => ModelsReport;
   dumpState: () => string;
   clock: Clock;
@@ -32,28 +32,28 @@
 
 type RunCall = ServerDuplexStream<RunUp, RunDown>;
 
-/** How long a reader has to acknowledge the end before its stream is closed. */
-const LAST_ACK_MS = 2000;
+/** How long a reader has to acknowledge the end of a run before its stream is closed. */
+const ACK_TIMEOUT_MS = 2000;
 
 /**
- * @param options What the calls are answered from.
+ * @param options Dependencies of the handlers.
  * @returns Handlers of `AgentService`.
  */
 export function buildAgentService(options: AgentServiceOptions): AgentServer {
   const { core, branches, orders } = options;
   return {
-    ask: answer((request) => core.ask(request)),
+    ask: handleUnary((request) => core.ask(request)),
     run: serveRuns(options),
-    cancel: answer((request) => core.cancel(request)),
-    order: answer((request) => orders.carryOut(request)),
-    reportModels: answer(() => options.reportModels()),
-    fetchBranches: answer((request) => branches.fetch(request)),
-    pushBranches: answer((reply) => branches.take(reply)),
-    dumpState: answer(() => ({ json: options.dumpState() })),
+    cancel: handleUnary((request) => core.cancel(request)),
+    order: handleUnary((request) => orders.execute(request)),
+    reportModels: handleUnary(() => options.reportModels()),
+    fetchBranches: handleUnary((request) => branches.fetch(request)),
+    pushBranches: handleUnary((reply) => branches.apply(reply)),
+    dumpState: handleUnary(() => ({ json: options.dumpState() })),
   };
 }
 
-function answer<Q, A>(
+function handleUnary<Q, A>(
   handle: (request: Q) => A | Promise<A>,
 ): handleUnaryCall<Q, A> {
   return async (call, callback) => {
@@ -70,7 +70,7 @@
 ): handleBidiStreamingCall<RunUp, RunDown> {
   return (call) => {
     serveRun(call, options).catch((error: unknown) => {
-      options.log.error({ err: error }, "A stream was broken off");
+      options.log.error({ err: error }, "Run stream failed");
       call.destroy();
     });
   };
@@ -80,7 +80,7 @@
   call: RunCall,
   options: AgentServiceOptions,
 ): Promise<void> {
-  // Cancelled calls are noticed by their events; an error needs no other treatment.
+  // The "cancelled" and "close" events cover failed calls, so errors are ignored here.
   call.on("error", () => {});
   const start = await readStart(call);
   if (!start) return void call.end();
@@ -88,7 +88,7 @@
   const sink = buildSink(call);
   switch (opened.kind) {
     case "attached":
-      await feed(call, opened.attachment, { ...options, sink });
+      await serveAttachment(call, opened.attachment, { ...options, sink });
       break;
     case "refused":
       await sink.send({ step: { $case: "refusal", value: opened.refusal } });
@@ -100,7 +100,7 @@
   call.end();
 }
 
-async function feed(
+async function serveAttachment(
   call: RunCall,
   attachment: Attachment,
   { core, clock, sink }: AgentServiceOptions & { sink: RunSink },
@@ -115,29 +115,29 @@
     attachment.acknowledge(step.value.nextSeq, clock.nowMs());
   });
   call.once("end", () => {
-    attachment.noteReaderDone();
+    attachment.markReaderDone();
     done.abort();
   });
   call.once("cancelled", close);
   call.once("close", close);
   call.resume();
-  await attachment.feed(sink);
-  if (!attachment.isDetached) await clock.sleep(LAST_ACK_MS, done.signal);
+  await attachment.sendOutput(sink);
+  if (!attachment.isDetached) await clock.sleep(ACK_TIMEOUT_MS, done.signal);
   core.detach(attachment);
 }
 
-/** Reads the first message; undefined: the stream ended before it, or it is something else. */
+/** Reads the first message; undefined if the stream ended or the message is not a start. */
 function readStart(call: RunCall): Promise<StartRun | undefined> {
   return new Promise((resolve) => {
     const settle = (start: StartRun | undefined) => {
-      call.off("data", take);
+      call.off("data", onMessage);
       resolve(start);
     };
-    const take = ({ step }: RunUp) => {
+    const onMessage = ({ step }: RunUp) => {
       call.pause();
       settle(step?.$case === "start" ? step.value : undefined);
     };
-    call.on("data", take);
+    call.on("data", onMessage);
     call.once("end", () => settle(undefined));
     call.once("cancelled", () => settle(undefined));
   });
--- a/src/agent/agent_test.ts
+++ b/src/agent/agent_test.ts
@@ -21,7 +21,7 @@
   return promisify<CancelRequest, CancelReply>(client.cancel.bind(client));
 }
 
-test("a held run gives its pieces in order and its count", async () => {
+test("a run with a hold returns its pieces in order and their count", async () => {
   const engine = FakeEngine.create();
   const { client } = await openAgent({
     server: { kind: "engine", engine },
@@ -44,7 +44,7 @@
   ]);
 });
 
-test("a second start of an id attaches and runs nothing", async () => {
+test("a second start of a run id attaches to the existing run", async () => {
   const engine = FakeEngine.create();
   const { client } = await openAgent({
     server: { kind: "engine", engine },
@@ -68,9 +68,9 @@
   assert.equal(engine.runs.length, 1);
 });
 
-test("an id cancelled before its start never starts", async () => {
+test("a run id cancelled before its start never runs", async () => {
   const engine = FakeEngine.create();
-  engine.endsAtOnce = true;
+  engine.endsImmediately = true;
   const { client } = await openAgent({
     server: { kind: "engine", engine },
   });
@@ -81,9 +81,9 @@
   assert.equal(engine.runs.length, 0);
 });
 
-test("a refused start stays refused", async () => {
+test("a run id whose start was refused stays refused", async () => {
   const engine = FakeEngine.create();
-  engine.endsAtOnce = true;
+  engine.endsImmediately = true;
   const { client } = await openAgent({
     server: { kind: "engine", engine },
   });
@@ -94,7 +94,7 @@
   assert.equal(engine.runs.length, 0);
 });
 
-test("a hold is good once", async () => {
+test("a hold of another process is refused", async () => {
   const engine = FakeEngine.create();
   const { client } = await openAgent({
     server: { kind: "engine", engine },
@@ -103,7 +103,7 @@
   assert.deepEqual(await reader.rest(), [`refusal ${RefusalCode.HOLD_GONE}`]);
 });
 
-test("attaching again resumes where the reader stopped", async () => {
+test("a reader that reconnects resumes at the requested piece", async () => {
   const engine = FakeEngine.create();
   const { client } = await openAgent({
     server: { kind: "engine", engine },
@@ -129,7 +129,7 @@
   ]);
 });
 
-test("a slow reader holds back the engine", async () => {
+test("a slow reader applies backpressure to the engine", async () => {
   const engine = FakeEngine.create();
   const { client } = await openAgent({
     server: { kind: "engine", engine },
@@ -144,13 +144,13 @@
     seen += step?.$case === "pieces" ? step.value.data.length : 0;
   }
   await new Promise((resolve) => setImmediate(resolve));
-  assert.equal(run.taken, 4);
+  assert.equal(run.piecesRead, 4);
   reader.ack(4);
   const rest = await reader.rest();
   assert.equal(rest.at(-1), "end 1 of 100");
 });
 
-test("cancel reaches the engine and says that it ran", async () => {
+test("cancelling a running run aborts it in the engine and reports that it ran", async () => {
   const engine = FakeEngine.create();
   const { client } = await openAgent({
     server: { kind: "engine", engine },
@@ -166,7 +166,7 @@
   assert.equal(run.isCancelled, true);
 });
 
-test("a waiting run that is cancelled was not run", async () => {
+test("a run cancelled while it waits is reported as not run", async () => {
   const engine = FakeEngine.create();
   engine.maxRunning = 1;
   const { client } = await openAgent({
@@ -182,7 +182,7 @@
   assert.equal(engine.runs.length, 1);
 });
 
-test("runs of a dead engine fail in the open", async () => {
+test("runs fail when the engine restarts", async () => {
   const engine = FakeEngine.create();
   const { client } = await openAgent({
     server: { kind: "engine", engine },
@@ -198,7 +198,7 @@
   ]);
 });
 
-test("an unreachable engine is a refusal", async () => {
+test("a start is refused when the engine is unreachable", async () => {
   const engine = FakeEngine.create();
   const { client } = await openAgent({
     server: { kind: "engine", engine },
@@ -209,7 +209,7 @@
   assert.equal(seen.at(-1), `refusal ${RefusalCode.SERVER_DOWN}`);
 });
 
-test("a planned stop refuses new work and cuts no run", async () => {
+test("a planned stop refuses new runs and lets current runs end", async () => {
   const engine = FakeEngine.create();
   const { agent, client } = await openAgent({
     server: { kind: "engine", engine },
@@ -225,7 +225,7 @@
   await stopped;
 });
 
-test("a newer branch than the agent's is asked for", async () => {
+test("an ask with a newer branch revision than the agent's is refused", async () => {
   const engine = FakeEngine.create();
   const { client } = await openAgent({
     server: { kind: "engine", engine },
@@ -237,7 +237,7 @@
   );
 });
 
-test("a dump shows runs without their text", async () => {
+test("a state dump lists runs without their text", async () => {
   const engine = FakeEngine.create();
   const { agent, client } = await openAgent({
     server: { kind: "engine", engine },
--- a/src/agent/attachment.ts
+++ b/src/agent/attachment.ts
@@ -1,32 +1,32 @@
-/** One connection's reading of a run. Pieces go out in batches of what has arrived. */
+/** Sends the output of a run to one connection, batching the pieces that have arrived. */
 import { setImmediate as afterInput } from "node:timers/promises";
 import type { RunDown } from "../wire/gen/cicadahitch.ts";
 import type { Run } from "./run.ts";
 import type { OutputReader } from "./run_output.ts";
 
-/** Where messages go. */
+/** Receives the messages of an {@link Attachment}. */
 export interface RunSink {
   /**
    * @param message The next message.
-   * @returns Resolves when more may be sent.
+   * @returns Resolves when the next message may be sent.
    */
   send(message: RunDown): void | Promise<void>;
 }
 
-/** What an {@link Attachment} is made from. */
+/** Options of an {@link Attachment}. */
 export interface AttachmentOptions {
   run: Run;
   reader: OutputReader;
-  /** The id under which the reader came. */
+  /** Run id in the reader's start message; a repeated request has its own. */
   readerId: string;
-  /** True: another request started the run. */
+  /** True if another request started the run. */
   isRepeated: boolean;
   agentIncarnation: string;
 }
 
 const MAX_BATCH_BYTES = 256 * 1024;
 
-/** A reader and its place in the output. */
+/** A reader's connection to a run and its position in the output. */
 export class Attachment {
   readonly readerId: string;
   readonly run: Run;
@@ -42,8 +42,8 @@
   }
 
   /**
-   * @param options Run and reader.
-   * @returns An attachment that has sent nothing.
+   * @param options The run and its reader.
+   * @returns An attachment that has not sent anything yet.
    */
   static create(options: AttachmentOptions): Attachment {
     return new Attachment(options);
@@ -53,7 +53,7 @@
     return this.#isDetached;
   }
 
-  /** Ends the reading; what was not acknowledged stays kept. */
+  /** Stops sending; the run keeps unacknowledged pieces for a reader that reconnects. */
   detach(nowMs: number): void {
     if (this.#isDetached) return;
     this.#isDetached = true;
@@ -63,8 +63,10 @@
   }
 
   /**
-   * @param nextSeq Everything below was received.
-   * @param nowMs The time.
+   * Records that the reader received pieces.
+   *
+   * @param nextSeq All pieces with lower sequence numbers were received.
+   * @param nowMs Current time.
    */
   acknowledge(nextSeq: number, nowMs: number): void {
     if (this.#isDetached) return;
@@ -72,21 +74,21 @@
     this.run.output.acknowledge(this.#options.reader, nextSeq);
   }
 
-  /** Notes that the reader closed in good order. */
-  noteReaderDone(): void {
+  /** Records that the reader closed its stream; after the end was sent, the end counts as read. */
+  markReaderDone(): void {
     if (this.#isEndSent) this.run.isEndRead = true;
   }
 
   /**
-   * Sends the output until its end is sent or the attachment is detached.
+   * Sends the output until its end was sent or the attachment is detached.
    *
-   * @param sink Where to.
+   * @param sink Receives the messages.
    */
-  async feed(sink: RunSink): Promise<void> {
+  async sendOutput(sink: RunSink): Promise<void> {
     const { reader } = this.#options;
     const { output } = this.run;
-    await sink.send(this.#started());
-    // A reader that has pieces has the head as well.
+    await sink.send(this.#buildStartedMessage());
+    // A reader that resumes after the first piece has already received the head.
     let isHeadDue = reader.nextSeq === 0;
     while (!this.#isDetached) {
       if (isHeadDue && output.head) {
@@ -106,7 +108,7 @@
       }
       if (output.ending && reader.nextSeq === output.pieceCount) break;
       await output.changed.wait();
-      // Pieces that came in the same packet go out in the same message.
+      // Lets pieces from the same network packet share one message.
       await afterInput();
     }
     if (!this.#isDetached) await this.#sendEnding(sink);
@@ -125,7 +127,7 @@
     }
   }
 
-  #started(): RunDown {
+  #buildStartedMessage(): RunDown {
     const { run } = this;
     const { agentIncarnation, isRepeated, readerId } = this.#options;
     return {
--- a/src/agent/attachments.ts
+++ b/src/agent/attachments.ts
@@ -1,16 +1,16 @@
-/** Who reads which run. A reader that comes again replaces its earlier connection. */
+/** Tracks the readers of runs. A reader that reconnects replaces its previous connection. */
 import type { Clock } from "../base/mod.ts";
 import type { StartRun } from "../wire/gen/cicadahitch.ts";
 import { Attachment } from "./attachment.ts";
 import type { Run } from "./run.ts";
 
-/** What {@link Attachments} is made from. */
+/** Options of {@link Attachments}. */
 export interface AttachmentsOptions {
   agentIncarnation: string;
   clock: Clock;
 }
 
-/** Readers by the run id under which they came. */
+/** Attached readers by the run id in their start message. */
 export class Attachments {
   readonly #options: AttachmentsOptions;
   readonly #attachments = new Map<string, Attachment>();
@@ -20,23 +20,25 @@
   }
 
   /**
-   * @param options This process, and its clock.
-   * @returns No readers.
+   * @param options Incarnation of this agent, and its clock.
+   * @returns An empty registry.
    */
   static create(options: AttachmentsOptions): Attachments {
     return new Attachments(options);
   }
 
-  /** Connections that read a run. */
+  /** Number of connections that read a run. */
   get size(): number {
     return this.#attachments.size;
   }
 
   /**
-   * @param run A kept run.
+   * Attaches a reader to a run.
+   *
+   * @param run A run whose output is still kept.
    * @param start The reader's first message.
-   * @param isRepeated True: another request started the run.
-   * @returns The reader's place, or undefined when pieces that it wants are gone.
+   * @param isRepeated True if another request started the run.
+   * @returns The attachment, or undefined if pieces that the reader needs were dropped.
    */
   attach(
     run: Run,
@@ -45,9 +47,9 @@
   ): Attachment | undefined {
     const { agentIncarnation, clock } = this.#options;
     const readerId = start.ask?.runId ?? run.runId;
-    // Whoever comes back has given up on its earlier connection.
-    const earlier = this.#attachments.get(readerId);
-    if (earlier) this.detach(earlier);
+    // A reader that reconnects has abandoned its previous connection.
+    const previous = this.#attachments.get(readerId);
+    if (previous) this.detach(previous);
     const reader = run.output.addReader(start.nextSeq, start.windowPieces);
     if (!reader) return undefined;
     const attachment = Attachment.create({
@@ -62,7 +64,7 @@
     return attachment;
   }
 
-  /** @param attachment A reader that is gone. */
+  /** @param attachment The attachment of a reader that disconnected or was replaced. */
   detach(attachment: Attachment): void {
     attachment.detach(this.#options.clock.nowMs());
     if (this.#attachments.get(attachment.readerId) === attachment) {
--- a/src/agent/branches.ts
+++ b/src/agent/branches.ts
@@ -1,4 +1,4 @@
-/** Team branches that the agent holds. Entries bring them; nothing is read from the store. */
+/** Serves and updates the agent's team branches. Entries push them; the store is never read. */
 import type { Logger } from "../base/mod.ts";
 import type { BranchSet } from "../config/branch_set.ts";
 import { selectBranches } from "../config/gossip.ts";
@@ -8,54 +8,59 @@
   VersionDigest,
 } from "../wire/gen/cicadahitch.ts";
 
-/** What {@link Branches} is made from. */
-export interface BranchesOptions {
+/** Options of {@link BranchExchange}. */
+export interface BranchExchangeOptions {
   set: BranchSet;
   processId: string;
   address: () => string;
   log: Logger;
 }
 
-/** Gives and takes branches; never goes back to an older one. */
-export class Branches {
-  readonly #options: BranchesOptions;
+/** Exchanges team branches with entries; never replaces a branch by an older revision. */
+export class BranchExchange {
+  readonly #options: BranchExchangeOptions;
 
-  private constructor(options: BranchesOptions) {
+  private constructor(options: BranchExchangeOptions) {
     this.#options = options;
   }
 
   /**
-   * @param options The set and this process.
-   * @returns Branches of this agent.
+   * @param options The branch set, and the identity of this process.
+   * @returns The exchange for this agent.
    */
-  static create(options: BranchesOptions): Branches {
-    return new Branches(options);
+  static create(options: BranchExchangeOptions): BranchExchange {
+    return new BranchExchange(options);
   }
 
   /**
-   * @param request Teams; none: all.
-   * @returns Their branches, as stored.
+   * @param request The teams to return; empty for all teams.
+   * @returns The branches of these teams, as stored.
    */
   fetch(request: FetchBranchesRequest): FetchBranchesReply {
     return selectBranches(this.#options.set, request);
   }
 
   /**
-   * @param reply Branches; older ones are left aside.
-   * @returns What is held now of the same teams.
+   * Applies branches that an entry pushed.
+   *
+   * @param reply Branches; older revisions than the current ones are ignored.
+   * @returns The revisions now held for the same teams.
    */
-  take({ branches }: FetchBranchesReply): VersionDigest {
+  apply({ branches }: FetchBranchesReply): VersionDigest {
     const { set, log } = this.#options;
     for (const branch of branches) {
       const applied = set.apply(branch);
       if (applied.isOk || applied.error.kind === "older") continue;
       const { team, revision } = branch;
-      log.error({ team, revision, failure: applied.error }, "Unusable branch");
+      log.error(
+        { team, revision, failure: applied.error },
+        "Can't apply a pushed branch",
+      );
     }
-    return this.#digest(branches.map(({ team }) => team));
+    return this.#buildDigest(branches.map(({ team }) => team));
   }
 
-  #digest(teams: string[]): VersionDigest {
+  #buildDigest(teams: string[]): VersionDigest {
     const { set, processId, address } = this.#options;
     const versions = teams.map((team) => ({
       team,
--- a/src/agent/cache_follower.ts
+++ b/src/agent/cache_follower.ts
@@ -1,56 +1,61 @@
-/** Keeps a {@link CacheView} up to date: a snapshot, then events, and a new snapshot after a gap. */
+/** Keeps a {@link CacheView} up to date: loads a snapshot, then applies events until a gap. */
 import type { Clock, Logger } from "../base/mod.ts";
 import type { CacheFeedStep, Engine } from "../backends/engine.ts";
 import type { CacheView } from "./cache_view.ts";
 
-/** What {@link CacheFollower} needs. */
+/** Options of {@link CacheFollower}. */
 export interface CacheFollowerOptions {
   engine: Engine;
   view: CacheView;
   clock: Clock;
   log: Logger;
-  /** Called when the feed breaks off: the engine may be gone. */
-  onBreak: () => void;
+  /** Called when the event feed ends, since the engine may have ended too. */
+  onEnd: () => void;
 }
 
 const MIN_PAUSE_MS = 100;
 const MAX_PAUSE_MS = 10_000;
-const FAILURE_PAUSE_MS = 500;
-/** Snapshots of a large cache are dear: at most one part in so many of the time goes into them. */
-const SNAPSHOT_SHARE = 20;
+const FAILURE_BACKOFF_MS = 500;
+/**
+ * Pause between snapshots, as a multiple of the time that the last one took. It limits the share of
+ * time spent on snapshots, which are expensive for a large cache. {@link MAX_PAUSE_MS} caps it.
+ */
+const SNAPSHOT_PAUSE_FACTOR = 20;
 
-/** Follows the feed until it is stopped. */
+/** Applies the engine's cache event feed to a {@link CacheView}. */
 export class CacheFollower {
   readonly #options: CacheFollowerOptions;
-  #feed = new AbortController();
+  #feedAbort = new AbortController();
 
   private constructor(options: CacheFollowerOptions) {
     this.#options = options;
   }
 
   /**
-   * @param options Engine and view.
-   * @returns A follower that does not run yet.
+   * @param options The engine and the view to update.
+   * @returns A follower that is not running yet.
    */
   static create(options: CacheFollowerOptions): CacheFollower {
     return new CacheFollower(options);
   }
 
-  /** Has a new snapshot taken: the view lacks something, or proved wrong. */
+  /** Requests a new snapshot, for when the view is incomplete or proved wrong. */
   resync(): void {
-    this.#feed.abort();
+    this.#feedAbort.abort();
   }
 
-  /** @param signal Ends the task. */
+  /** @param signal Stops the task when aborted. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock } = this.#options;
     while (!signal.aborted) {
-      this.#feed = new AbortController();
+      this.#feedAbort = new AbortController();
       const startMs = clock.nowMs();
-      const isTaken = await this.#takeSnapshot();
+      const isLoaded = await this.#takeSnapshot();
       const tookMs = clock.nowMs() - startMs;
-      if (isTaken) await this.#follow(signal);
-      const pauseMs = isTaken ? tookMs * SNAPSHOT_SHARE : FAILURE_PAUSE_MS;
+      if (isLoaded) await this.#followFeed(signal);
+      const pauseMs = isLoaded
+        ? tookMs * SNAPSHOT_PAUSE_FACTOR
+        : FAILURE_BACKOFF_MS;
       const boundMs = Math.min(Math.max(pauseMs, MIN_PAUSE_MS), MAX_PAUSE_MS);
       await clock.sleep(boundMs, signal);
     }
@@ -64,21 +69,21 @@
     return true;
   }
 
-  async #follow(signal: AbortSignal): Promise<void> {
+  async #followFeed(signal: AbortSignal): Promise<void> {
     const { engine, view } = this.#options;
-    const either = AbortSignal.any([signal, this.#feed.signal]);
-    for await (const step of engine.cacheEvents(view.nextSeq, either)) {
-      if (either.aborted || step.isErr) break;
-      if (!this.#take(step.value)) break;
+    const stopSignal = AbortSignal.any([signal, this.#feedAbort.signal]);
+    for await (const step of engine.cacheEvents(view.nextSeq, stopSignal)) {
+      if (stopSignal.aborted || step.isErr) break;
+      if (!this.#applyStep(step.value)) break;
     }
-    // What was cached may be gone before the feed is there again.
+    // Blocks may be removed unnoticed until the feed is connected again.
     if (signal.aborted) return;
-    view.distrust();
-    this.#options.onBreak();
+    view.invalidate();
+    this.#options.onEnd();
   }
 
-  /** @returns False when only a snapshot helps. */
-  #take(step: CacheFeedStep): boolean {
+  /** @returns False if a new snapshot is required. */
+  #applyStep(step: CacheFeedStep): boolean {
     const { view, log } = this.#options;
     if (step.kind === "snapshot") {
       view.restart(step);
@@ -86,7 +91,10 @@
     }
     const result = view.follow(step.incarnation, step.event);
     if (result.kind === "taken") return true;
-    log.info({ event: result }, "Cache view is void until a snapshot");
+    log.info(
+      { event: result },
+      "Cache view is invalid until the next snapshot",
+    );
     return false;
   }
 }
--- a/src/agent/cache_view.ts
+++ b/src/agent/cache_view.ts
@@ -1,10 +1,10 @@
 /**
- * What the engine has cached, told by its late and lossy event feed. Blocks are indexed by the keys
- * of our prefix chain, which start from team, workspace, model, adapter and weights version, so that
- * a block can only match within its own scope.
+ * Tracks which blocks an engine has cached, from its delayed and lossy event feed. Blocks are
+ * indexed by the keys of the prefix chain, which is seeded with team, workspace, model, adapter and
+ * weights version, so a block can only match within its own scope.
  *
- * After a gap nothing is claimed until a snapshot was taken: a lost event may have removed any
- * block. A new engine incarnation voids everything.
+ * After a gap in the feed nothing matches until a new snapshot was loaded, because a lost event may
+ * have removed any block. A new engine incarnation clears the view.
  */
 import type {
   CacheEvent,
@@ -20,18 +20,18 @@
 } from "../placement/chain.ts";
 import type { AskRequest, ChainPoint } from "../wire/gen/cicadahitch.ts";
 
-/** Most blocks that are kept in view. */
-export const MAX_BLOCKS = 92_000;
+/** Maximum number of blocks that a {@link CacheView} tracks. */
+export const MAX_TRACKED_BLOCKS = 92_000;
 
-/** What became of a step of the feed. */
-export type FollowResult =
+/** Result of applying an event of the feed. */
+export type CacheEventResult =
   | { kind: "taken" }
-  /** Entries were lost; only a snapshot helps. */
+  /** Events were lost, so a new snapshot is required. */
   | { kind: "gap"; expectedSeq: number; seq: number }
-  /** The engine started anew. */
+  /** The engine restarted. */
   | { kind: "new_incarnation"; incarnation: string };
 
-/** Sizes and trust, for state dumps. */
+/** Sizes and validity of a view, for state dumps. */
 export interface CacheSummary {
   incarnation: string;
   isTrusted: boolean;
@@ -54,32 +54,35 @@
   blocks: Map<bigint, Block>;
 }
 
-type Stored = Extract<CacheEvent, { kind: "stored" }>;
+type StoredEvent = Extract<CacheEvent, { kind: "stored" }>;
 
 const MAX_SALTS = 10_000;
 const encoder = new TextEncoder();
 
-/** The picture of one engine's cache. */
+/** A copy of one engine's cache index, updated from its event feed. */
 export class CacheView {
-  /** By salt: whose blocks carry it. */
-  readonly #owners = new Map<string, { team: string; workspace: string }>();
+  /** Team and workspace of each known cache salt. */
+  readonly #ownersBySalt = new Map<
+    string,
+    { team: string; workspace: string }
+  >();
   readonly #unknownSalts = new Set<string>();
   readonly #scopes = new Map<string, Scope>();
   readonly #blocks = new Map<string, Block>();
   #incarnation = "";
   #nextSeq = 0;
   #isTrusted = false;
-  #gaps = 0;
-  #snapshots = 0;
+  #gapCount = 0;
+  #snapshotCount = 0;
 
   private constructor() {}
 
-  /** @returns A view that claims nothing. */
+  /** @returns An empty view, which is invalid until a snapshot is loaded. */
   static create(): CacheView {
     return new CacheView();
   }
 
-  /** False until a snapshot was taken, and again after a gap. */
+  /** True from the load of a snapshot until the next gap, end of the feed or restart. */
   get isTrusted(): boolean {
     return this.#isTrusted;
   }
@@ -88,7 +91,7 @@
     return this.#incarnation;
   }
 
-  /** Sequence number of the next event. */
+  /** Sequence number expected of the next event. */
   get nextSeq(): number {
     return this.#nextSeq;
   }
@@ -100,80 +103,82 @@
       blocks: this.#blocks.size,
       scopes: this.#scopes.size,
       unknownSalts: this.#unknownSalts.size,
-      gaps: this.#gaps,
-      snapshots: this.#snapshots,
+      gaps: this.#gapCount,
+      snapshots: this.#snapshotCount,
     };
   }
 
   /**
-   * Learns whose blocks carry a salt.
+   * Registers the cache salt of a workspace, so that its blocks can be tracked.
    *
    * @param team The team.
-   * @param workspace Its workspace.
-   * @returns True when blocks with that salt were left out, so that a snapshot would show more.
+   * @param workspace A workspace of the team.
+   * @returns True if blocks with this salt were skipped, so that a new snapshot would add them.
    */
   learnOwner(team: string, workspace: string): boolean {
     const salt = cacheSalt(team, workspace);
-    if (this.#owners.has(salt)) return false;
-    if (this.#owners.size >= MAX_SALTS) return false;
-    this.#owners.set(salt, { team, workspace });
+    if (this.#ownersBySalt.has(salt)) return false;
+    if (this.#ownersBySalt.size >= MAX_SALTS) return false;
+    this.#ownersBySalt.set(salt, { team, workspace });
     return this.#unknownSalts.delete(salt);
   }
 
   /**
    * @param ask A request.
-   * @param weightsVersion The version that would serve it.
-   * @returns Tokens of its prompt that the engine has cached, as far as is known.
+   * @param weightsVersion The weights version that would serve the request.
+   * @returns Number of prompt tokens known to be cached by the engine.
    */
   matchedTokens(ask: AskRequest, weightsVersion: string): number {
     if (!this.#isTrusted) return 0;
     const { team, workspace, model, adapter } = ask;
     const salt = cacheSalt(team, workspace);
     const scope = this.#scopes.get(
-      scopeName(salt, { model, adapter, weightsVersion }),
+      scopeKey(salt, { model, adapter, weightsVersion }),
     );
     if (!scope) return 0;
-    const blocks = longestStored(scope, ask.chain);
+    const blocks = longestCachedPrefix(scope, ask.chain);
     return Math.min(blocks * CHAIN_BLOCK_TOKENS, ask.promptTokens);
   }
 
-  /** Claims nothing from now on, until the next snapshot. */
-  distrust(): void {
+  /** Marks the view invalid until the next snapshot. */
+  invalidate(): void {
     this.#isTrusted = false;
   }
 
-  /** @param incarnation The engine's, which started with an empty cache. */
-  voidAll(incarnation: string): void {
+  /** @param incarnation The new incarnation of the engine, whose cache is empty. */
+  reset(incarnation: string): void {
     this.#clear();
     this.#incarnation = incarnation;
     this.#isTrusted = false;
   }
 
-  /** @param snapshot The engine's blocks, parents first. */
+  /** @param snapshot All blocks of the engine, parents before children. */
   restart(snapshot: Extract<CacheFeedStep, { kind: "snapshot" }>): void {
     this.#clear();
     this.#incarnation = snapshot.incarnation;
     this.#nextSeq = snapshot.nextSeq;
     for (const event of snapshot.blocks) this.#apply(event);
     this.#isTrusted = true;
-    this.#snapshots++;
+    this.#snapshotCount++;
   }
 
   /**
-   * @param incarnation The engine that reports it.
-   * @param event An event of the feed.
-   * @returns Whether it fits what was known.
+   * Applies an event of the feed.
+   *
+   * @param incarnation Incarnation of the engine that sent the event.
+   * @param event The event.
+   * @returns Whether the event was in sequence.
    */
-  follow(incarnation: string, event: CacheEvent): FollowResult {
+  follow(incarnation: string, event: CacheEvent): CacheEventResult {
     if (incarnation !== this.#incarnation) {
-      this.voidAll(incarnation);
+      this.reset(incarnation);
       return { kind: "new_incarnation", incarnation };
     }
-    // Delivered twice, as after a reconnect.
+    // Duplicate delivery, for example after a reconnect.
     if (event.seq < this.#nextSeq) return { kind: "taken" };
     if (event.seq > this.#nextSeq) {
-      this.#gaps++;
-      this.distrust();
+      this.#gapCount++;
+      this.invalidate();
       return { kind: "gap", expectedSeq: this.#nextSeq, seq: event.seq };
     }
     this.#nextSeq = event.seq + 1;
@@ -192,10 +197,10 @@
     }
   }
 
-  #store(event: Stored): void {
+  #store(event: StoredEvent): void {
     if (this.#blocks.has(event.blockKey)) return;
-    const scope = this.#scopeOf(event);
-    if (!scope || this.#blocks.size >= MAX_BLOCKS) return;
+    const scope = this.#findOrCreateScope(event);
+    if (!scope || this.#blocks.size >= MAX_TRACKED_BLOCKS) return;
     const parent = this.#blocks.get(event.parentKey);
     if (event.parentKey !== "" && !parent) return;
     const parentKey = parent?.chainKey ?? scope.seed;
@@ -216,20 +221,20 @@
     block.scope.blocks.delete(block.chainKey);
   }
 
-  #scopeOf(event: Stored): Scope | undefined {
-    const owner = this.#owners.get(event.cacheSalt);
+  #findOrCreateScope(event: StoredEvent): Scope | undefined {
+    const owner = this.#ownersBySalt.get(event.cacheSalt);
     if (!owner) {
       if (this.#unknownSalts.size < MAX_SALTS) {
         this.#unknownSalts.add(event.cacheSalt);
       }
       return undefined;
     }
-    const name = scopeName(event.cacheSalt, event.model);
+    const name = scopeKey(event.cacheSalt, event.model);
     const known = this.#scopes.get(name);
     if (known) return known;
     const { model, adapter, weightsVersion } = event.model;
-    const whole: ChainScope = { ...owner, model, adapter, weightsVersion };
-    const scope = { seed: chainSeed(whole), blocks: new Map() };
+    const chainScope: ChainScope = { ...owner, model, adapter, weightsVersion };
+    const scope = { seed: chainSeed(chainScope), blocks: new Map() };
     this.#scopes.set(name, scope);
     return scope;
   }
@@ -241,17 +246,17 @@
   }
 }
 
-function longestStored(scope: Scope, chain: ChainPoint[]): number {
+function longestCachedPrefix(scope: Scope, chain: ChainPoint[]): number {
   for (let at = chain.length - 1; at >= 0; at--) {
     const point = chain[at]!;
     const block = scope.blocks.get(point.key);
-    if (block?.depth === point.blocks && isWhole(block)) return block.depth;
+    if (block?.depth === point.blocks && isReachable(block)) return block.depth;
   }
   return 0;
 }
 
-/** An engine uses a block only together with all blocks before it. */
-function isWhole(block: Block): boolean {
+/** An engine can reuse a block only if all preceding blocks are cached too. */
+function isReachable(block: Block): boolean {
   const { seed, blocks } = block.scope;
   let at = block;
   while (at.parentKey !== seed) {
@@ -262,7 +267,7 @@
   return true;
 }
 
-function scopeName(salt: string, model: LoadedModel): string {
+function scopeKey(salt: string, model: LoadedModel): string {
   return JSON.stringify([
     salt,
     model.model,
--- a/src/agent/cache_view_test.ts
+++ b/src/agent/cache_view_test.ts
@@ -47,7 +47,7 @@
   return view;
 }
 
-test("a whole prefix matches", () => {
+test("a fully cached prefix matches", () => {
   assert.equal(filledView().matchedTokens(askWith("w"), "1"), BLOCKS * TOKENS);
 });
 
@@ -59,7 +59,7 @@
   assert.equal(view.matchedTokens(askWith("w"), "1"), BLOCKS * TOKENS);
 });
 
-test("other workspaces and versions match nothing", () => {
+test("other workspaces and weights versions match nothing", () => {
   const view = filledView();
   view.learnOwner("t", "other");
   assert.equal(view.matchedTokens(askWith("other"), "1"), 0);
@@ -68,7 +68,7 @@
   assert.equal(view.matchedTokens(forged, "1"), 0);
 });
 
-test("a gap voids the view until a snapshot", () => {
+test("a gap invalidates the view until the next snapshot", () => {
   const view = filledView();
   const result = view.follow("e1", { kind: "removed", seq: 6, blockKey: "b3" });
   assert.equal(result.kind, "gap");
@@ -80,13 +80,13 @@
   assert.equal(view.matchedTokens(askWith("w"), "1"), TOKENS);
 });
 
-test("a new incarnation voids the view", () => {
+test("a new engine incarnation invalidates the view", () => {
   const view = filledView();
   assert.equal(view.follow("e2", stored(5, 0)).kind, "new_incarnation");
   assert.equal(view.matchedTokens(askWith("w"), "1"), 0);
 });
 
-test("an event that comes twice changes nothing", () => {
+test("a duplicate event is ignored", () => {
   const view = filledView();
   const removed: CacheEvent = { kind: "removed", seq: 5, blockKey: "b3" };
   view.follow("e1", removed);
@@ -95,7 +95,7 @@
   assert.equal(view.matchedTokens(askWith("w"), "1"), BLOCKS * TOKENS);
 });
 
-test("blocks of an unknown owner wait for a snapshot", () => {
+test("blocks of an unknown owner require a new snapshot", () => {
   const view = CacheView.create();
   const blocks = [stored(0, 0)];
   view.restart({ kind: "snapshot", incarnation: "e1", nextSeq: 1, blocks });
--- a/src/agent/engine_watch.ts
+++ b/src/agent/engine_watch.ts
@@ -1,55 +1,55 @@
-/** Knows whether the engine is up and which incarnation it is. */
+/** Polls the engine to detect whether it is up, and its restarts. */
 import type { Clock, Logger } from "../base/mod.ts";
 import type { Engine, EngineInfo, EngineLoad } from "../backends/engine.ts";
 
-/** What the watch reports. */
+/** Receives the reports of an {@link EngineWatch}. */
 export interface EngineListener {
-  /** The engine answers for the first time, or started anew; its cache is empty. */
+  /** The engine answered for the first time, or restarted; its cache is empty. */
   onNewIncarnation(info: EngineInfo): void;
   onLoad(load: EngineLoad): void;
-  /** The engine does not answer. */
+  /** The engine stopped responding. */
   onDown(): void;
 }
 
-/** What {@link EngineWatch} is made from. */
+/** Options of {@link EngineWatch}. */
 export interface EngineWatchOptions {
   engine: Engine;
   listener: EngineListener;
   clock: Clock;
   log: Logger;
-  /** Whether requests wait or run. */
+  /** Returns whether requests are waiting or running. */
   isBusy: () => boolean;
 }
 
-/** How often an engine is polled that works or is away. */
-const POLL_MS = 500;
+/** Poll interval while the engine is busy, failing or down. */
+const POLL_INTERVAL_MS = 500;
 /**
- * A poll costs about a millisecond of processor time, so an idle engine is polled less: its end shows
- * in the event feed that breaks.
+ * Poll interval of an idle engine. It is longer because a poll costs about 1 ms of CPU time, and the
+ * broken event feed reveals the end of the engine anyway.
  */
-const IDLE_POLL_MS = 4000;
-/** Info is also read when the incarnation changes, and after orders. */
-const INFO_MS = 8000;
+const IDLE_POLL_INTERVAL_MS = 4000;
+/** Interval between reads of the engine's info, which is also read after restarts and orders. */
+const INFO_INTERVAL_MS = 8000;
 const FAILURES_UNTIL_DOWN = 2;
-/** An engine beside the agent answers in a few ms, or refuses the connection at once. */
-const ENDED_ANSWER_MS = 500;
+/** Timeout of {@link EngineWatch.hasEnded}; a local engine answers or refuses within a few ms. */
+const END_CHECK_TIMEOUT_MS = 500;
 
-/** Polls one engine. */
+/** Polls one engine for its info and load. */
 export class EngineWatch {
   readonly #options: EngineWatchOptions;
   #info: EngineInfo | undefined;
   #isUp = false;
   #failures = 0;
-  #polledMs = -Infinity;
-  #infoMs = -Infinity;
+  #lastPollMs = -Infinity;
+  #lastInfoMs = -Infinity;
 
   private constructor(options: EngineWatchOptions) {
     this.#options = options;
   }
 
   /**
-   * @param options Engine and listener.
-   * @returns A watch that has not looked yet.
+   * @param options The engine and the listener.
+   * @returns A watch that has not polled yet.
    */
   static create(options: EngineWatchOptions): EngineWatch {
     return new EngineWatch(options);
@@ -59,7 +59,7 @@
     return this.#isUp;
   }
 
-  /** What the engine last said; undefined: nothing yet. */
+  /** The engine's last reported info; undefined before its first answer. */
   get info(): EngineInfo | undefined {
     return this.#info;
   }
@@ -68,23 +68,24 @@
     return this.#info?.incarnation ?? "";
   }
 
-  /** @param signal Ends the task. */
+  /** @param signal Stops the task when aborted. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock } = this.#options;
     while (!signal.aborted) {
       if (this.#isPollDue()) await this.poll();
-      await clock.sleep(POLL_MS, signal);
+      await clock.sleep(POLL_INTERVAL_MS, signal);
     }
   }
 
-  /** Looks once. */
+  /** Polls the engine once. */
   async poll(): Promise<void> {
     const nowMs = this.#options.clock.nowMs();
-    const isInfoDue = !this.#isUp || nowMs - this.#infoMs >= INFO_MS;
-    this.#polledMs = nowMs;
+    const isInfoDue = !this.#isUp ||
+      nowMs - this.#lastInfoMs >= INFO_INTERVAL_MS;
+    this.#lastPollMs = nowMs;
     if (isInfoDue && !await this.readInfo()) return;
     const load = await this.#options.engine.load();
-    if (load.isErr) return this.#noteFailure(load.error.kind);
+    if (load.isErr) return this.#recordFailure(load.error.kind);
     if (load.value.incarnation !== this.incarnation) {
       if (!await this.readInfo()) return;
       if (load.value.incarnation !== this.incarnation) return;
@@ -93,16 +94,16 @@
     this.#options.listener.onLoad(load.value);
   }
 
-  /** @returns Whether the engine said what it has loaded. */
+  /** @returns Whether the engine's info was read. */
   async readInfo(): Promise<boolean> {
     const info = await this.#options.engine.info();
     if (info.isErr) {
-      this.#noteFailure(info.error.kind);
+      this.#recordFailure(info.error.kind);
       return false;
     }
     const isNew = info.value.incarnation !== this.incarnation;
     this.#info = info.value;
-    this.#infoMs = this.#options.clock.nowMs();
+    this.#lastInfoMs = this.#options.clock.nowMs();
     this.#isUp = true;
     this.#failures = 0;
     if (isNew) this.#options.listener.onNewIncarnation(info.value);
@@ -110,41 +111,43 @@
   }
 
   /**
-   * A connection to the engine broke, which a living one may do as well.
+   * Checks whether the engine process has ended after one of its connections broke, which can also
+   * happen while it is running.
    *
-   * @param incarnation Of the engine that had the connection.
-   * @returns Whether that engine is known to have ended.
+   * @param incarnation Incarnation of the engine that had the connection.
+   * @returns Whether that incarnation is known to have ended.
    */
   async hasEnded(incarnation: string): Promise<boolean> {
     const { clock } = this.#options;
-    const asked = this.readInfo();
-    const late = clock.sleep(ENDED_ANSWER_MS).then(() => false);
-    const isAnswered = await Promise.race([asked, late]);
+    const infoRead = this.readInfo();
+    const timeout = clock.sleep(END_CHECK_TIMEOUT_MS).then(() => false);
+    const isAnswered = await Promise.race([infoRead, timeout]);
     return isAnswered ? this.incarnation !== incarnation : !this.#isUp;
   }
 
-  /** A run could not reach the engine: no need to wait for the next polls. */
-  noteUnreachable(): void {
-    this.#goDown();
+  /** Marks the engine as down without waiting for a poll, after a run could not reach it. */
+  markUnreachable(): void {
+    this.#markDown();
   }
 
   #isPollDue(): boolean {
     const { clock, isBusy } = this.#options;
-    const isAnxious = !this.#isUp || this.#failures > 0 || isBusy();
-    return isAnxious || clock.nowMs() - this.#polledMs >= IDLE_POLL_MS;
+    const needsFastPolling = !this.#isUp || this.#failures > 0 || isBusy();
+    return needsFastPolling ||
+      clock.nowMs() - this.#lastPollMs >= IDLE_POLL_INTERVAL_MS;
   }
 
-  #noteFailure(kind: string): void {
+  #recordFailure(kind: string): void {
     this.#failures++;
     if (kind === "unreachable" || this.#failures >= FAILURES_UNTIL_DOWN) {
-      this.#goDown();
+      this.#markDown();
     }
   }
 
-  #goDown(): void {
+  #markDown(): void {
     if (!this.#isUp) return;
     this.#isUp = false;
-    this.#options.log.warn("The engine does not answer");
+    this.#options.log.warn("Engine is not responding");
     this.#options.listener.onDown();
   }
 }
--- a/src/agent/engine_watch_test.ts
+++ b/src/agent/engine_watch_test.ts
@@ -7,8 +7,8 @@
 
 const MINUTE_MS = 60_000;
 
-/** Watches for a minute of a clock that only sleeps move, and counts what the engine is asked. */
-async function watchMinute(
+/** Runs a watch for a simulated minute and counts the requests to the engine. */
+async function pollForMinute(
   engine: FakeEngine,
   isBusy: boolean,
 ): Promise<{ loads: number; infos: number }> {
@@ -39,21 +39,21 @@
   return counts;
 }
 
-test("an idle engine is asked little", async () => {
-  const { loads, infos } = await watchMinute(FakeEngine.create(), false);
+test("an idle engine is polled every four seconds", async () => {
+  const { loads, infos } = await pollForMinute(FakeEngine.create(), false);
   assert.equal(loads, 15);
   assert.equal(infos, 8);
 });
 
-test("a busy engine is asked for its load twice a second", async () => {
-  const { loads, infos } = await watchMinute(FakeEngine.create(), true);
+test("the load of a busy engine is polled twice a second", async () => {
+  const { loads, infos } = await pollForMinute(FakeEngine.create(), true);
   assert.equal(loads, 120);
   assert.equal(infos, 8);
 });
 
-test("an engine that is away is looked for twice a second", async () => {
+test("an unreachable engine is polled twice a second", async () => {
   const engine = FakeEngine.create();
   engine.isUp = false;
-  const { infos } = await watchMinute(engine, false);
+  const { infos } = await pollForMinute(engine, false);
   assert.equal(infos, 120);
 });
--- a/src/agent/mod.ts
+++ b/src/agent/mod.ts
@@ -1,4 +1,4 @@
-/** The agent: the one small process beside a backend server. */
+/** The agent: a small process that runs beside one backend server. */
 export { Agent, ListenError } from "./agent.ts";
 export type {
   AgentParts,
--- a/src/agent/model_server.ts
+++ b/src/agent/model_server.ts
@@ -1,4 +1,4 @@
-/** Serves model requests with the engine beside the agent. */
+/** Serves model requests with the agent's engine. */
 import { Result } from "true-myth";
 import type { Clock, Logger } from "../base/mod.ts";
 import { cacheSalt } from "../placement/chain.ts";
@@ -36,32 +36,32 @@
 import { describeFailure, type Run, RunState } from "./run.ts";
 import { rankOf } from "./wait_queue.ts";
 
-/** What {@link ModelServer} is made from. */
+/** Options of {@link ModelServer}. */
 export interface ModelServerOptions {
   engine: Engine;
   clock: Clock;
   log: Logger;
-  /** Seed of the spread of retries. */
+  /** Seed of the retry jitter. */
   seed: string;
-  /** Live runs, to fail those of an engine that is gone. */
+  /** Returns the live runs, so that those of an ended engine can be cancelled. */
   liveRuns: () => Iterable<Run>;
-  /** False, for measurements: prefixes that are being computed count as missing. */
+  /** False to treat prefixes still being computed as uncached, for measurements only. */
   countsInFlight?: boolean;
 }
 
-/** What serves a request, and how many its team may have here. */
-interface Serving {
+/** The weights version that serves a request, and the limit of its team on this server. */
+interface ServingContext {
   teamMaxInFlight: number;
   weightsVersion: string;
 }
 
-type End = Extract<EngineStep, { kind: "end" }>;
+type EndStep = Extract<EngineStep, { kind: "end" }>;
 
-/** Below this share of what the view promised, the view has drifted. */
-const DRIFT_SHARE = 0.5;
-const DRIFT_MIN_TOKENS = 256;
+/** The view is resynced if fewer of at least {@link MIN_CHECKED_TOKENS} matched were cached. */
+const MIN_HIT_RATE = 0.5;
+const MIN_CHECKED_TOKENS = 256;
 
-/** The engine, its queue and the picture of its cache. */
+/** Combines the engine with its request queue, cost model and cache view. */
 export class ModelServer implements EngineListener {
   readonly admission: Admission;
   readonly watch: EngineWatch;
@@ -92,13 +92,13 @@
       liveRuns: options.liveRuns,
     });
     const view = this.cache;
-    const onBreak = () => void this.watch.poll();
-    this.follower = CacheFollower.create({ engine, view, clock, log, onBreak });
+    const onEnd = () => void this.watch.poll();
+    this.follower = CacheFollower.create({ engine, view, clock, log, onEnd });
   }
 
   /**
-   * @param options Engine and surroundings.
-   * @returns A server whose tasks don't run yet.
+   * @param options The engine and other dependencies.
+   * @returns A server whose background tasks are not running yet.
    */
   static create(options: ModelServerOptions): ModelServer {
     return new ModelServer(options);
@@ -106,20 +106,20 @@
 
   /**
    * @param ask A request.
-   * @param teamMaxInFlight Requests that its team may have here.
-   * @returns What it can expect, or why it would be refused.
+   * @param teamMaxInFlight Maximum requests in flight of the request's team on this server.
+   * @returns The expected times and cached tokens, or why the request would be refused.
    */
   offer(ask: AskRequest, teamMaxInFlight: number): Result<Offer, Refusal> {
-    this.#learnOwner(ask);
+    this.#registerOwner(ask);
     const model = this.#findModel(ask, { isHeld: false });
     if (model.isErr) return Result.err(model.error);
     const { weightsVersion } = model.value;
-    const { demand, matchedTokens } = this.#assess(ask, {
+    const { demand, matchedTokens } = this.#estimate(ask, {
       teamMaxInFlight,
       weightsVersion,
     });
     return this.admission.quote(demand).map((quote) => ({
-      holdId: this.#hold(ask, demand, model.value),
+      holdId: this.#openHold(ask, demand, model.value),
       matchedTokens,
       recomputeTokens: demand.uncachedTokens,
       expectedTtftMs: Math.ceil(quote.expectedTtftMs),
@@ -132,26 +132,26 @@
   }
 
   /**
-   * Lets a run in.
+   * Admits a run to the queue.
    *
-   * @param run A run that waits.
-   * @param options Whether a place was kept for it, and its team's limit.
-   * @returns Its ticket, or why it is refused.
+   * @param run A waiting run.
+   * @param options Whether the run has a valid hold, and the limit of its team.
+   * @returns The run's ticket, or why it is refused.
    */
   enter(
     run: Run,
     options: { isHeld: boolean; teamMaxInFlight: number },
   ): Result<Ticket, Refusal> {
-    this.#learnOwner(run.ask);
+    this.#registerOwner(run.ask);
     const model = this.#findModel(run.ask, options);
     if (model.isErr) return Result.err(model.error);
     const { weightsVersion } = model.value;
     const { teamMaxInFlight } = options;
-    const assessed = this.#assess(run.ask, { teamMaxInFlight, weightsVersion });
+    const result = this.#estimate(run.ask, { teamMaxInFlight, weightsVersion });
     run.weightsVersion = weightsVersion;
-    run.matchedTokens = assessed.matchedTokens;
+    run.matchedTokens = result.matchedTokens;
     run.engineIncarnation = this.watch.incarnation;
-    const entered = this.admission.enter(assessed.demand, options.isHeld);
+    const entered = this.admission.enter(result.demand, options.isHeld);
     const isCounted = this.#options.countsInFlight !== false;
     if (entered.isErr || !isCounted) return entered;
     this.prefills.enter(entered.value, run.ask, { weightsVersion });
@@ -159,31 +159,31 @@
   }
 
   /**
-   * Runs a request from its place in the queue to its end.
+   * Waits until a run is placed, then executes it on the engine.
    *
-   * @param run A run that waits.
-   * @param call What to pass on.
-   * @param ticket Its ticket.
+   * @param run A waiting run.
+   * @param call The call to forward.
+   * @param ticket The run's ticket.
    */
   async serve(run: Run, call: ModelCall, ticket: Ticket): Promise<void> {
-    const leaveEarly = () => {
+    const leaveQueue = () => {
       if (ticket.state !== "waiting") return;
       this.admission.leave(ticket);
       ticket.settle(refuse(RefusalCode.CANCELLED, run.cancelReason));
     };
-    run.signal.addEventListener("abort", leaveEarly, { once: true });
+    run.signal.addEventListener("abort", leaveQueue, { once: true });
     const refusal = await ticket.ready;
-    run.signal.removeEventListener("abort", leaveEarly);
+    run.signal.removeEventListener("abort", leaveQueue);
     if (refusal) run.refuse(refusal);
-    else await this.#pass(run, call, ticket);
+    else await this.#forward(run, call, ticket);
     this.admission.leave(ticket);
     this.prefills.leave(ticket);
   }
 
   onNewIncarnation(info: EngineInfo): void {
     const { log, liveRuns } = this.#options;
-    log.info({ engineIncarnation: info.incarnation }, "The engine is up");
-    this.cache.voidAll(info.incarnation);
+    log.info({ engineIncarnation: info.incarnation }, "Engine is up");
+    this.cache.reset(info.incarnation);
     this.prefills.clear();
     this.costs.reset(info);
     this.admission.resetLoad();
@@ -204,11 +204,11 @@
 
   onDown(): void {
     this.#wasDown = true;
-    this.cache.distrust();
+    this.cache.invalidate();
     this.admission.refuseWaiting(refuseDown());
   }
 
-  async #pass(run: Run, call: ModelCall, ticket: Ticket): Promise<void> {
+  async #forward(run: Run, call: ModelCall, ticket: Ticket): Promise<void> {
     const body = parseBody(call.body);
     if (body === undefined) {
       return run.refuse(refuse(RefusalCode.INVALID, "The body is no object"));
@@ -238,20 +238,20 @@
       if (step.value.kind === "end") {
         return this.#endRun(run, step.value, ticket);
       }
-      if (output.pieceCount === 0) this.#notePrefilled(ticket);
+      if (output.pieceCount === 0) this.#markPrefilled(ticket);
       output.append(step.value.data);
       while (!output.hasRoom && !run.signal.aborted) await output.waitForRoom();
     }
     if (run.signal.aborted) this.#endCancelled(run);
-    else await this.#endBroken(run, "The engine's stream has no end");
+    else await this.#endAfterDisconnect(run, "The engine's stream has no end");
   }
 
-  #notePrefilled(ticket: Ticket): void {
+  #markPrefilled(ticket: Ticket): void {
     this.admission.notePrefilled(ticket);
     this.prefills.notePrefilled(ticket);
   }
 
-  #endRun(run: Run, end: End, ticket: Ticket): void {
+  #endRun(run: Run, end: EndStep, ticket: Ticket): void {
     run.end(RunOutcome.DONE, "", {
       promptTokens: end.promptTokens,
       completionTokens: end.completionTokens,
@@ -266,17 +266,17 @@
       totalMs: nowMs - ticket.placedMs,
     });
     const { matchedTokens } = run;
-    if (matchedTokens < DRIFT_MIN_TOKENS) return;
-    if (end.cachedTokens < matchedTokens * DRIFT_SHARE) this.follower.resync();
+    if (matchedTokens < MIN_CHECKED_TOKENS) return;
+    if (end.cachedTokens < matchedTokens * MIN_HIT_RATE) this.follower.resync();
   }
 
   #endCancelled(run: Run): void {
-    const isSame = run.engineIncarnation === this.watch.incarnation;
-    if (isSame) run.end(RunOutcome.CANCELLED, run.cancelReason);
+    const isSameEngine = run.engineIncarnation === this.watch.incarnation;
+    if (isSameEngine) run.end(RunOutcome.CANCELLED, run.cancelReason);
     else run.endWithEngine(run.cancelReason);
   }
 
-  async #endBroken(run: Run, message: string): Promise<void> {
+  async #endAfterDisconnect(run: Run, message: string): Promise<void> {
     const hasEnded = await this.watch.hasEnded(run.engineIncarnation);
     if (hasEnded) run.endWithEngine(message);
     else run.end(RunOutcome.FAILED, message);
@@ -287,12 +287,12 @@
     switch (failure.kind) {
       case "unreachable":
         run.refuse(refuseDown());
-        return this.watch.noteUnreachable();
+        return this.watch.markUnreachable();
       case "rejected":
         if (failure.status === STATUS_NOT_FOUND) void this.watch.readInfo();
         return run.refuse(refuseRejected(failure));
       case "broken":
-        return this.#endBroken(run, message);
+        return this.#endAfterDisconnect(run, message);
       case "fenced":
         return run.end(RunOutcome.FAILED, message);
     }
@@ -307,19 +307,19 @@
     return found ? Result.ok(found) : Result.err(refuseNotLoaded());
   }
 
-  #assess(ask: AskRequest, serving: Serving) {
+  #estimate(ask: AskRequest, serving: ServingContext) {
     const { teamMaxInFlight, weightsVersion } = serving;
-    const isComparable = this.cache.incarnation === this.watch.incarnation;
-    const matchedTokens = isComparable
+    const isViewCurrent = this.cache.incarnation === this.watch.incarnation;
+    const matchedTokens = isViewCurrent
       ? this.cache.matchedTokens(ask, weightsVersion)
       : 0;
-    const comingTokens = this.prefills.comingTokens(ask, weightsVersion);
-    const foundTokens = Math.max(matchedTokens, comingTokens);
+    const inFlightTokens = this.prefills.comingTokens(ask, weightsVersion);
+    const reusableTokens = Math.max(matchedTokens, inFlightTokens);
     const nowMs = this.#options.clock.nowMs();
     const demand: Demand = {
       team: ask.team,
       priority: ask.priority,
-      uncachedTokens: Math.max(0, ask.promptTokens - foundTokens),
+      uncachedTokens: Math.max(0, ask.promptTokens - reusableTokens),
       maxTokens: ask.maxTokens,
       deadlineAtMs: ask.deadlineMs > 0 ? nowMs + ask.deadlineMs : Infinity,
       teamMaxInFlight,
@@ -327,13 +327,13 @@
     return { demand, matchedTokens };
   }
 
-  #hold(ask: AskRequest, demand: Demand, model: LoadedModel): string {
+  #openHold(ask: AskRequest, demand: Demand, model: LoadedModel): string {
     if (ask.holdMs === 0) return "";
-    this.replicas.noteHold(model, ask.holdMs);
+    this.replicas.extendHold(model, ask.holdMs);
     return this.admission.holds.open(ask.runId, ask.holdMs, { demand });
   }
 
-  #learnOwner(ask: AskRequest): void {
+  #registerOwner(ask: AskRequest): void {
     if (this.cache.learnOwner(ask.team, ask.workspace)) this.follower.resync();
   }
 }
--- a/src/agent/options.ts
+++ b/src/agent/options.ts
@@ -1,8 +1,8 @@
-/** Settings of an agent. */
+/** Settings of an agent process. */
 import type { Clock, Logger } from "../base/mod.ts";
 import type { WireSecurity } from "../wire/security.ts";
 
-/** The backend server that an agent stands beside. */
+/** The backend server that an agent serves. */
 export type BackendServer =
   /** A model engine with an OpenAI-compatible interface. */
   | { kind: "engine"; url: string }
@@ -11,18 +11,18 @@
 
 /** Settings of {@link Agent}. */
 export interface AgentOptions {
-  /** Stable id of the instance; also its id in the list of instances. */
+  /** Stable id of the instance, as in the list of instances. */
   instanceId: string;
   zone: string;
   pool: string;
-  /** `ip:port` to listen on; port 0: any free one. */
+  /** `ip:port` to listen on; port 0 picks any free port. */
   listenAddress: string;
   server: BackendServer;
-  /** Models that the engine can hold at once. */
+  /** Number of models that the engine can load at once. */
   modelSlots?: number;
-  /** `ip:port` of the key-value service's gRPC interface; empty: none. */
+  /** `ip:port` of the key-value service's gRPC interface; empty if there is none. */
   storeAddress: string;
-  /** Entries to ask for branches on start, `ip:port` each. */
+  /** Addresses (`ip:port`) of entries to ask for branches on start. */
   seedAddresses: string[];
   security: WireSecurity;
   /** How long a planned stop waits for runs to end, in ms. */
--- a/src/agent/orders.ts
+++ b/src/agent/orders.ts
@@ -1,11 +1,11 @@
 /**
- * Orders to the backend server. One is on its way at a time, and its fencing number is checked right
- * before it is sent: the agent is the only sender, so an order that passed the gate is carried out
- * before one with a higher number is sent, also when this process was paused in between.
+ * Sends orders to the backend server, one at a time. An order's fencing number is checked right
+ * before the order is sent. Since the agent is the only sender, an order that passed the check is
+ * completed before one with a higher number is sent, even if this process was paused in between.
  *
- * A load that takes long is accepted before it ends, and holds back the orders after it. An unload is
- * accepted at once: its model takes no more requests, and the order is sent when those there are
- * gone, unless a later holder has given an order by then or the model is to be loaded.
+ * A long load is accepted before it ends; later orders wait for it. An unload is accepted
+ * immediately: the model takes no new requests, and the order is sent once its runs and holds have
+ * ended. It is dropped if by then a newer lease holder sent an order or the model is to be loaded.
  */
 import type { Clock } from "../base/mod.ts";
 import type { FencingGate } from "../lease/mod.ts";
@@ -16,71 +16,74 @@
   LoadedModel,
 } from "../backends/engine.ts";
 import type { OrderReply, OrderRequest } from "../wire/gen/cicadahitch.ts";
-import type { Replicas, Retirement } from "./replicas.ts";
+import type { PendingUnload, Replicas } from "./replicas.ts";
 import { describeFailure } from "./run.ts";
 
-/** What orders to a model engine need. */
+/** The model engine that receives orders, and its models. */
 export interface OrderedEngine {
   engine: Engine;
   replicas: Replicas;
 }
 
-/** What {@link Orders} is made from. */
-export interface OrdersOptions {
+/** Options of {@link OrderQueue}. */
+export interface OrderQueueOptions {
   gate: FencingGate;
   clock: Clock;
-  /** Undefined beside a plain service, which takes no orders but to drain. */
+  /** Undefined for a plain service, which supports only drain orders. */
   server: OrderedEngine | undefined;
-  /** Called when an order says whether the server is to take new work. */
+  /** Called when an order starts or ends draining. */
   setDraining: (isDraining: boolean) => void;
-  /** Called after an order was sent to the engine: its models may have changed. */
-  onCarriedOut: () => Promise<void>;
-  /** Ends unloads that still wait. */
+  /** Called after an order was sent to the engine, since its models may have changed. */
+  onOrderSent: () => Promise<void>;
+  /** Drops waiting unloads when aborted. */
   signal: AbortSignal;
 }
 
 type Lease = Pick<OrderRequest, "leaseKey" | "fencingNumber">;
 
-/** A load that takes longer is accepted before its end is known; below the planner's deadline. */
-const ACCEPT_MS = 1000;
-const NO_ENGINE = "This server takes no such orders";
+/** A longer load is accepted before its result is known; must be below the planner's deadline. */
+const ACCEPT_TIMEOUT_MS = 1000;
+const NO_ENGINE_MESSAGE = "This server takes no such orders";
 
-/** Passes orders on, one by one. */
-export class Orders {
-  readonly #options: OrdersOptions;
-  #last: Promise<unknown> = Promise.resolve();
-  /** The order that the engine was sent last. */
-  #sending: Promise<unknown> = Promise.resolve();
+/** Checks fencing numbers and sends orders one at a time. */
+export class OrderQueue {
+  readonly #options: OrderQueueOptions;
+  #queueTail: Promise<unknown> = Promise.resolve();
+  /** The last load sent to the engine; later orders wait until it ends. */
+  #loadInFlight: Promise<unknown> = Promise.resolve();
 
-  private constructor(options: OrdersOptions) {
+  private constructor(options: OrderQueueOptions) {
     this.#options = options;
   }
 
   /**
-   * @param options Gate and engine.
-   * @returns Orders to one server.
+   * @param options The fencing gate, the engine and callbacks.
+   * @returns A handler of the orders to one server.
    */
-  static create(options: OrdersOptions): Orders {
-    return new Orders(options);
+  static create(options: OrderQueueOptions): OrderQueue {
+    return new OrderQueue(options);
   }
 
   /**
-   * @param request An order.
-   * @returns Whether it was, or is being, carried out.
+   * Carries out an order after those before it.
+   *
+   * @param request The order with its lease.
+   * @returns Whether the order was accepted, or why not.
    */
-  carryOut(request: OrderRequest): Promise<OrderReply> {
-    return this.#enqueue(() => this.#carryOutNext(request));
+  execute(request: OrderRequest): Promise<OrderReply> {
+    return this.#enqueue(() => this.#executeNext(request));
   }
 
   #enqueue<T>(task: () => Promise<T>): Promise<T> {
-    const done = this.#last.then(task);
-    this.#last = done.then(() => this.#sending).catch(() => {});
+    const done = this.#queueTail.then(task);
+    this.#queueTail = done.then(() => this.#loadInFlight).catch(() => {});
     return done;
   }
 
-  async #carryOutNext(request: OrderRequest): Promise<OrderReply> {
+  async #executeNext(request: OrderRequest): Promise<OrderReply> {
     const { gate } = this.#options;
-    const message = await this.#refuse(request) || await this.#start(request);
+    const message = await this.#checkFencing(request) ||
+      await this.#dispatch(request);
     return {
       accepted: message === "",
       message,
@@ -88,8 +91,8 @@
     };
   }
 
-  /** @returns Why the order must not be carried out; empty: it may. */
-  async #refuse({ leaseKey, fencingNumber }: Lease): Promise<string> {
+  /** @returns Why the order must be refused; empty if its fencing number is valid. */
+  async #checkFencing({ leaseKey, fencingNumber }: Lease): Promise<string> {
     const { gate } = this.#options;
     const prepared = await gate.prepare(leaseKey);
     if (prepared.isErr) {
@@ -99,8 +102,8 @@
     return `The fencing number is older than ${gate.highestOf(leaseKey)}`;
   }
 
-  /** @returns What went wrong; empty: nothing. */
-  async #start(request: OrderRequest): Promise<string> {
+  /** @returns Error message; empty if the order was accepted. */
+  async #dispatch(request: OrderRequest): Promise<string> {
     const { order } = request;
     switch (order?.$case) {
       case "drain":
@@ -121,48 +124,48 @@
 
   async #load(lease: Lease, model: LoadedModel): Promise<string> {
     const replicas = this.#options.server?.replicas;
-    replicas?.keep(model);
+    replicas?.cancelUnload(model);
     replicas?.setLoading(model, true);
     const sending = this.#send(lease, { kind: "load", model })
       .finally(() => replicas?.setLoading(model, false));
-    this.#sending = sending;
-    return await this.#acceptLate(sending);
+    this.#loadInFlight = sending;
+    return await this.#awaitAcceptance(sending);
   }
 
-  /** @returns What went wrong by then; empty: nothing yet. */
-  async #acceptLate(sending: Promise<string>): Promise<string> {
+  /** @returns Error message of the load; empty if it succeeded or is still in progress. */
+  async #awaitAcceptance(sending: Promise<string>): Promise<string> {
     const { clock, signal } = this.#options;
     const settled = new AbortController();
-    const late = clock.sleep(
-      ACCEPT_MS,
+    const timeout = clock.sleep(
+      ACCEPT_TIMEOUT_MS,
       AbortSignal.any([signal, settled.signal]),
     );
-    const message = await Promise.race([sending, late.then(() => "")]);
+    const message = await Promise.race([sending, timeout.then(() => "")]);
     settled.abort();
     return message;
   }
 
   #startUnload(lease: Lease, model: LoadedModel): string {
     const { server } = this.#options;
-    if (!server) return NO_ENGINE;
-    const retirement = server.replicas.retire(model);
-    void this.#unload(server.replicas, lease, retirement);
+    if (!server) return NO_ENGINE_MESSAGE;
+    const pending = server.replicas.beginUnload(model);
+    void this.#unload(server.replicas, lease, pending);
     return "";
   }
 
   async #unload(
     replicas: Replicas,
     lease: Lease,
-    retirement: Retirement,
+    pending: PendingUnload,
   ): Promise<void> {
     const { signal } = this.#options;
-    if (!await replicas.whenIdle(retirement, signal)) return;
+    if (!await replicas.waitUntilIdle(pending, signal)) return;
     await this.#enqueue(async () => {
-      if (!retirement.isWanted) return;
-      const refusal = await this.#refuse(lease);
-      const { model } = retirement;
+      if (!pending.isCurrent) return;
+      const refusal = await this.#checkFencing(lease);
+      const { model } = pending;
       if (refusal === "") await this.#send(lease, { kind: "unload", model });
-      replicas.endRetirement(retirement);
+      replicas.endUnload(pending);
     });
   }
 
@@ -170,17 +173,17 @@
     { leaseKey, fencingNumber }: Lease,
     order: EngineOrder["order"],
   ): Promise<string> {
-    const { server, gate, onCarriedOut } = this.#options;
-    if (!server) return NO_ENGINE;
+    const { server, gate, onOrderSent } = this.#options;
+    if (!server) return NO_ENGINE_MESSAGE;
     const sent = await server.engine.order({ fencingNumber, order });
-    await onCarriedOut();
+    await onOrderSent();
     if (sent.isOk) return "";
-    noteFenced(gate, leaseKey, sent.error);
+    raiseGateIfFenced(gate, leaseKey, sent.error);
     return describeFailure(sent.error);
   }
 }
 
-function noteFenced(
+function raiseGateIfFenced(
   gate: FencingGate,
   leaseKey: string,
   failure: EngineFailure,
--- a/src/agent/orders_test.ts
+++ b/src/agent/orders_test.ts
@@ -8,7 +8,7 @@
 import { type OrderRequest, ReplicaPhase } from "../wire/gen/cicadahitch.ts";
 import { FakeEngine } from "./_fake_engine.ts";
 import { testAsk } from "./_test_kit.ts";
-import { Orders } from "./orders.ts";
+import { OrderQueue } from "./orders.ts";
 import { Replicas } from "./replicas.ts";
 import { Run } from "./run.ts";
 
@@ -54,12 +54,12 @@
     loaded: () => [LOADED],
     liveRuns: () => runs,
   });
-  const orders = Orders.create({
+  const orders = OrderQueue.create({
     gate,
     clock,
     server: { engine, replicas },
     setDraining: () => {},
-    onCarriedOut: () => Promise.resolve(),
+    onOrderSent: () => Promise.resolve(),
     signal: ended.signal,
   });
   return { engine, orders, replicas, runs };
@@ -72,8 +72,8 @@
   return run;
 }
 
-/** Lets everything run that waits for nothing but a turn. */
-async function settle(): Promise<void> {
+/** Runs tasks that wait only for event loop turns. */
+async function runPendingTasks(): Promise<void> {
   for (let turn = 0; turn < 20; turn++) await nextTurn();
 }
 
@@ -81,23 +81,23 @@
   return engine.orders.map(({ order }) => order.kind);
 }
 
-test("a holder that slept through its lease is refused", async () => {
+test("an order with an old fencing number is refused", async () => {
   const { engine, orders } = openOrders();
-  assert.equal((await orders.carryOut(order(5n))).accepted, true);
-  assert.equal((await orders.carryOut(order(9n))).accepted, true);
-  const late = await orders.carryOut(order(5n));
+  assert.equal((await orders.execute(order(5n))).accepted, true);
+  assert.equal((await orders.execute(order(9n))).accepted, true);
+  const late = await orders.execute(order(5n));
   assert.equal(late.accepted, false);
   assert.equal(late.highestFencingNumber, 9n);
   assert.equal(engine.orders.length, 2);
 });
 
-test("an old order never follows a newer one to the server", async () => {
+test("an order is not sent after one with a higher fencing number", async () => {
   const { engine, orders } = openOrders();
   let open = () => {};
   engine.orderGate = new Promise((resolve) => open = resolve);
-  const first = orders.carryOut(order(5n));
-  const newer = orders.carryOut(order(9n));
-  const old = orders.carryOut(order(5n));
+  const first = orders.execute(order(5n));
+  const newer = orders.execute(order(9n));
+  const old = orders.execute(order(5n));
   await Promise.resolve();
   assert(engine.orders.length <= 1);
   open();
@@ -110,81 +110,81 @@
   assert.deepEqual(engine.orders.map((each) => each.fencingNumber), [5n, 9n]);
 });
 
-test("a new agent learns the present holder's number first", async () => {
+test("a new agent reads the current fencing number before its first order", async () => {
   const gate = FencingGate.create(() => Promise.resolve(Result.ok(9n)));
   const { engine, orders } = openOrders(gate);
-  assert.equal((await orders.carryOut(order(5n))).accepted, false);
+  assert.equal((await orders.execute(order(5n))).accepted, false);
   assert.equal(engine.orders.length, 0);
 });
 
-test("no order is taken while numbers can't be read", async () => {
+test("orders are refused while the current fencing number can't be read", async () => {
   const gate = FencingGate.create(() =>
     Promise.resolve(Result.err({ message: "down" }))
   );
   const { engine, orders } = openOrders(gate);
-  assert.equal((await orders.carryOut(order(5n))).accepted, false);
+  assert.equal((await orders.execute(order(5n))).accepted, false);
   assert.equal(engine.orders.length, 0);
 });
 
-test("an unload waits for its model's runs, and for no other's", async () => {
+test("an unload waits only for runs of its own model", async () => {
   const { engine, orders, replicas, runs } = openOrders();
   runs.push(runOf("2"), runOf("1"));
-  assert.equal((await orders.carryOut(unload(5n))).accepted, true);
-  await settle();
+  assert.equal((await orders.execute(unload(5n))).accepted, true);
+  await runPendingTasks();
   assert.deepEqual(kindsOf(engine), []);
   assert.equal(replicas.find(LOADED, { isHeld: false }), undefined);
   assert.equal(replicas.find(LOADED, { isHeld: true }), LOADED);
   assert.equal(replicas.report()[0]?.phase, ReplicaPhase.UNLOADING);
   runs.shift();
-  await settle();
+  await runPendingTasks();
   assert.deepEqual(kindsOf(engine), ["unload"]);
 });
 
-test("an unload waits for offers that may still be taken up", async () => {
+test("an unload waits until holds on its model expire", async () => {
   const { engine, orders, replicas } = openOrders();
-  replicas.noteHold(LOADED, 3_600_000);
-  await orders.carryOut(unload(5n));
-  await settle();
+  replicas.extendHold(LOADED, 3_600_000);
+  await orders.execute(unload(5n));
+  await runPendingTasks();
   assert.deepEqual(kindsOf(engine), []);
 });
 
-test("an unload that waited is dropped when a later holder orders", async () => {
+test("a waiting unload is dropped when a newer lease holder sends an order", async () => {
   const { engine, orders, replicas, runs } = openOrders();
   runs.push(runOf("2"));
-  await orders.carryOut(unload(5n));
-  await orders.carryOut(order(9n, "other"));
+  await orders.execute(unload(5n));
+  await orders.execute(order(9n, "other"));
   runs.pop();
-  await settle();
+  await runPendingTasks();
   assert.deepEqual(kindsOf(engine), ["load"]);
   assert.equal(replicas.find(LOADED, { isHeld: false }), LOADED);
 });
 
-test("a load takes back an unload that waited", async () => {
+test("a load cancels a waiting unload of the same model", async () => {
   const { engine, orders, replicas, runs } = openOrders();
   runs.push(runOf("2"));
-  await orders.carryOut(unload(5n));
-  await orders.carryOut(order(5n));
+  await orders.execute(unload(5n));
+  await orders.execute(order(5n));
   runs.pop();
-  await settle();
+  await runPendingTasks();
   assert.deepEqual(kindsOf(engine), ["load"]);
   assert.equal(replicas.find(LOADED, { isHeld: false }), LOADED);
 });
 
-test("an old unload changes nothing", async () => {
+test("an unload with an old fencing number changes nothing", async () => {
   const { engine, orders, replicas } = openOrders();
-  await orders.carryOut(order(9n));
-  assert.equal((await orders.carryOut(unload(5n))).accepted, false);
-  await settle();
+  await orders.execute(order(9n));
+  assert.equal((await orders.execute(unload(5n))).accepted, false);
+  await runPendingTasks();
   assert.deepEqual(kindsOf(engine), ["load"]);
   assert.equal(replicas.find(LOADED, { isHeld: false }), LOADED);
 });
 
-test("a model counts as loading while its order is on its way", async () => {
+test("a model is reported as loading while its load order is in flight", async () => {
   const { engine, orders, replicas } = openOrders();
   let open = () => {};
   engine.orderGate = new Promise((resolve) => open = resolve);
-  const done = orders.carryOut(order(5n, "new"));
-  await settle();
+  const done = orders.execute(order(5n, "new"));
+  await runPendingTasks();
   const phaseOf = () =>
     replicas.report().find(({ model }) => model === "new")?.phase;
   assert.equal(phaseOf(), ReplicaPhase.LOADING);
@@ -193,17 +193,17 @@
   assert.equal(phaseOf(), undefined);
 });
 
-test("a long load is accepted before it ends, and orders wait for it", async () => {
+test("a long load is accepted before it ends, and later orders wait for it", async () => {
   const clock = ManualClock.create();
   const { engine, orders, replicas } = openOrders(undefined, clock);
   let open = () => {};
   engine.orderGate = new Promise((resolve) => open = resolve);
-  const first = orders.carryOut(order(5n, "new"));
-  await settle();
+  const first = orders.execute(order(5n, "new"));
+  await runPendingTasks();
   await clock.advance(1500);
   assert.equal((await first).accepted, true);
-  const second = orders.carryOut(order(5n, "other"));
-  await settle();
+  const second = orders.execute(order(5n, "other"));
+  await runPendingTasks();
   assert.equal(engine.orders.length, 1);
   assert.equal(replicas.report().length, 2);
   open();
--- a/src/agent/plain_server.ts
+++ b/src/agent/plain_server.ts
@@ -1,4 +1,4 @@
-/** Serves calls of the plain service beside the agent. */
+/** Forwards calls to the agent's plain service. */
 import { Result } from "true-myth";
 import type { Clock } from "../base/mod.ts";
 import {
@@ -25,38 +25,38 @@
 import type { Relay } from "./relay.ts";
 import { describeFailure, type Run, RunState } from "./run.ts";
 
-/** What the team's branch says about a service. */
+/** Settings of a service in the team's branch. */
 export interface ServiceSettings {
   timeoutMs: number;
   retryWindowMs: number;
   whenStoreDown: "refuse" | "memory";
 }
 
-/** What {@link PlainServer} is made from. */
+/** Options of {@link PlainServer}. */
 export interface PlainServerOptions {
   service: PlainService;
   clock: Clock;
-  /** The journal; undefined: calls that may not be repeated are refused. */
+  /** Returns the claims journal; without it, at-most-once calls are refused. */
   journal: () => ClaimsJournal | undefined;
   relay: Relay;
 }
 
-/** A call to serve. */
-export interface PlainWork {
+/** A call to serve, its run and the service's settings. */
+export interface PlainTask {
   run: Run;
   call: PlainCall;
   settings: ServiceSettings;
 }
 
-const MAX_CALLS = 256;
-const BUSY_RETRY_MS = 500;
+const MAX_CALLS_IN_FLIGHT = 256;
+const OVERLOAD_RETRY_AFTER_MS = 500;
 const NO_STATUS = 0;
 
-/** The service and its answers. */
+/** Forwards calls to one plain service and keeps the answers of at-most-once calls. */
 export class PlainServer {
   readonly answers: KeptAnswers;
   readonly #options: PlainServerOptions;
-  #calls = 0;
+  #callsInFlight = 0;
 
   private constructor(options: PlainServerOptions) {
     this.#options = options;
@@ -64,20 +64,20 @@
   }
 
   /**
-   * @param options Service, journal and relay.
-   * @returns A server without calls.
+   * @param options The service, the journal and the relay.
+   * @returns A server without calls in flight.
    */
   static create(options: PlainServerOptions): PlainServer {
     return new PlainServer(options);
   }
 
   get callCount(): number {
-    return this.#calls;
+    return this.#callsInFlight;
   }
 
-  /** @returns What a call can expect. */
+  /** @returns An offer, or why a call would be refused. */
   offer(): Result<Offer, Refusal> {
-    const refusal = this.#refuseBusy();
+    const refusal = this.#refuseIfFull();
     if (refusal) return Result.err(refusal);
     return Result.ok({
       holdId: "",
@@ -87,62 +87,64 @@
       queueMs: 0,
       engineIncarnation: "",
       weightsVersion: "",
-      running: this.#calls,
+      running: this.#callsInFlight,
       waiting: 0,
     });
   }
 
-  /** @returns Why no further call is taken now; undefined: it is. */
+  /** @returns Why a call is refused; undefined if it was admitted and counted. */
   admit(): Refusal | undefined {
-    const refusal = this.#refuseBusy();
-    if (!refusal) this.#calls++;
+    const refusal = this.#refuseIfFull();
+    if (!refusal) this.#callsInFlight++;
     return refusal;
   }
 
-  /** @param work A call that was admitted. */
-  async serve(work: PlainWork): Promise<void> {
+  /** @param task An admitted call. */
+  async serve(task: PlainTask): Promise<void> {
     try {
-      if (work.run.isAtMostOnce) await this.#serveOnce(work);
-      else await this.#pass(work);
+      if (task.run.isAtMostOnce) await this.#serveAtMostOnce(task);
+      else await this.#forward(task);
     } finally {
-      this.#calls--;
+      this.#callsInFlight--;
     }
   }
 
-  async #serveOnce(work: PlainWork): Promise<void> {
+  async #serveAtMostOnce(task: PlainTask): Promise<void> {
     const journal = this.#options.journal();
     if (!journal) {
       const message = "No key-value service is set, so nothing can be claimed";
-      return work.run.refuse(refuse(RefusalCode.STORE_DOWN, message));
+      return task.run.refuse(refuse(RefusalCode.STORE_DOWN, message));
     }
-    const request = claimRequest(work);
+    const request = claimRequest(task);
     const answer = await journal.claim(request);
-    if (answer.isErr) return endUnclaimed(work.run, answer.error);
-    await this.#follow(work, request, answer.value);
+    if (answer.isErr) return endRefusedClaim(task.run, answer.error);
+    await this.#handleClaimAnswer(task, request, answer.value);
   }
 
-  async #follow(
-    work: PlainWork,
+  async #handleClaimAnswer(
+    task: PlainTask,
     ref: ClaimRef,
     answer: ClaimAnswer,
   ): Promise<void> {
     switch (answer.kind) {
       case "granted":
-        return await this.#passClaimed(work, answer.ticket);
+        return await this.#forwardClaimed(task, answer.ticket);
       case "running": {
         const message = "An earlier run has this key, and its answer is gone";
-        return work.run.end(RunOutcome.UNKNOWN, message);
+        return task.run.end(RunOutcome.UNKNOWN, message);
       }
       case "elsewhere":
-        return await this.#relay(work, ref, answer);
+        return await this.#relay(task, ref, answer);
       case "ended":
-        return endAsEarlier(work.run, answer.end);
+        return endLikeEarlierRun(task.run, answer.end);
     }
   }
 
-  async #passClaimed(work: PlainWork, ticket: ClaimTicket): Promise<void> {
-    const { run } = work;
-    if (run.signal.aborted || isPast(run, this.#options.clock.nowMs())) {
+  async #forwardClaimed(task: PlainTask, ticket: ClaimTicket): Promise<void> {
+    const { run } = task;
+    if (
+      run.signal.aborted || isPastDeadline(run, this.#options.clock.nowMs())
+    ) {
       ticket.end({ kind: "not_run" });
       const message = "Cancelled before it was passed on";
       return run.refuse(refuse(RefusalCode.CANCELLED, message));
@@ -152,12 +154,12 @@
       const message = "The claim is too old to be used";
       return run.refuse(refuse(RefusalCode.STORE_DOWN, message));
     }
-    await this.#pass(work);
+    await this.#forward(task);
     ticket.end(claimEndOf(run));
   }
 
   async #relay(
-    { run, call }: PlainWork,
+    { run, call }: PlainTask,
     ref: ClaimRef,
     { claimant }: Extract<ClaimAnswer, { kind: "elsewhere" }>,
   ): Promise<void> {
@@ -165,7 +167,7 @@
     if (end) this.#options.journal()?.resolve(ref, end);
   }
 
-  async #pass({ run, call, settings }: PlainWork): Promise<void> {
+  async #forward({ run, call, settings }: PlainTask): Promise<void> {
     run.state = RunState.Running;
     const timeout = AbortSignal.timeout(settings.timeoutMs);
     const signal = run.isAtMostOnce
@@ -173,7 +175,7 @@
       : AbortSignal.any([timeout, run.signal]);
     const { output } = run;
     for await (const step of this.#options.service.run(call, signal)) {
-      if (step.isErr) return endBroken(run, step.error);
+      if (step.isErr) return endFailedCall(run, step.error);
       switch (step.value.kind) {
         case "head":
           output.setHead(step.value);
@@ -191,18 +193,18 @@
     run.end(RunOutcome.UNKNOWN, "The service's answer has no end");
   }
 
-  #refuseBusy(): Refusal | undefined {
-    if (this.#calls < MAX_CALLS) return undefined;
+  #refuseIfFull(): Refusal | undefined {
+    if (this.#callsInFlight < MAX_CALLS_IN_FLIGHT) return undefined;
     return refuse(RefusalCode.OVERLOADED, "Too many calls are under way", {
-      retryAfterMs: BUSY_RETRY_MS,
+      retryAfterMs: OVERLOAD_RETRY_AFTER_MS,
     });
   }
 }
 
 /**
- * @param ask Team and workspace.
- * @param call A call that may not be repeated.
- * @returns Digest of its key; the run id stands in where the caller gave none.
+ * @param ask The request, for its team, workspace and run id.
+ * @param call An at-most-once call.
+ * @returns Digest of the idempotency key, or of the run id if the caller gave no key.
  */
 export function keyDigestOf(ask: AskRequest, call: PlainCall): Uint8Array {
   const { team, workspace, runId } = ask;
@@ -210,7 +212,7 @@
   return digestKey({ team, workspace, service: call.service, idempotencyKey });
 }
 
-function claimRequest({ run, call, settings }: PlainWork): ClaimRequest {
+function claimRequest({ run, call, settings }: PlainTask): ClaimRequest {
   return {
     team: run.ask.team,
     service: call.service,
@@ -221,7 +223,7 @@
   };
 }
 
-function endUnclaimed(run: Run, refusal: ClaimRefusal): void {
+function endRefusedClaim(run: Run, refusal: ClaimRefusal): void {
   switch (refusal.kind) {
     case "not_run": {
       const { retryAfterMs } = refusal;
@@ -244,13 +246,13 @@
   }
 }
 
-/** @returns A key came back with another request. */
+/** @returns The refusal for an idempotency key that was reused for another request. */
 export function refuseReused(): Refusal {
   const message = "The idempotency key was used for another request";
   return refuse(RefusalCode.KEY_REUSED, message);
 }
 
-function endAsEarlier(run: Run, end: ClaimEnd): void {
+function endLikeEarlierRun(run: Run, end: ClaimEnd): void {
   switch (end.kind) {
     case "done": {
       const message = `It was done with status ${end.status}`;
@@ -265,7 +267,7 @@
   }
 }
 
-function endBroken(
+function endFailedCall(
   run: Run,
   failure: Parameters<typeof describeFailure>[0],
 ): void {
@@ -284,7 +286,7 @@
   return { kind: isDone ? "done" : "failed", status };
 }
 
-function isPast(run: Run, nowMs: number): boolean {
+function isPastDeadline(run: Run, nowMs: number): boolean {
   return nowMs > run.deadlineAtMs;
 }
 
--- a/src/agent/plain_server_test.ts
+++ b/src/agent/plain_server_test.ts
@@ -78,7 +78,7 @@
   await close();
 });
 
-test("a key that comes with another request is refused", async () => {
+test("a key reused for another request is refused", async () => {
   const service = FakeService.create();
   const { client, close } = await openPlain(MemoryStore.create(), service);
   await RunReader.open(client, start("r1")).rest();
@@ -88,7 +88,7 @@
   await close();
 });
 
-test("a call that broke after it was sent is never sent again", async () => {
+test("a call that failed after it was sent is never resent", async () => {
   const service = FakeService.create();
   const { client, close } = await openPlain(MemoryStore.create(), service);
   service.failure = { kind: "broken", message: "" };
@@ -100,7 +100,7 @@
   await close();
 });
 
-test("a call that never reached the service may be sent again", async () => {
+test("a call that never reached the service may be resent", async () => {
   const service = FakeService.create();
   const { client, close } = await openPlain(MemoryStore.create(), service);
   service.failure = { kind: "unreachable", message: "" };
@@ -111,7 +111,7 @@
   await close();
 });
 
-test("nothing runs that can't be claimed", async () => {
+test("a call that can't be claimed is not run", async () => {
   const service = FakeService.create();
   const store = MemoryStore.create();
   const { client, close } = await openPlain(store, service);
@@ -125,7 +125,7 @@
   await close();
 });
 
-test("after a crash a claimed call is unknown and stays unsent", async () => {
+test("after a crash a claimed call is not resent", async () => {
   const service = FakeService.create();
   const store = MemoryStore.create();
   const before = await openPlain(store, service);
@@ -142,7 +142,7 @@
   await before.close();
 });
 
-test("an answer that is no longer kept is said to be gone", async () => {
+test("a repeat is told when the answer is no longer kept", async () => {
   const service = FakeService.create();
   const { client, close } = await openPlain(undefined, service);
   service.padding = "x".repeat(512 * 1024);
--- a/src/agent/replicas.ts
+++ b/src/agent/replicas.ts
@@ -1,34 +1,34 @@
-/** The engine's models, and which of them take requests: none that is to be unloaded. */
+/** Tracks the engine's models, and which of them are being loaded or unloaded. */
 import type { Clock } from "../base/mod.ts";
 import { modelKey } from "../planner/pool_view.ts";
 import type { LoadedModel } from "../backends/engine.ts";
 import { ReplicaPhase, type ReplicaReport } from "../wire/gen/cicadahitch.ts";
 import type { Run } from "./run.ts";
 
-/** What {@link Replicas} is made from. */
+/** Options of {@link Replicas}. */
 export interface ReplicasOptions {
   clock: Clock;
-  /** What the engine has loaded, the last one first. */
+  /** Returns the models that the engine has loaded, most recently loaded first. */
   loaded: () => readonly LoadedModel[];
-  /** Runs that have not ended. */
+  /** Returns the runs that have not ended. */
   liveRuns: () => Iterable<Run>;
 }
 
-/** A model that is to be unloaded. */
-export interface Retirement {
+/** A pending unload of a model. */
+export interface PendingUnload {
   readonly model: LoadedModel;
-  /** False once the model is to stay, or another order to unload it came. */
-  readonly isWanted: boolean;
+  /** False once the unload was cancelled or replaced by a later one. */
+  readonly isCurrent: boolean;
 }
 
-const IDLE_POLL_MS = 50;
+const IDLE_POLL_INTERVAL_MS = 50;
 
-/** Models of one engine. */
+/** The models of one engine; a model that is being unloaded takes no new requests. */
 export class Replicas {
   readonly #options: ReplicasOptions;
-  readonly #retiring = new Map<string, Retirement>();
+  readonly #unloading = new Map<string, PendingUnload>();
   readonly #loading = new Map<string, LoadedModel>();
-  /** Until when an offer may be taken up, by model. */
+  /** When the last hold on each model expires. */
   readonly #heldUntilMs = new Map<string, number>();
 
   private constructor(options: ReplicasOptions) {
@@ -36,17 +36,19 @@
   }
 
   /**
-   * @param options Clock, models and runs.
-   * @returns Replicas that all take requests.
+   * @param options The clock, loaded models and live runs.
+   * @returns A tracker without loads or unloads in progress.
    */
   static create(options: ReplicasOptions): Replicas {
     return new Replicas(options);
   }
 
   /**
-   * @param wanted Model, adapter and version; an empty version: any.
-   * @param options True: a place was kept, so that a model to be unloaded serves it too.
-   * @returns What serves a request for it.
+   * Finds the loaded model that serves a request.
+   *
+   * @param wanted Model, adapter and weights version; an empty version matches any.
+   * @param options Whether the request has a hold, which a model being unloaded still serves.
+   * @returns The loaded model, or undefined if none can serve the request.
    */
   find(
     wanted: LoadedModel,
@@ -56,70 +58,76 @@
       each.model === wanted.model && each.adapter === wanted.adapter &&
       (wanted.weightsVersion === "" ||
         each.weightsVersion === wanted.weightsVersion) &&
-      (isHeld || !this.#retiring.has(modelKey(each)))
+      (isHeld || !this.#unloading.has(modelKey(each)))
     );
   }
 
   /**
-   * @param model A model that was offered.
-   * @param holdMs How long the offer holds.
+   * Delays the unload of a model until a hold on it expires.
+   *
+   * @param model The model of the offer.
+   * @param holdMs How long the hold is valid.
    */
-  noteHold(model: LoadedModel, holdMs: number): void {
+  extendHold(model: LoadedModel, holdMs: number): void {
     const key = modelKey(model);
     const untilMs = this.#options.clock.nowMs() + holdMs;
-    const knownMs = this.#heldUntilMs.get(key) ?? 0;
-    this.#heldUntilMs.set(key, Math.max(knownMs, untilMs));
+    const currentMs = this.#heldUntilMs.get(key) ?? 0;
+    this.#heldUntilMs.set(key, Math.max(currentMs, untilMs));
   }
 
   /**
-   * Takes no more requests for a model.
+   * Marks a model as being unloaded, so that it takes no new requests.
    *
    * @param model The model.
-   * @returns What is to become of it; an earlier retirement is no longer wanted.
+   * @returns The pending unload, which replaces an earlier one of the same model.
    */
-  retire(model: LoadedModel): Retirement {
+  beginUnload(model: LoadedModel): PendingUnload {
     const key = modelKey(model);
-    const retiring = this.#retiring;
-    const retirement: Retirement = {
+    const unloading = this.#unloading;
+    const pending: PendingUnload = {
       model,
-      get isWanted() {
-        return retiring.get(key) === retirement;
+      get isCurrent() {
+        return unloading.get(key) === pending;
       },
     };
-    retiring.set(key, retirement);
-    return retirement;
+    unloading.set(key, pending);
+    return pending;
   }
 
-  /** @param retirement Is over: the model is gone, or takes requests again. */
-  endRetirement(retirement: Retirement): void {
-    if (retirement.isWanted) this.#retiring.delete(modelKey(retirement.model));
+  /** @param pending An unload that was completed or refused. */
+  endUnload(pending: PendingUnload): void {
+    if (pending.isCurrent) this.#unloading.delete(modelKey(pending.model));
   }
 
-  /** @param model Takes requests again, if it is still there. */
-  keep(model: LoadedModel): void {
-    this.#retiring.delete(modelKey(model));
+  /** @param model The model whose pending unload is cancelled. */
+  cancelUnload(model: LoadedModel): void {
+    this.#unloading.delete(modelKey(model));
   }
 
   /**
-   * @param retirement A model that takes no new requests.
-   * @param signal Ends the wait.
-   * @returns True once nobody uses the model; false: it is to stay.
+   * Waits until a model has no runs or holds.
+   *
+   * @param pending The pending unload of the model.
+   * @param signal Aborts the wait.
+   * @returns True once the model is idle; false if the unload was cancelled or the wait aborted.
    */
-  async whenIdle(
-    retirement: Retirement,
+  async waitUntilIdle(
+    pending: PendingUnload,
     signal: AbortSignal,
   ): Promise<boolean> {
     const { clock } = this.#options;
-    while (retirement.isWanted && !signal.aborted) {
-      if (!this.#isUsed(retirement.model)) return true;
-      await clock.sleep(IDLE_POLL_MS, signal);
+    while (pending.isCurrent && !signal.aborted) {
+      if (!this.#isUsed(pending.model)) return true;
+      await clock.sleep(IDLE_POLL_INTERVAL_MS, signal);
     }
     return false;
   }
 
   /**
-   * @param model Is being loaded.
-   * @param isLoading Whether it still is.
+   * Records the start or the end of a load.
+   *
+   * @param model The model.
+   * @param isLoading Whether the model is being loaded.
    */
   setLoading(model: LoadedModel, isLoading: boolean): void {
     const key = modelKey(model);
@@ -127,12 +135,12 @@
     else this.#loading.delete(key);
   }
 
-  /** @returns What is held, with the requests running and waiting for it. */
+  /** @returns Loaded and loading models with their phase and requests in flight. */
   report(): ReplicaReport[] {
     const loaded = this.#options.loaded();
-    const known = new Set(loaded.map(modelKey));
+    const loadedKeys = new Set(loaded.map(modelKey));
     const loading = [...this.#loading.values()].filter((model) =>
-      !known.has(modelKey(model))
+      !loadedKeys.has(modelKey(model))
     );
     return [
       ...loaded.map((model) => this.#describe(model, this.#phaseOf(model))),
@@ -141,13 +149,13 @@
   }
 
   #phaseOf(model: LoadedModel): ReplicaPhase {
-    return this.#retiring.has(modelKey(model))
+    return this.#unloading.has(modelKey(model))
       ? ReplicaPhase.UNLOADING
       : ReplicaPhase.READY;
   }
 
   #describe(model: LoadedModel, phase: ReplicaPhase): ReplicaReport {
-    return { ...model, phase, inFlight: this.#inFlight(model) };
+    return { ...model, phase, inFlight: this.#countInFlight(model) };
   }
 
   #isUsed(model: LoadedModel): boolean {
@@ -155,10 +163,10 @@
     const heldUntilMs = this.#heldUntilMs.get(key) ?? 0;
     if (heldUntilMs > this.#options.clock.nowMs()) return true;
     this.#heldUntilMs.delete(key);
-    return this.#inFlight(model) > 0;
+    return this.#countInFlight(model) > 0;
   }
 
-  #inFlight(model: LoadedModel): number {
+  #countInFlight(model: LoadedModel): number {
     let count = 0;
     for (const { ask, weightsVersion } of this.#options.liveRuns()) {
       if (ask.model !== model.model || ask.adapter !== model.adapter) continue;
--- a/src/agent/state_dump.ts
+++ b/src/agent/state_dump.ts
@@ -1,4 +1,4 @@
-/** The state of an agent as JSON, for operators. It has no prompt, no answer and no key. */
+/** Builds the state dump of an agent for operators, without prompts, answers and keys. */
 import type { Clock } from "../base/mod.ts";
 import type { BranchSet } from "../config/branch_set.ts";
 import type { ClaimsJournal } from "../journal/mod.ts";
@@ -7,7 +7,7 @@
 import type { Run } from "./run.ts";
 import type { RunTable } from "./runs.ts";
 
-/** What a dump is made from. */
+/** Parts of the agent that the state dump describes. */
 export interface StateDumpOptions {
   instanceId: string;
   zone: string;
@@ -26,7 +26,7 @@
 const MAX_RUNS_SHOWN = 200;
 
 /**
- * @param options The agent's parts.
+ * @param options Parts of the agent.
  * @returns The state, ready for `JSON.stringify`.
  */
 export function buildStateDump(options: StateDumpOptions) {
--- a/src/agent/versions_test.ts
+++ b/src/agent/versions_test.ts
@@ -23,17 +23,17 @@
   return { client, engine };
 }
 
-function ask(client: AgentClient, request: AskRequest): Promise<AskReply> {
+function sendAsk(client: AgentClient, request: AskRequest): Promise<AskReply> {
   const call = promisify<AskRequest, AskReply>(client.ask.bind(client));
   return call(request);
 }
 
-function order(client: AgentClient, request: OrderRequest) {
+function sendOrder(client: AgentClient, request: OrderRequest) {
   const call = promisify<OrderRequest, OrderReply>(client.order.bind(client));
   return call(request);
 }
 
-function report(client: AgentClient): Promise<ModelsReport> {
+function fetchReport(client: AgentClient): Promise<ModelsReport> {
   const call = promisify<ReportModelsRequest, ModelsReport>(
     client.reportModels.bind(client),
   );
@@ -48,11 +48,11 @@
   };
 }
 
-test("the engine is told which weights must answer", async () => {
+test("the engine call carries the requested weights version", async () => {
   const { client, engine } = await open();
   engine.models = [NEW, OLD];
   for (const [index, weightsVersion] of ["1", "2"].entries()) {
-    await order(client, {
+    await sendOrder(client, {
       leaseKey: "lease",
       fencingNumber: 1n,
       order: { $case: "loadModel", value: NEW },
@@ -69,7 +69,7 @@
   }
 });
 
-test("weights that the engine lacks after all are not an invalid request", async () => {
+test("a 404 from the engine is reported as model not loaded", async () => {
   const { client, engine } = await open();
   const reader = RunReader.open(client, testStart("r1"));
   const run = await engine.nthRun(0);
@@ -80,18 +80,18 @@
   ]);
 });
 
-test("a model to be unloaded serves its offers and runs, and no more", async () => {
+test("a model being unloaded serves its holds and runs but no new requests", async () => {
   const { client, engine } = await open();
-  const offered = await ask(client, testAsk("r1", { holdMs: 1000 }));
+  const offered = await sendAsk(client, testAsk("r1", { holdMs: 1000 }));
   assert(offered.verdict?.$case === "offer");
   const { holdId } = offered.verdict.value;
-  assert.equal((await order(client, unloadOld(5n))).accepted, true);
-  const refused = await ask(client, testAsk("r2"));
+  assert.equal((await sendOrder(client, unloadOld(5n))).accepted, true);
+  const refused = await sendAsk(client, testAsk("r2"));
   assert(refused.verdict?.$case === "refusal");
   assert.equal(refused.verdict.value.code, RefusalCode.MODEL_NOT_LOADED);
   const reader = RunReader.open(client, testStart("r1", { holdId }));
   const run = await engine.nthRun(0);
-  assert.deepEqual((await report(client)).replicas, [
+  assert.deepEqual((await fetchReport(client)).replicas, [
     { ...OLD, phase: ReplicaPhase.UNLOADING, inFlight: 1 },
   ]);
   assert.equal(engine.orders.length, 0);
@@ -100,9 +100,9 @@
   assert.deepEqual(await reader.rest(), ["started", "#0 a", "end 1 of 1"]);
 });
 
-test("an agent reports slots, bounds and models", async () => {
+test("an agent reports slots, limits and models", async () => {
   const { client } = await open();
-  assert.deepEqual(await report(client), {
+  assert.deepEqual(await fetchReport(client), {
     leaving: false,
     slots: 2,
     maxRunning: 2,
