--- a/src/limits/_bucket_fleet.ts
+++ b/src/limits/_bucket_fleet.ts
@@ -2,26 +2,27 @@
 import type { Clock } from "../base/mod.ts";
 import { seededRandom } from "../base/random.ts";
 import { tellPauseMs } from "../router/tell_pace.ts";
-import { type BucketNews, SharedBuckets } from "./shared_buckets.ts";
+import { type MemberReport, SharedBuckets } from "./shared_buckets.ts";
 import type { RateLimit } from "./shared_bucket.ts";
 import { TokenBucket } from "./token_bucket.ts";
 
 /** Ways to keep a limit over all entries. */
-export const SharingWay = {
+export const SharingStrategy = {
   /** Each has an equal part. */
   even: "even",
   /** Each subtracts what others have told, and nothing else. */
-  toldOnly: "told_only",
+  reportedOnly: "told_only",
   /** As {@link SharedBuckets} do. */
   shared: "shared",
 } as const;
 
-/** One of {@link SharingWay}. */
-export type SharingWay = typeof SharingWay[keyof typeof SharingWay];
+/** One of {@link SharingStrategy}. */
+export type SharingStrategy =
+  typeof SharingStrategy[keyof typeof SharingStrategy];
 
 /** Settings of a {@link BucketFleet}. */
 export interface BucketFleetOptions {
-  way: SharingWay;
+  strategy: SharingStrategy;
   entryCount: number;
   limit: RateLimit;
   seed: number;
@@ -32,7 +33,7 @@
   /** Most that was taken in a window, and what the limit allows in it without any slack. */
   windowTaken: number;
   windowAllowed: number;
-  asked: number;
+  requested: number;
   taken: number;
   /** What one bucket for all would have admitted. */
   ideal: number;
@@ -43,32 +44,32 @@
   address: string;
   isUp: boolean;
   /** Entries on different sides don't hear each other. */
-  side: number;
+  partition: number;
   demand: number;
 }
 
-interface Running extends BucketEntry {
+interface SimulatedEntry extends BucketEntry {
   buckets: SharedBuckets;
   even: TokenBucket;
-  tellAtMs: number;
-  skewMs: number;
+  nextReportAtMs: number;
+  clockSkewMs: number;
 }
 
 interface Datagram {
-  atMs: number;
+  dueAtMs: number;
   from: string;
-  to: Running;
-  news: BucketNews;
+  to: SimulatedEntry;
+  report: MemberReport;
 }
 
-const NAME = "workspace";
+const BUCKET_NAME = "workspace";
 const TICK_MS = 10;
 const WINDOW_MS = 8000;
-const LOSS = 0.03;
-const DELAY_MAX_MS = 20;
-const SKEW_MAX_MS = 400;
+const LOSS_RATE = 0.03;
+const MAX_DELAY_MS = 20;
+const MAX_CLOCK_SKEW_MS = 400;
 /** Sizes of requests, as often as they stand here. */
-const SIZES = [
+const REQUEST_SIZES = [
   2400,
   2400,
   2400,
@@ -80,30 +81,31 @@
   12_000,
   40_000,
 ];
-const MEAN_SIZE = SIZES.reduce((sum, size) => sum + size, 0) / SIZES.length;
+const MEAN_REQUEST_SIZE = REQUEST_SIZES.reduce((sum, size) => sum + size, 0) /
+  REQUEST_SIZES.length;
 
 /** Entries with a copy of the bucket each. */
 export class BucketFleet {
   readonly #options: BucketFleetOptions;
   readonly #random: () => number;
-  readonly #entries: Running[] = [];
+  readonly #entries: SimulatedEntry[] = [];
   readonly #clock: Clock;
   #limit: RateLimit;
-  #oracle: TokenBucket;
+  #singleBucket: TokenBucket;
   #nowMs = 100_000;
-  #inFlight: Datagram[] = [];
+  #datagrams: Datagram[] = [];
   /** Taken in each tick. */
-  readonly #taken: number[] = [];
-  #asked = 0;
+  readonly #takenPerTick: number[] = [];
+  #requested = 0;
   #ideal = 0;
 
   private constructor(options: BucketFleetOptions) {
     this.#options = options;
     this.#limit = options.limit;
     this.#random = seededRandom(options.seed);
-    this.#clock = this.#clockOf(0);
-    this.#oracle = this.#createOracle();
-    for (let i = 0; i < options.entryCount; i++) this.#add(i);
+    this.#clock = this.#createClock(0);
+    this.#singleBucket = this.#createSingleBucket();
+    for (let i = 0; i < options.entryCount; i++) this.#addEntry(i);
   }
 
   /**
@@ -122,16 +124,16 @@
   /** @param limit The limit from now on, at all entries. */
   setLimit(limit: RateLimit): void {
     this.#limit = limit;
-    this.#oracle.resize(limit.perSecond, limit.burst);
+    this.#singleBucket.resize(limit.perSecond, limit.burst);
     for (const entry of this.#entries) this.#configure(entry);
-    this.#taken.length = 0;
+    this.#takenPerTick.length = 0;
   }
 
   /** @param address An entry that ends, and starts again later. */
   restart(address: string): void {
     const entry = this.#entries.find((one) => one.address === address)!;
-    entry.buckets = this.#createBuckets(entry.skewMs);
-    entry.even = this.#createEven();
+    entry.buckets = this.#createBuckets(entry.clockSkewMs);
+    entry.even = this.#createEvenBucket();
     this.#configure(entry);
     entry.isUp = true;
   }
@@ -141,7 +143,7 @@
    * @param perSecond Tokens that are asked for over all entries, by their demands.
    */
   run(ms: number, perSecond: number): void {
-    for (let passed = 0; passed < ms; passed += TICK_MS) this.#tick(perSecond);
+    for (let timeMs = 0; timeMs < ms; timeMs += TICK_MS) this.#tick(perSecond);
   }
 
   /** @returns What came of it. */
@@ -149,117 +151,121 @@
     const { perSecond, burst } = this.#limit;
     const ticks = WINDOW_MS / TICK_MS;
     let sum = 0;
-    let most = 0;
-    for (const [i, taken] of this.#taken.entries()) {
-      sum += taken - (i >= ticks ? this.#taken[i - ticks]! : 0);
-      most = Math.max(most, sum);
+    let windowTaken = 0;
+    for (const [i, taken] of this.#takenPerTick.entries()) {
+      sum += taken - (i >= ticks ? this.#takenPerTick[i - ticks]! : 0);
+      windowTaken = Math.max(windowTaken, sum);
     }
     return {
-      windowTaken: most,
+      windowTaken,
       windowAllowed: perSecond * WINDOW_MS / 1000 + burst,
-      asked: this.#asked,
-      taken: this.#taken.reduce((total, taken) => total + taken, 0),
+      requested: this.#requested,
+      taken: this.#takenPerTick.reduce((total, taken) => total + taken, 0),
       ideal: this.#ideal,
     };
   }
 
   /** Counts asked, taken and ideal from now on. */
   reset(): void {
-    this.#taken.length = 0;
-    this.#asked = 0;
+    this.#takenPerTick.length = 0;
+    this.#requested = 0;
     this.#ideal = 0;
   }
 
   #tick(perSecond: number): void {
     this.#nowMs += TICK_MS;
-    this.#taken.push(0);
-    this.#deliver();
+    this.#takenPerTick.push(0);
+    this.#deliverReports();
     const up = this.#entries.filter(({ isUp }) => isUp);
     const demand = up.reduce((sum, entry) => sum + entry.demand, 0);
     for (const entry of up) {
       const share = demand > 0 ? entry.demand / demand : 0;
-      const mean = perSecond * TICK_MS / 1000 * share / MEAN_SIZE;
-      for (let left = this.#poisson(mean); left > 0; left--) this.#ask(entry);
-      if (this.#nowMs >= entry.tellAtMs) this.#tell(entry);
+      const mean = perSecond * TICK_MS / 1000 * share / MEAN_REQUEST_SIZE;
+      for (let left = this.#poisson(mean); left > 0; left--) this.#send(entry);
+      if (this.#nowMs >= entry.nextReportAtMs) this.#sendReport(entry);
     }
   }
 
-  #ask(entry: Running): void {
-    const size = SIZES[Math.floor(this.#random() * SIZES.length)]!;
-    this.#asked += size;
-    if (this.#oracle.tokens > 0) {
-      this.#oracle.take(size);
+  #send(entry: SimulatedEntry): void {
+    const size =
+      REQUEST_SIZES[Math.floor(this.#random() * REQUEST_SIZES.length)]!;
+    this.#requested += size;
+    if (this.#singleBucket.tokens > 0) {
+      this.#singleBucket.take(size);
       this.#ideal += size;
     }
     if (!this.#admits(entry, size)) return;
-    this.#taken[this.#taken.length - 1]! += size;
+    this.#takenPerTick[this.#takenPerTick.length - 1]! += size;
   }
 
-  #admits(entry: Running, size: number): boolean {
-    if (this.#options.way === SharingWay.even) {
+  #admits(entry: SimulatedEntry, size: number): boolean {
+    if (this.#options.strategy === SharingStrategy.even) {
       if (entry.even.tokens <= 0) return false;
       entry.even.take(size);
       return true;
     }
-    return entry.buckets.tryTake(NAME, size).kind === "admitted";
+    return entry.buckets.tryTake(BUCKET_NAME, size).kind === "admitted";
   }
 
-  #tell(entry: Running): void {
-    const { entryCount, way } = this.#options;
-    entry.tellAtMs = this.#nowMs + tellPauseMs(entryCount);
-    const news = {
-      startedAtMs: entry.buckets.startedAtMs,
-      rows: entry.buckets.takeRows(),
+  #sendReport(from: SimulatedEntry): void {
+    const { entryCount, strategy } = this.#options;
+    from.nextReportAtMs = this.#nowMs + tellPauseMs(entryCount);
+    const report = {
+      startedAtMs: from.buckets.startedAtMs,
+      rows: from.buckets.takeRows(),
     };
-    if (way === SharingWay.even) return;
+    if (strategy === SharingStrategy.even) return;
     for (const to of this.#entries) {
-      if (to === entry || !to.isUp || to.side !== entry.side) continue;
-      if (this.#random() < LOSS) continue;
-      const atMs = this.#nowMs + this.#random() * DELAY_MAX_MS;
-      this.#inFlight.push({ atMs, from: entry.address, to, news });
+      if (to === from || !to.isUp || to.partition !== from.partition) continue;
+      if (this.#random() < LOSS_RATE) continue;
+      const dueAtMs = this.#nowMs + this.#random() * MAX_DELAY_MS;
+      this.#datagrams.push({ dueAtMs, from: from.address, to, report });
     }
   }
 
-  #deliver(): void {
-    const due = this.#inFlight.filter(({ atMs }) => atMs <= this.#nowMs);
-    this.#inFlight = this.#inFlight.filter(({ atMs }) => atMs > this.#nowMs);
-    for (const { from, to, news } of due) {
-      if (to.isUp) to.buckets.hear(from, news);
+  #deliverReports(): void {
+    const due = this.#datagrams.filter(({ dueAtMs }) => dueAtMs <= this.#nowMs);
+    this.#datagrams = this.#datagrams.filter((
+      { dueAtMs },
+    ) => dueAtMs > this.#nowMs);
+    for (const { from, to, report } of due) {
+      if (to.isUp) to.buckets.hear(from, report);
     }
   }
 
-  #add(index: number): void {
-    const skewMs = (this.#random() - 0.5) * 2 * SKEW_MAX_MS;
-    const entry: Running = {
+  #addEntry(index: number): void {
+    const clockSkewMs = (this.#random() - 0.5) * 2 * MAX_CLOCK_SKEW_MS;
+    const entry: SimulatedEntry = {
       address: `entry-${index}`,
       isUp: true,
-      side: 0,
+      partition: 0,
       demand: 1,
-      buckets: this.#createBuckets(skewMs),
-      even: this.#createEven(),
-      tellAtMs: this.#nowMs +
+      buckets: this.#createBuckets(clockSkewMs),
+      even: this.#createEvenBucket(),
+      nextReportAtMs: this.#nowMs +
         this.#random() * tellPauseMs(this.#options.entryCount),
-      skewMs,
+      clockSkewMs,
     };
     this.#entries.push(entry);
     this.#configure(entry);
   }
 
-  #configure({ buckets, even }: Running): void {
+  #configure({ buckets, even }: SimulatedEntry): void {
     const { entryCount } = this.#options;
     const { perSecond, burst } = this.#limit;
-    buckets.setLimits(new Map([[NAME, this.#limit]]));
+    buckets.setLimits(new Map([[BUCKET_NAME, this.#limit]]));
     even.resize(perSecond / entryCount, burst / entryCount);
   }
 
-  #createBuckets(skewMs: number): SharedBuckets {
-    const { entryCount, way } = this.#options;
-    const memberCount = () => way === SharingWay.toldOnly ? 1 : entryCount;
-    const clock = this.#clockOf(skewMs);
+  #createBuckets(clockSkewMs: number): SharedBuckets {
+    const { entryCount, strategy } = this.#options;
+    const memberCount = () =>
+      strategy === SharingStrategy.reportedOnly ? 1 : entryCount;
+    const clock = this.#createClock(clockSkewMs);
     return SharedBuckets.create({ clock, random: this.#random, memberCount });
   }
 
-  #createEven(): TokenBucket {
+  #createEvenBucket(): TokenBucket {
     const { entryCount } = this.#options;
     return TokenBucket.create({
       clock: this.#clock,
@@ -268,15 +274,15 @@
     });
   }
 
-  #createOracle(): TokenBucket {
+  #createSingleBucket(): TokenBucket {
     const { perSecond, burst } = this.#limit;
     return TokenBucket.create({ clock: this.#clock, perSecond, burst });
   }
 
-  #clockOf(skewMs: number): Clock {
+  #createClock(clockSkewMs: number): Clock {
     return {
       nowMs: () => this.#nowMs,
-      wallMs: () => this.#nowMs + skewMs,
+      wallMs: () => this.#nowMs + clockSkewMs,
       sleep: () => Promise.resolve(),
     };
   }
@@ -284,7 +290,11 @@
   #poisson(mean: number): number {
     const limit = Math.exp(-mean);
     let count = 0;
-    for (let left = this.#random(); left > limit; left *= this.#random()) {
+    for (
+      let product = this.#random();
+      product > limit;
+      product *= this.#random()
+    ) {
       count++;
     }
     return count;
--- a/src/limits/_fleet.ts
+++ b/src/limits/_fleet.ts
@@ -22,24 +22,24 @@
   meanDurationMs: number;
 }
 
-interface Run {
+interface RunningRequest {
   admission: Admission;
-  endsMs: number;
+  endsAtMs: number;
 }
 
 /** One entry of the fleet. */
 export interface FleetEntry {
   id: string;
-  alive: boolean;
+  isAlive: boolean;
   /** Entries on different sides can't reach each other. */
-  side: number;
+  partition: number;
   /** Ids in this entry's list of instances. */
-  known: string[];
-  knownChangedMs: number;
+  knownIds: string[];
+  knownIdsChangedMs: number;
   limiter: TeamLimiter;
   ledger: ShareLedger;
   exchange: ShareExchange;
-  runs: Run[];
+  runs: RunningRequest[];
   messages: number;
   bytes: number;
 }
@@ -69,7 +69,7 @@
       sleep: () => Promise.resolve(),
     };
     for (let index = 0; index < options.entryCount; index++) this.addEntry();
-    this.setLists(() => true, 0);
+    this.setEntryLists(() => true, 0);
   }
 
   /**
@@ -85,7 +85,7 @@
     const id = `entry-${this.entries.length}`;
     const { limits } = this.#options;
     const limitsOf = () => limits;
-    const entryCount = () => entry.known.length;
+    const entryCount = () => entry.knownIds.length;
     const clock = this.#clock;
     const random = this.#random;
     const limiter = TeamLimiter.create({ clock, random, limitsOf, entryCount });
@@ -93,19 +93,19 @@
       clock,
       limitsOf,
       entryCount,
-      entriesChangedMs: () => entry.knownChangedMs,
+      entriesChangedMs: () => entry.knownIdsChangedMs,
     });
     const exchange = ShareExchange.create(limiter, {
-      listEntries: () => entry.known,
+      listEntries: () => entry.knownIds,
       exchange: (to, demands) =>
         Promise.resolve(this.#deliver(entry, to, demands)),
     }, { clock });
     const entry: FleetEntry = {
       id,
-      alive: true,
-      side: 0,
-      known: [id],
-      knownChangedMs: this.#nowMs,
+      isAlive: true,
+      partition: 0,
+      knownIds: [id],
+      knownIdsChangedMs: this.#nowMs,
       limiter,
       ledger,
       exchange,
@@ -120,25 +120,25 @@
   /**
    * Brings the lists of instances of all live entries up to date.
    *
-   * @param sees Whether an entry lists another.
+   * @param isListed Whether an entry lists another.
    * @param changedMs When they changed; now when left out.
    */
-  setLists(
-    sees: (entry: FleetEntry, other: FleetEntry) => boolean,
+  setEntryLists(
+    isListed: (entry: FleetEntry, other: FleetEntry) => boolean,
     changedMs = this.#nowMs,
   ): void {
     for (const entry of this.entries) {
-      const known = this.entries.filter((other) =>
-        other.alive && sees(entry, other)
+      const listed = this.entries.filter((other) =>
+        other.isAlive && isListed(entry, other)
       );
-      entry.known = known.map(({ id }) => id);
-      entry.knownChangedMs = changedMs;
+      entry.knownIds = listed.map(({ id }) => id);
+      entry.knownIdsChangedMs = changedMs;
     }
   }
 
   /** Ends an entry; its requests end with it. */
   kill(entry: FleetEntry): void {
-    entry.alive = false;
+    entry.isAlive = false;
     entry.runs = [];
   }
 
@@ -154,10 +154,10 @@
     this.#ticks++;
     const result = { inFlight: 0, tokensAdmitted: 0, refused: 0 };
     for (const [index, entry] of this.entries.entries()) {
-      if (!entry.alive) continue;
-      this.#endRuns(entry);
+      if (!entry.isAlive) continue;
+      this.#settleFinished(entry);
       const arrivals = this.#poisson(perSecond(entry) * tickMs / 1000);
-      for (let next = 0; next < arrivals; next++) this.#arrive(entry, result);
+      for (let next = 0; next < arrivals; next++) this.#admit(entry, result);
       result.inFlight += entry.runs.length;
       if ((this.#ticks + index) % TICKS_PER_EXCHANGE !== 0) continue;
       await entry.exchange.reportDue();
@@ -165,15 +165,15 @@
     return result;
   }
 
-  #endRuns(entry: FleetEntry): void {
-    entry.runs = entry.runs.filter(({ admission, endsMs }) => {
-      if (endsMs > this.#nowMs) return true;
+  #settleFinished(entry: FleetEntry): void {
+    entry.runs = entry.runs.filter(({ admission, endsAtMs }) => {
+      if (endsAtMs > this.#nowMs) return true;
       admission.settle(TOKENS_EXPECTED * 2 * this.#random());
       return false;
     });
   }
 
-  #arrive(entry: FleetEntry, result: FleetTick): void {
+  #admit(entry: FleetEntry, result: FleetTick): void {
     const verdict = entry.limiter.tryAdmit(TEAM, TOKENS_EXPECTED);
     if (verdict.kind === "refused") {
       result.refused++;
@@ -183,49 +183,53 @@
     const durationMs = -Math.log(1 - this.#random()) *
       this.#options.meanDurationMs;
     const { admission } = verdict;
-    entry.runs.push({ admission, endsMs: this.#nowMs + durationMs });
+    entry.runs.push({ admission, endsAtMs: this.#nowMs + durationMs });
   }
 
   #deliver(
     from: FleetEntry,
     to: string,
     demands: Parameters<ShareLedger["answer"]>[1],
-  ): ReturnType<typeof reachable> {
+  ): ReturnType<typeof sharesResult> {
     const target = this.entries.find(({ id }) => id === to);
-    if (!target?.alive || target.side !== from.side) {
-      return unreachable();
+    if (!target?.isAlive || target.partition !== from.partition) {
+      return unreachableResult();
     }
     const shares = target.ledger.answer(from.id, demands);
     if (target !== from) {
-      const bytes = sizeOf({ demands, shares: [] }) +
-        sizeOf({ demands: [], shares });
-      for (const side of [from, target]) {
-        side.messages++;
-        side.bytes += bytes;
+      const bytes = encodedSize({ demands, shares: [] }) +
+        encodedSize({ demands: [], shares });
+      for (const entry of [from, target]) {
+        entry.messages++;
+        entry.bytes += bytes;
       }
     }
-    return reachable(shares);
+    return sharesResult(shares);
   }
 
   #poisson(mean: number): number {
     const limit = Math.exp(-Math.min(mean, 500));
     let count = 0;
-    for (let left = this.#random(); left > limit; left *= this.#random()) {
+    for (
+      let product = this.#random();
+      product > limit;
+      product *= this.#random()
+    ) {
       count++;
     }
     return count;
   }
 }
 
-function reachable(shares: ReturnType<ShareLedger["answer"]>) {
+function sharesResult(shares: ReturnType<ShareLedger["answer"]>) {
   return Result.ok<typeof shares, ShareFailure>(shares);
 }
 
-function unreachable(): ReturnType<typeof reachable> {
+function unreachableResult(): ReturnType<typeof sharesResult> {
   return Result.err({ kind: "unreachable", message: "On the other side" });
 }
 
-function sizeOf(limits: NonNullable<VersionDigest["limits"]>): number {
+function encodedSize(limits: NonNullable<VersionDigest["limits"]>): number {
   const digest = VersionDigest.create({
     processId: "entry-000",
     address: "10.0.0.100:7000",
--- a/src/limits/_measure.ts
+++ b/src/limits/_measure.ts
@@ -11,7 +11,7 @@
 } from "./_scenarios.ts";
 
 const SEEDS = [1, 2, 3, 4, 5];
-const AMPLE = 1_000_000_000;
+const UNLIMITED_TOKENS = 1_000_000_000;
 const SIZES = [
   { entryCount: 3, maxInFlight: 60 },
   { entryCount: 30, maxInFlight: 300 },
@@ -20,7 +20,7 @@
 ];
 
 for (const { entryCount, maxInFlight } of SIZES) {
-  const limits = { maxInFlight, tokensPerSecond: AMPLE };
+  const limits = { maxInFlight, tokensPerSecond: UNLIMITED_TOKENS };
   for (const scenario of Object.values(Scenario)) {
     await printCase("in_flight", { scenario, entryCount, limits });
   }
--- a/src/limits/_measure_sharing.ts
+++ b/src/limits/_measure_sharing.ts
@@ -4,17 +4,17 @@
  * way the most that was over the limit in a window, as a part of what may be over, and the part of
  * what was asked for that one bucket for all would have admitted and the fleet refused.
  */
-import { BucketFleet, SharingWay } from "./_bucket_fleet.ts";
+import { BucketFleet, SharingStrategy } from "./_bucket_fleet.ts";
 
 const SEEDS = [1, 2, 3];
 const ENTRY_COUNT = 30;
 const RATES = [638_023, 200_000, 36_000];
 /** Parts of the limit that are asked for. */
-const USUAL = 1 / 1.8;
-const HOT = 5;
+const USUAL_LOAD = 1 / 1.8;
+const OVERLOAD = 5;
 /** What may be over in a window. */
-const OVER_SHARE = 0.1;
-const OVER_TOKENS = 140_000;
+const TOLERANCE_SHARE = 0.1;
+const TOLERANCE_TOKENS = 140_000;
 
 interface Load {
   name: string;
@@ -22,87 +22,95 @@
 }
 
 const LOADS: Load[] = [
-  { name: "usual", run: (fleet, rate) => fleet.run(30_000, rate * USUAL) },
-  { name: "hot", run: (fleet, rate) => fleet.run(20_000, rate * HOT) },
+  { name: "usual", run: (fleet, rate) => fleet.run(30_000, rate * USUAL_LOAD) },
+  { name: "hot", run: (fleet, rate) => fleet.run(20_000, rate * OVERLOAD) },
   {
     name: "hot at three entries",
     run: (fleet, rate) => {
       for (const [i, entry] of fleet.entries.entries()) {
         entry.demand = i < 3 ? 10 : 0.2;
       }
-      fleet.run(20_000, rate * HOT);
+      fleet.run(20_000, rate * OVERLOAD);
     },
   },
   {
     name: "hot, all killed three times",
-    run: (fleet, rate) => kill(fleet, rate * HOT, ENTRY_COUNT),
+    run: (fleet, rate) =>
+      restartThreeTimes(fleet, rate * OVERLOAD, ENTRY_COUNT),
   },
   {
     name: "hot, half killed three times",
-    run: (fleet, rate) => kill(fleet, rate * HOT, ENTRY_COUNT / 2),
+    run: (fleet, rate) =>
+      restartThreeTimes(fleet, rate * OVERLOAD, ENTRY_COUNT / 2),
   },
   {
     name: "usual, half killed three times",
-    run: (fleet, rate) => kill(fleet, rate * USUAL, ENTRY_COUNT / 2),
+    run: (fleet, rate) =>
+      restartThreeTimes(fleet, rate * USUAL_LOAD, ENTRY_COUNT / 2),
   },
   {
     name: "a third cut off, then hot",
     run: (fleet, rate) => {
-      cutThird(fleet);
-      fleet.run(2000, rate * USUAL);
-      fleet.run(12_000, rate * HOT);
+      isolateThird(fleet);
+      fleet.run(2000, rate * USUAL_LOAD);
+      fleet.run(12_000, rate * OVERLOAD);
     },
   },
   {
     name: "hot, then a third cut off",
     run: (fleet, rate) => {
-      fleet.run(4000, rate * HOT);
-      cutThird(fleet);
-      fleet.run(10_000, rate * HOT);
+      fleet.run(4000, rate * OVERLOAD);
+      isolateThird(fleet);
+      fleet.run(10_000, rate * OVERLOAD);
     },
   },
   {
     name: "a third cut off, usual",
     run: (fleet, rate) => {
-      cutThird(fleet);
-      fleet.run(12_000, rate * USUAL);
+      isolateThird(fleet);
+      fleet.run(12_000, rate * USUAL_LOAD);
     },
   },
 ];
 
 for (const { name, run } of LOADS) {
   for (const rate of RATES) {
-    const ways = Object.values(SharingWay).map((way) => {
-      const { over, refused } = measure(way, rate, run);
+    const ways = Object.values(SharingStrategy).map((way) => {
+      const { overshoot: over, refused } = measure(way, rate, run);
       return `${way} ${over.toFixed(2)} ${(refused * 100).toFixed(1)}%`;
     });
     console.log([name, rate, ...ways].join(" | "));
   }
 }
 
-function measure(way: SharingWay, rate: number, run: Load["run"]) {
-  let over = -Infinity;
+function measure(strategy: SharingStrategy, rate: number, run: Load["run"]) {
+  let overshoot = -Infinity;
   let refused = 0;
   for (const seed of SEEDS) {
     const limit = { perSecond: rate, burst: rate };
     const fleet = BucketFleet.create({
-      way,
+      strategy,
       entryCount: ENTRY_COUNT,
       limit,
       seed,
     });
-    fleet.run(8000, rate * USUAL);
+    fleet.run(8000, rate * USUAL_LOAD);
     fleet.reset();
     run(fleet, rate);
-    const { windowTaken, windowAllowed, ideal, taken, asked } = fleet.result();
-    const mayBeOver = windowAllowed * OVER_SHARE + OVER_TOKENS;
-    over = Math.max(over, (windowTaken - windowAllowed) / mayBeOver);
-    refused = Math.max(refused, (ideal - taken) / asked);
+    const { windowTaken, windowAllowed, ideal, taken, requested } = fleet
+      .result();
+    const tolerance = windowAllowed * TOLERANCE_SHARE + TOLERANCE_TOKENS;
+    overshoot = Math.max(overshoot, (windowTaken - windowAllowed) / tolerance);
+    refused = Math.max(refused, (ideal - taken) / requested);
   }
-  return { over, refused };
+  return { overshoot, refused };
 }
 
-function kill(fleet: BucketFleet, perSecond: number, count: number): void {
+function restartThreeTimes(
+  fleet: BucketFleet,
+  perSecond: number,
+  count: number,
+): void {
   fleet.run(8000, perSecond);
   for (let round = 0; round < 3; round++) {
     const lost = fleet.entries.slice(0, count);
@@ -114,8 +122,8 @@
   fleet.run(8000, perSecond);
 }
 
-function cutThird(fleet: BucketFleet): void {
+function isolateThird(fleet: BucketFleet): void {
   for (const [i, entry] of fleet.entries.entries()) {
-    entry.side = i < ENTRY_COUNT / 3 ? i + 1 : 0;
+    entry.partition = i < ENTRY_COUNT / 3 ? i + 1 : 0;
   }
 }
--- a/src/limits/_scenarios.ts
+++ b/src/limits/_scenarios.ts
@@ -5,9 +5,9 @@
 
 const TICK_MS = 50;
 const MEAN_DURATION_MS = 1000;
-const STEP_S = 20;
+const LOAD_STEP_S = 20;
 const FAULT_S = 40;
-const LIST_LAG_S = 5;
+const LIST_UPDATE_DELAY_S = 5;
 const END_S = 80;
 const LOW_DEMAND = 0.3;
 const HIGH_DEMAND = 2;
@@ -76,33 +76,39 @@
   const tokens: number[] = [];
   const faults = scheduleFaults(fleet, scenario);
   for (let atMs = 0; atMs < END_S * 1000; atMs += TICK_MS) {
-    if (atMs === STEP_S * 1000) resetTraffic(fleet);
+    if (atMs === LOAD_STEP_S * 1000) resetTraffic(fleet);
     faults.get(atMs)?.();
-    const demand = atMs < STEP_S * 1000 ? LOW_DEMAND : HIGH_DEMAND;
+    const demand = atMs < LOAD_STEP_S * 1000 ? LOW_DEMAND : HIGH_DEMAND;
     const perSecond = demand * limits.maxInFlight / MEAN_DURATION_MS * 1000;
-    const spread = spreadOf(fleet, scenario, atMs);
-    const tick = await fleet.tick((entry) => perSecond * spread(entry));
-    if (atMs < STEP_S * 1000) continue;
+    const loadShareOf = loadDistribution(fleet, scenario, atMs);
+    const tick = await fleet.tick((entry) => perSecond * loadShareOf(entry));
+    if (atMs < LOAD_STEP_S * 1000) continue;
     inFlight.push(tick.inFlight);
     tokens.push(tick.tokensAdmitted);
   }
   return summarise(fleet, { inFlight, tokens }, limits);
 }
 
-type Spread = (entry: FleetEntry) => number;
+type LoadDistribution = (entry: FleetEntry) => number;
 
-function spreadOf(fleet: Fleet, scenario: Scenario, atMs: number): Spread {
-  const live = fleet.entries.filter(({ alive }) => alive);
-  const hot = scenario === Scenario.SkewMoves && atMs >= FAULT_S * 1000 ? 1 : 0;
+function loadDistribution(
+  fleet: Fleet,
+  scenario: Scenario,
+  atMs: number,
+): LoadDistribution {
+  const aliveEntries = fleet.entries.filter(({ isAlive: alive }) => alive);
+  const hotIndex = scenario === Scenario.SkewMoves && atMs >= FAULT_S * 1000
+    ? 1
+    : 0;
   switch (scenario) {
     case Scenario.Skewed:
     case Scenario.SkewMoves:
-      return (entry) => entry === live[hot] ? 1 : 0;
+      return (entry) => entry === aliveEntries[hotIndex] ? 1 : 0;
     case Scenario.Even:
     case Scenario.CoordinatorDies:
     case Scenario.EntriesStart:
     case Scenario.Partition:
-      return () => 1 / live.length;
+      return () => 1 / aliveEntries.length;
   }
 }
 
@@ -111,31 +117,32 @@
   scenario: Scenario,
 ): Map<number, () => void> {
   const faultMs = FAULT_S * 1000;
-  const noticedMs = faultMs + LIST_LAG_S * 1000;
-  const listAll = () => fleet.setLists(() => true);
+  const listsUpdatedMs = faultMs + LIST_UPDATE_DELAY_S * 1000;
+  const listAll = () => fleet.setEntryLists(() => true);
   switch (scenario) {
     case Scenario.CoordinatorDies:
       return new Map([
         [faultMs, () => fleet.kill(coordinatorOf(fleet))],
-        [noticedMs, listAll],
+        [listsUpdatedMs, listAll],
       ]);
     case Scenario.EntriesStart: {
       const count = Math.max(1, Math.floor(fleet.entries.length / 10));
       const start = () => {
-        const known = fleet.entries[0]!.known;
+        const known = fleet.entries[0]!.knownIds;
         for (let next = 0; next < count; next++) {
-          fleet.addEntry().known.push(...known);
+          fleet.addEntry().knownIds.push(...known);
         }
       };
-      return new Map([[faultMs, start], [noticedMs, listAll]]);
+      return new Map([[faultMs, start], [listsUpdatedMs, listAll]]);
     }
     case Scenario.Partition: {
       const split = () => {
         const { entries } = fleet;
-        entries.forEach((entry, index) => entry.side = index % 2);
+        entries.forEach((entry, index) => entry.partition = index % 2);
       };
-      const list = () => fleet.setLists((a, b) => a.side === b.side);
-      return new Map([[faultMs, split], [noticedMs, list]]);
+      const listPartitions = () =>
+        fleet.setEntryLists((a, b) => a.partition === b.partition);
+      return new Map([[faultMs, split], [listsUpdatedMs, listPartitions]]);
     }
     case Scenario.Even:
     case Scenario.Skewed:
@@ -164,22 +171,22 @@
 ): ScenarioResult {
   const { inFlight, tokens } = series;
   const ratios = inFlight.map((count) => count / limits.maxInFlight);
-  const used = ratios.map((ratio) => Math.min(1, ratio));
-  const full = ratios.findIndex((ratio) => ratio >= 0.9);
-  const seconds = END_S - STEP_S;
+  const utilisations = ratios.map((ratio) => Math.min(1, ratio));
+  const rampTicks = ratios.findIndex((ratio) => ratio >= 0.9);
+  const seconds = END_S - LOAD_STEP_S;
   const bytes = sorted(fleet.entries.map((entry) => entry.bytes / seconds));
   const messages = fleet.entries.map((entry) => entry.messages / seconds);
   return {
     maxInFlightRatio: Math.max(...ratios),
-    medianInFlightRatio: middle(sorted(ratios)),
+    medianInFlightRatio: median(sorted(ratios)),
     longestOverMs: longestRun(ratios, (ratio) => ratio > 1) * TICK_MS,
-    utilisation: mean(used),
-    lateUtilisation: mean(used.slice(10_000 / TICK_MS)),
-    rampMs: full < 0 ? undefined : full * TICK_MS,
+    utilisation: mean(utilisations),
+    lateUtilisation: mean(utilisations.slice(10_000 / TICK_MS)),
+    rampMs: rampTicks < 0 ? undefined : rampTicks * TICK_MS,
     maxTokenRatio: maxOverSecond(tokens) / limits.tokensPerSecond,
     meanTokenRatio: mean(tokens) * 1000 / TICK_MS / limits.tokensPerSecond,
     maxBytesPerSecond: bytes.at(-1)!,
-    medianBytesPerSecond: middle(bytes),
+    medianBytesPerSecond: median(bytes),
     maxMessagesPerSecond: Math.max(...messages),
   };
 }
@@ -216,6 +223,6 @@
   return [...values].sort((a, b) => a - b);
 }
 
-function middle(ordered: number[]): number {
+function median(ordered: number[]): number {
   return ordered[Math.floor(ordered.length / 2)]!;
 }
--- a/src/limits/_team_use.ts
+++ b/src/limits/_team_use.ts
@@ -9,17 +9,17 @@
 const MIN_RETRY_MS = 100;
 const MAX_RETRY_MS = 30_000;
 /** Width of the jitter, as a part of the time worked out. */
-const RETRY_SPREAD = 0.5;
+const RETRY_JITTER = 0.5;
 /** Weight of the newest request in the mean time that requests take. */
 const DURATION_WEIGHT = 0.1;
 /** Part of the demand reported last that still counts, so that a quiet moment costs no share. */
 const DEMAND_DECAY = 0.5;
-const FIRST_DURATION_MS = 1000;
+const INITIAL_DURATION_MS = 1000;
 /** A report without an answer is made again after this. */
 const REPORT_TIMEOUT_MS = 3000;
 
-/** What a {@link TeamUse} is made from. */
-export interface TeamUseOptions {
+/** What a {@link TeamUsage} is made from. */
+export interface TeamUsageOptions {
   clock: Clock;
   random: () => number;
   limits: Limits;
@@ -27,7 +27,7 @@
 }
 
 /** State of one team at one entry, for dumps. */
-export interface TeamUseState {
+export interface TeamUsageState {
   team: string;
   inFlight: number;
   maxInFlight: number;
@@ -37,7 +37,7 @@
   refused: number;
 }
 
-interface HeldShare extends Limits {
+interface ActiveShare extends Limits {
   validUntilMs: number;
 }
 
@@ -49,7 +49,7 @@
 }
 
 /** Counts since the last report. */
-interface Period {
+interface ReportPeriod {
   startedMs: number;
   peakInFlight: number;
   refused: number;
@@ -58,28 +58,28 @@
 }
 
 /** Use of one team. */
-export class TeamUse {
+export class TeamUsage {
   readonly #clock: Clock;
   readonly #random: () => number;
   readonly #bucket: TokenBucket;
   #limits: Limits;
   #floor: Limits;
-  #share: HeldShare | undefined;
+  #share: ActiveShare | undefined;
   /** A share that lapsed since the last report. */
-  #lapsed: Limits | undefined;
+  #expiredShare: Limits | undefined;
   #inFlight = 0;
   #refused = 0;
-  #meanDurationMs = FIRST_DURATION_MS;
-  #period: Period;
+  #meanDurationMs = INITIAL_DURATION_MS;
+  #period: ReportPeriod;
   #nextReportMs = 0;
   #lastReportMs = -Infinity;
   #lastWantedInFlight = 0;
   /** True: the last report asked for more than it got, so that asking sooner is of no use. */
-  #wasShort = false;
+  #isCapped = false;
   /** True: the last report gave the share back, so that its answer brings none. */
-  #gaveBack = false;
+  #returnedShare = false;
 
-  private constructor(options: TeamUseOptions) {
+  private constructor(options: TeamUsageOptions) {
     const { clock, random, limits, floor } = options;
     this.#clock = clock;
     this.#random = random;
@@ -92,13 +92,13 @@
   }
 
   /** @returns Use of a team that has no request yet. */
-  static create(options: TeamUseOptions): TeamUse {
-    return new TeamUse(options);
+  static create(options: TeamUsageOptions): TeamUsage {
+    return new TeamUsage(options);
   }
 
   /** True while a share of the coordinator is in force. */
   get hasShare(): boolean {
-    return this.#heldShare() !== undefined;
+    return this.#activeShare() !== undefined;
   }
 
   /** Follows a change of the settings or of the number of entries. */
@@ -109,9 +109,9 @@
   }
 
   /** @returns Which limit stands against one more request. */
-  shortOf(tokens: number): "in_flight" | "tokens" | undefined {
-    if (this.#inFlight >= this.#cap().maxInFlight) return "in_flight";
-    return this.#bucket.msUntil(this.#needed(tokens)) > 0
+  exceededLimit(tokens: number): "in_flight" | "tokens" | undefined {
+    if (this.#inFlight >= this.#currentLimits().maxInFlight) return "in_flight";
+    return this.#bucket.msUntil(this.#requiredTokens(tokens)) > 0
       ? "tokens"
       : undefined;
   }
@@ -129,39 +129,39 @@
     this.#refused++;
     this.#period.refused++;
     this.#period.refusedTokens += tokens;
-    const places = Math.max(1, this.#cap().maxInFlight);
+    const slots = Math.max(1, this.#currentLimits().maxInFlight);
     const waitMs = reason === "in_flight"
-      ? this.#meanDurationMs * this.#period.refused / places
-      : this.#bucket.msUntil(this.#needed(tokens));
-    const boundMs = Math.min(MAX_RETRY_MS, Math.max(MIN_RETRY_MS, waitMs));
-    return Math.ceil(boundMs * (1 + RETRY_SPREAD * this.#random()));
+      ? this.#meanDurationMs * this.#period.refused / slots
+      : this.#bucket.msUntil(this.#requiredTokens(tokens));
+    const clampedMs = Math.min(MAX_RETRY_MS, Math.max(MIN_RETRY_MS, waitMs));
+    return Math.ceil(clampedMs * (1 + RETRY_JITTER * this.#random()));
   }
 
   settle({ tokensExpected, tokensUsed, durationMs }: Settlement): void {
     this.#inFlight--;
     this.#bucket.take(tokensUsed - tokensExpected);
     this.#period.admittedTokens += tokensUsed - tokensExpected;
-    const change = durationMs - this.#meanDurationMs;
-    this.#meanDurationMs += change * DURATION_WEIGHT;
+    const deviationMs = durationMs - this.#meanDurationMs;
+    this.#meanDurationMs += deviationMs * DURATION_WEIGHT;
   }
 
   /** @returns Whether this entry uses that part of its floor, or has refused. */
-  nearFloor(part: number): boolean {
+  isNearFloor(fraction: number): boolean {
     const { refused, peakInFlight } = this.#period;
     if (refused > 0) return true;
     const { maxInFlight, tokensPerSecond } = this.#floor;
-    return peakInFlight >= maxInFlight * part ||
-      this.#wantedTokensPerSecond() >= tokensPerSecond * part;
+    return peakInFlight >= maxInFlight * fraction ||
+      this.#wantedTokensPerSecond() >= tokensPerSecond * fraction;
   }
 
   /** @returns When the next report is due. */
   reportDueMs(minGapMs: number): number {
-    if (this.#period.refused === 0 || this.#wasShort) return this.#nextReportMs;
+    if (this.#period.refused === 0 || this.#isCapped) return this.#nextReportMs;
     return Math.min(this.#nextReportMs, this.#lastReportMs + minGapMs);
   }
 
   /** @returns Whether nothing is left to remember. */
-  isForgettable(): boolean {
+  isIdle(): boolean {
     const { peakInFlight, refused } = this.#period;
     return !this.hasShare && peakInFlight === 0 && refused === 0 &&
       this.#bucket.tokens >= this.#floor.tokensPerSecond * BURST_SECONDS;
@@ -169,10 +169,10 @@
 
   /** @returns The demand to report, and starts a new period. */
   report(team: string): TeamDemand {
-    const share = this.#heldShare();
+    const share = this.#activeShare();
     const { refused } = this.#period;
-    const faded = Math.floor(this.#lastWantedInFlight * DEMAND_DECAY);
-    const wantedInFlight = Math.max(faded, this.#wantedInFlight());
+    const decayedInFlight = Math.floor(this.#lastWantedInFlight * DEMAND_DECAY);
+    const wantedInFlight = Math.max(decayedInFlight, this.#wantedInFlight());
     this.#lastWantedInFlight = wantedInFlight;
     const demand = {
       team,
@@ -186,22 +186,22 @@
       shareTokensPerSecond: share?.tokensPerSecond ?? 0,
       hasShare: share !== undefined,
     };
-    this.#lapsed = undefined;
+    this.#expiredShare = undefined;
     const nowMs = this.#clock.nowMs();
     this.#lastReportMs = nowMs;
     this.#nextReportMs = nowMs + REPORT_TIMEOUT_MS;
     this.#period = startPeriod(nowMs, this.#inFlight);
-    this.#wasShort = refused > 0;
-    this.#gaveBack = demand.wantedInFlight === 0;
-    if (this.#gaveBack) this.#dropShare();
+    this.#isCapped = refused > 0;
+    this.#returnedShare = demand.wantedInFlight === 0;
+    if (this.#returnedShare) this.#dropShare();
     return demand;
   }
 
-  takeShare(share: TeamShare, sentAtMs: number): void {
+  applyShare(share: TeamShare, sentAtMs: number): void {
     // A late answer to an earlier report: the coordinator counts with a later one.
     if (sentAtMs < this.#lastReportMs) return;
     this.#nextReportMs = sentAtMs + share.nextReportMs * this.#jitter();
-    if (this.#gaveBack) return;
+    if (this.#returnedShare) return;
     this.#share = {
       maxInFlight: share.inFlight,
       tokensPerSecond: share.tokensPerSecond,
@@ -210,14 +210,14 @@
     this.#resizeBucket();
   }
 
-  reportAgainIn(afterMs: number): void {
+  scheduleReport(afterMs: number): void {
     this.#nextReportMs = this.#clock.nowMs() + afterMs * this.#jitter();
   }
 
   /** @returns The state, for dumps. */
-  state(team: string): TeamUseState {
-    const { maxInFlight, tokensPerSecond } = this.#cap();
-    const validUntilMs = this.#heldShare()?.validUntilMs ?? 0;
+  state(team: string): TeamUsageState {
+    const { maxInFlight, tokensPerSecond } = this.#currentLimits();
+    const validUntilMs = this.#activeShare()?.validUntilMs ?? 0;
     return {
       team,
       inFlight: this.#inFlight,
@@ -229,22 +229,22 @@
     };
   }
 
-  #cap(): Limits {
-    return this.#heldShare() ?? this.#lapsedCap() ?? this.#floor;
+  #currentLimits(): Limits {
+    return this.#activeShare() ?? this.#expiredShareLimits() ?? this.#floor;
   }
 
-  #heldShare(): HeldShare | undefined {
+  #activeShare(): ActiveShare | undefined {
     if (this.#share && this.#share.validUntilMs <= this.#clock.nowMs()) {
-      this.#lapsed = this.#share;
+      this.#expiredShare = this.#share;
       this.#dropShare();
     }
     return this.#share;
   }
 
   /** Until the next report a lapsed share smaller than the floor still binds. */
-  #lapsedCap(): Limits | undefined {
-    if (!this.#lapsed) return undefined;
-    const { maxInFlight, tokensPerSecond } = this.#lapsed;
+  #expiredShareLimits(): Limits | undefined {
+    if (!this.#expiredShare) return undefined;
+    const { maxInFlight, tokensPerSecond } = this.#expiredShare;
     return {
       maxInFlight: Math.min(maxInFlight, this.#floor.maxInFlight),
       tokensPerSecond: Math.min(tokensPerSecond, this.#floor.tokensPerSecond),
@@ -257,21 +257,24 @@
   }
 
   #resizeBucket(): void {
-    const { tokensPerSecond } = this.#cap();
+    const { tokensPerSecond } = this.#currentLimits();
     this.#bucket.resize(tokensPerSecond, tokensPerSecond * BURST_SECONDS);
   }
 
   /** A request larger than the bucket passes when it is full, and leaves a debt. */
-  #needed(tokens: number): number {
-    return Math.min(tokens, this.#cap().tokensPerSecond * BURST_SECONDS);
+  #requiredTokens(tokens: number): number {
+    return Math.min(
+      tokens,
+      this.#currentLimits().tokensPerSecond * BURST_SECONDS,
+    );
   }
 
   /** The peak, and what of the refused would be in flight besides. */
   #wantedInFlight(): number {
     const { startedMs, peakInFlight, refused } = this.#period;
     const periodMs = Math.max(1, this.#clock.nowMs() - startedMs);
-    const part = Math.min(1, this.#meanDurationMs / periodMs);
-    return peakInFlight + Math.ceil(refused * part);
+    const fraction = Math.min(1, this.#meanDurationMs / periodMs);
+    return peakInFlight + Math.ceil(refused * fraction);
   }
 
   #wantedTokensPerSecond(): number {
@@ -285,7 +288,7 @@
   }
 }
 
-function startPeriod(startedMs: number, inFlight: number): Period {
+function startPeriod(startedMs: number, inFlight: number): ReportPeriod {
   return {
     startedMs,
     peakInFlight: inFlight,
--- a/src/limits/fleet_test.ts
+++ b/src/limits/fleet_test.ts
@@ -50,7 +50,7 @@
     tickMs: 50,
     meanDurationMs: 1000,
   });
-  fleet.setLists(() => true);
+  fleet.setEntryLists(() => true);
   let refused = 0;
   for (let tick = 0; tick < 400; tick++) {
     refused += (await fleet.tick(() => 4)).refused;
--- a/src/limits/share_exchange.ts
+++ b/src/limits/share_exchange.ts
@@ -5,10 +5,10 @@
 import type { TeamDemand, TeamShare } from "../wire/gen/cicadahitch.ts";
 import type { TeamLimiter } from "./team_limiter.ts";
 
-const TICK_MS = 200;
+const REPORT_CHECK_INTERVAL_MS = 200;
 /** A coordinator that gave no answer is passed over this long. */
-const AVOID_MS = 3000;
-const RETRY_MS = 200;
+const BACKOFF_MS = 3000;
+const REPORT_RETRY_MS = 200;
 
 /** Why a coordinator gave no shares. */
 export type ShareFailure = { kind: "unreachable"; message: string };
@@ -29,7 +29,7 @@
   readonly #limiter: TeamLimiter;
   readonly #ports: SharePorts;
   readonly #clock: Clock;
-  readonly #avoidedUntilMs = new Map<string, number>();
+  readonly #backoffUntilMs = new Map<string, number>();
   /** Coordinator of each team for the entries in `#rankedIds`. */
   readonly #coordinators = new Map<string, string | undefined>();
   #rankedIds = "";
@@ -63,7 +63,7 @@
     while (!signal.aborted) {
       // Not awaited: a coordinator that is silent must not hold up the other teams.
       void this.reportDue();
-      await this.#clock.sleep(TICK_MS, signal);
+      await this.#clock.sleep(REPORT_CHECK_INTERVAL_MS, signal);
     }
   }
 
@@ -71,7 +71,7 @@
   async reportDue(): Promise<void> {
     const demands = this.#limiter.dueDemands();
     if (demands.length === 0) return;
-    const ids = this.#reachable();
+    const ids = this.#reachableIds();
     const batches = new Map<string, TeamDemand[]>();
     for (const demand of demands) {
       const coordinator = this.#coordinatorOf(demand.team, ids);
@@ -88,33 +88,36 @@
     const sentAtMs = this.#clock.nowMs();
     const answer = await this.#ports.exchange(entryId, demands);
     if (answer.isErr) {
-      this.#avoidedUntilMs.set(entryId, this.#clock.nowMs() + AVOID_MS);
+      this.#backoffUntilMs.set(
+        entryId,
+        this.#clock.nowMs() + BACKOFF_MS,
+      );
       for (const { team } of demands) {
-        this.#limiter.reportFailed(team, RETRY_MS);
+        this.#limiter.reportFailed(team, REPORT_RETRY_MS);
       }
       return;
     }
     const answered = new Set(answer.value.map(({ team }) => team));
-    for (const share of answer.value) this.#limiter.takeShare(share, sentAtMs);
+    for (const share of answer.value) this.#limiter.applyShare(share, sentAtMs);
     for (const { team } of demands) {
-      if (!answered.has(team)) this.#limiter.reportFailed(team, AVOID_MS);
+      if (!answered.has(team)) this.#limiter.reportFailed(team, BACKOFF_MS);
     }
   }
 
   #coordinatorOf(team: string, ids: string[]): string | undefined {
-    const joined = ids.join();
-    if (joined !== this.#rankedIds) this.#coordinators.clear();
-    this.#rankedIds = joined;
+    const joinedIds = ids.join();
+    if (joinedIds !== this.#rankedIds) this.#coordinators.clear();
+    this.#rankedIds = joinedIds;
     if (!this.#coordinators.has(team)) {
       this.#coordinators.set(team, rankProcesses(team, ids)[0]);
     }
     return this.#coordinators.get(team);
   }
 
-  #reachable(): string[] {
+  #reachableIds(): string[] {
     const nowMs = this.#clock.nowMs();
     return this.#ports.listEntries().filter((id) =>
-      (this.#avoidedUntilMs.get(id) ?? 0) <= nowMs
+      (this.#backoffUntilMs.get(id) ?? 0) <= nowMs
     );
   }
 }
--- a/src/limits/share_ledger.ts
+++ b/src/limits/share_ledger.ts
@@ -20,7 +20,7 @@
 } from "./_division.ts";
 
 /** Added to a share's time here, for clocks that run at other rates and answers on their way. */
-const LAPSE_MARGIN_MS = 500;
+const EXPIRY_MARGIN_MS = 500;
 
 /** Settings of a {@link ShareLedger}. */
 export interface ShareLedgerOptions {
@@ -34,18 +34,18 @@
 }
 
 /** What the coordinator knows about one entry. */
-interface Row {
+interface EntryRow {
   demand: TeamDemand;
   share: Limits;
-  expiresMs: number;
+  expiresAtMs: number;
 }
 
 /** One team's rows, by entry. */
-interface Book {
-  rows: Map<string, Row>;
-  openedMs: number;
+interface TeamTable {
+  rows: Map<string, EntryRow>;
+  createdAtMs: number;
   /** Until then an earlier coordinator's shares may be in use. */
-  cautiousUntilMs: number;
+  handoverUntilMs: number;
 }
 
 /** State of a ledger, for dumps. */
@@ -64,7 +64,7 @@
 /** Shares of the teams that this entry coordinates. */
 export class ShareLedger {
   readonly #options: ShareLedgerOptions;
-  readonly #books = new Map<string, Book>();
+  readonly #tables = new Map<string, TeamTable>();
 
   private constructor(options: ShareLedgerOptions) {
     this.#options = options;
@@ -89,7 +89,7 @@
     const shares: TeamShare[] = [];
     for (const demand of demands) {
       const limits = this.#options.limitsOf(demand.team);
-      if (limits) shares.push(this.#answerOne(processId, demand, limits));
+      if (limits) shares.push(this.#answerDemand(processId, demand, limits));
     }
     return shares;
   }
@@ -97,41 +97,47 @@
   /** @returns The state, for dumps. */
   state(): LedgerState[] {
     const nowMs = this.#options.clock.nowMs();
-    return [...this.#books].map(([team, { rows }]) => ({
+    return [...this.#tables].map(([team, { rows }]) => ({
       team,
-      rows: [...rows].map(([processId, { demand, share, expiresMs }]) => ({
+      rows: [...rows].map((
+        [processId, { demand, share, expiresAtMs }],
+      ) => ({
         processId,
         inFlight: demand.inFlight,
         wantedInFlight: demand.wantedInFlight,
         shareInFlight: share.maxInFlight,
         shareTokensPerSecond: share.tokensPerSecond,
-        expiresInMs: expiresMs - nowMs,
+        expiresInMs: expiresAtMs - nowMs,
       })),
     }));
   }
 
-  #answerOne(
+  #answerDemand(
     processId: string,
     demand: TeamDemand,
     limits: Limits,
   ): TeamShare {
     const nowMs = this.#options.clock.nowMs();
-    const book = this.#bookOf(demand.team, nowMs);
-    removeLapsed(book.rows, nowMs);
+    const table = this.#tableOf(demand.team, nowMs);
+    removeExpired(table.rows, nowMs);
     const ttlMs = shareTtlMs(this.#rowCount());
-    if (holdsForeignShare(book, processId, demand)) {
-      const lapsedMs = book.openedMs + ttlMs + LAPSE_MARGIN_MS;
-      book.cautiousUntilMs = Math.max(book.cautiousUntilMs, lapsedMs);
+    if (hasUnrecordedShare(table, processId, demand)) {
+      const expiredAtMs = table.createdAtMs + ttlMs + EXPIRY_MARGIN_MS;
+      table.handoverUntilMs = Math.max(table.handoverUntilMs, expiredAtMs);
     }
-    book.rows.delete(processId);
-    const others = [...book.rows.values()];
-    const divided = this.#divide(others, demand, limits);
-    const share = nowMs < book.cautiousUntilMs
-      ? confirm(demand, divided, evenShare(limits, this.#options.entryCount()))
-      : divided;
+    table.rows.delete(processId);
+    const others = [...table.rows.values()];
+    const computed = this.#divide(others, demand, limits);
+    const share = nowMs < table.handoverUntilMs
+      ? confirmShare(
+        demand,
+        computed,
+        evenShare(limits, this.#options.entryCount()),
+      )
+      : computed;
     if (!isIdle(demand)) {
-      const expiresMs = nowMs + ttlMs + LAPSE_MARGIN_MS;
-      book.rows.set(processId, { demand, share, expiresMs });
+      const expiresAtMs = nowMs + ttlMs + EXPIRY_MARGIN_MS;
+      table.rows.set(processId, { demand, share, expiresAtMs });
     }
     return {
       team: demand.team,
@@ -142,46 +148,46 @@
     };
   }
 
-  #bookOf(team: string, nowMs: number): Book {
-    const known = this.#books.get(team);
+  #tableOf(team: string, nowMs: number): TeamTable {
+    const known = this.#tables.get(team);
     if (known && known.rows.size > 0) return known;
     const { entryCount, entriesChangedMs } = this.#options;
     const ttlMs = shareTtlMs(entryCount());
-    const book = {
-      rows: new Map<string, Row>(),
-      openedMs: nowMs,
-      cautiousUntilMs: entriesChangedMs() + ttlMs + LAPSE_MARGIN_MS,
+    const table = {
+      rows: new Map<string, EntryRow>(),
+      createdAtMs: nowMs,
+      handoverUntilMs: entriesChangedMs() + ttlMs + EXPIRY_MARGIN_MS,
     };
-    this.#books.set(team, book);
-    return book;
+    this.#tables.set(team, table);
+    return table;
   }
 
   #rowCount(): number {
     let count = 0;
-    for (const { rows } of this.#books.values()) count += rows.size;
+    for (const { rows } of this.#tables.values()) count += rows.size;
     return count;
   }
 
-  #divide(others: Row[], demand: TeamDemand, limits: Limits): Limits {
+  #divide(others: EntryRow[], demand: TeamDemand, limits: Limits): Limits {
     const entryCount = this.#options.entryCount();
     const floor = floorShare(limits, entryCount);
     const reporterCount = others.length + 1;
     const silentCount = Math.max(0, entryCount - reporterCount);
-    const divide = (part: keyof Limits, pick: PickDemand) => {
-      const parts = {
-        limit: limits[part],
-        floor: floor[part],
+    const divide = (field: keyof Limits, select: DemandSelector) => {
+      const input = {
+        limit: limits[field],
+        floor: floor[field],
         silentCount,
         reporterCount,
-        wanted: pick.wanted(demand),
-        held: pick.held(demand),
-        wantedByOthers: sum(others, (row) => pick.wanted(row.demand)),
+        wanted: select.wanted(demand),
+        held: select.held(demand),
+        wantedByOthers: sum(others, (row) => select.wanted(row.demand)),
         heldByOthers: sum(others, ({ share, demand }) => {
-          const held = demand.hasShare ? pick.held(demand) : floor[part];
-          return Math.max(share[part], held, pick.used(demand));
+          const held = demand.hasShare ? select.held(demand) : floor[field];
+          return Math.max(share[field], held, select.used(demand));
         }),
       };
-      return grantableShare(targetShare(parts), parts);
+      return grantableShare(targetShare(input), input);
     };
     return {
       maxInFlight: divide("maxInFlight", IN_FLIGHT),
@@ -190,27 +196,27 @@
   }
 }
 
-interface PickDemand {
+interface DemandSelector {
   wanted(demand: TeamDemand): number;
   held(demand: TeamDemand): number;
   used(demand: TeamDemand): number;
 }
 
-const IN_FLIGHT: PickDemand = {
+const IN_FLIGHT: DemandSelector = {
   wanted: (demand) => demand.wantedInFlight,
   held: (demand) => demand.shareInFlight,
   used: (demand) => demand.inFlight,
 };
 
-const TOKENS: PickDemand = {
+const TOKENS: DemandSelector = {
   wanted: (demand) => demand.wantedTokensPerSecond,
   held: (demand) => demand.shareTokensPerSecond,
   used: () => 0,
 };
 
 /** True: the entry has a share that this book did not give. */
-function holdsForeignShare(
-  { rows }: Book,
+function hasUnrecordedShare(
+  { rows }: TeamTable,
   processId: string,
   demand: TeamDemand,
 ): boolean {
@@ -218,22 +224,26 @@
 }
 
 /** What is held stays; who holds nothing gets what there is, up to an even part. */
-function confirm(demand: TeamDemand, divided: Limits, even: Limits): Limits {
+function confirmShare(
+  demand: TeamDemand,
+  computed: Limits,
+  even: Limits,
+): Limits {
   return {
     maxInFlight: Math.max(
       demand.shareInFlight,
-      Math.min(divided.maxInFlight, even.maxInFlight),
+      Math.min(computed.maxInFlight, even.maxInFlight),
     ),
     tokensPerSecond: Math.max(
       demand.shareTokensPerSecond,
-      Math.min(divided.tokensPerSecond, even.tokensPerSecond),
+      Math.min(computed.tokensPerSecond, even.tokensPerSecond),
     ),
   };
 }
 
-function removeLapsed(rows: Map<string, Row>, nowMs: number): void {
-  for (const [processId, { expiresMs }] of rows) {
-    if (expiresMs <= nowMs) rows.delete(processId);
+function removeExpired(rows: Map<string, EntryRow>, nowMs: number): void {
+  for (const [processId, { expiresAtMs }] of rows) {
+    if (expiresAtMs <= nowMs) rows.delete(processId);
   }
 }
 
@@ -241,7 +251,7 @@
   return demand.wantedInFlight === 0;
 }
 
-function sum(rows: Row[], valueOf: (row: Row) => number): number {
+function sum(rows: EntryRow[], valueOf: (row: EntryRow) => number): number {
   let total = 0;
   for (const row of rows) total += valueOf(row);
   return total;
--- a/src/limits/shared_bucket.ts
+++ b/src/limits/shared_bucket.ts
@@ -16,11 +16,11 @@
   /** Processes that may live, this one included. */
   readonly count: number;
   /** When each other process was last heard, by its address; the clock's time. */
-  readonly heardAtMs: ReadonlyMap<string, number>;
+  readonly lastHeardAtMs: ReadonlyMap<string, number>;
 }
 
 /** What one process tells of a bucket. */
-export interface BucketTold {
+export interface BucketReport {
   /** Taken since the process started. */
   total: number;
   /** Level of its own copy. */
@@ -28,36 +28,36 @@
 }
 
 /** What this process knows of another one's use. */
-interface MemberUse {
+interface MemberUsage {
   total: number;
   /** Decaying mean, for what it has taken since its last word. */
   perMs: number;
   /** When that was. */
-  toldAtMs: number;
+  reportedAtMs: number;
   /** Since when it is silent; left out while it isn't. */
-  silentFromMs?: number;
+  silentSinceMs?: number;
 }
 
 /** A process that tells nothing for longer than this is silent; the longest pause of one is 0.6 s. */
-export const SILENT_MS = 850;
+export const SILENCE_TIMEOUT_MS = 850;
 /** Pause between looks for processes that have fallen silent. */
-const LOOK_MS = 50;
+const SILENCE_CHECK_MS = 50;
 /** Time over which a process's use is averaged. */
-const USE_MEAN_MS = 1000;
+const USAGE_AVERAGE_MS = 1000;
 /** What came in while the bucket was full still counts for takes that are told this much later. */
-const LATE_FILL_MS = 400;
+const OVERFLOW_CREDIT_MS = 400;
 /** A process with this part of the rate or less stands nearly alone. */
-const ALONE_SHARE = 0.2;
+const ISOLATED_SHARE = 0.2;
 /** Largest request that it passes, as a multiple of its part of the burst. */
-const ALONE_BURSTS = 2;
+const ISOLATED_MAX_BURSTS = 2;
 /** What all processes together may take between two words, as a multiple of what is left. */
-const UNTOLD_FACTOR = 3;
+const UNREPORTED_FACTOR = 3;
 /** With more than this part of the burst left, nothing need be spared between two words. */
-const AMPLE_SHARE = 0.4;
+const AMPLE_LEVEL_SHARE = 0.4;
 /** Part of the burst that a process's copy begins with, over all processes. */
-const START_SHARE = 0.25;
+const INITIAL_BURST_SHARE = 0.25;
 /** A copy this young takes over the level of an older one. */
-const YOUNG_MS = 1500;
+const LEVEL_ADOPTION_MS = 1500;
 
 /** Settings of a {@link SharedBucket}. */
 export interface SharedBucketOptions {
@@ -69,33 +69,34 @@
 /** One process's copy. */
 export class SharedBucket {
   readonly #members: BucketMembers;
-  readonly #uses = new Map<string, MemberUse>();
+  readonly #usages = new Map<string, MemberUsage>();
   /** Processes that were forgotten, and may come back without having started anew. */
   readonly #forgotten = new Set<string>();
-  readonly #bornAtMs: number;
+  readonly #createdAtMs: number;
   #limit: RateLimit;
   #level: number;
-  #atMs: number;
+  #updatedAtMs: number;
   #total = 0;
   /** What all others that are not silent are assumed to take. */
   #othersPerMs = 0;
-  #lookedAtMs = -Infinity;
+  #checkedAtMs = -Infinity;
   /** Did not fit into the bucket lately. */
   #overflow = 0;
-  #isTaught = false;
+  #hasAdoptedLevel = false;
   /** Taken since the others were last told. */
-  #untold = 0;
+  #unreported = 0;
   /** Part of the rate that is set aside for silent processes. */
   #silentShare = 0;
   /** Refused requests that were told when to come back. */
-  #booked = 0;
+  #retryBacklog = 0;
 
   private constructor({ limit, members, nowMs }: SharedBucketOptions) {
     this.#limit = limit;
     this.#members = members;
-    this.#bornAtMs = nowMs;
-    this.#atMs = nowMs;
-    this.#level = limit.burst * START_SHARE / Math.max(1, members.count);
+    this.#createdAtMs = nowMs;
+    this.#updatedAtMs = nowMs;
+    this.#level = limit.burst * INITIAL_BURST_SHARE /
+      Math.max(1, members.count);
   }
 
   /**
@@ -145,11 +146,14 @@
    */
   tryTake(count: number, nowMs: number): boolean {
     const level = this.level(nowMs);
-    const isUnsure = nowMs - this.#bornAtMs < SILENT_MS && this.#unheard() > 0;
+    const isStartingUp = nowMs - this.#createdAtMs < SILENCE_TIMEOUT_MS &&
+      this.#unheardCount() > 0;
     // Many that start together would each go into debt with their first request.
-    const needed = isUnsure ? Math.min(count, this.#limit.burst) : 0;
-    if (level <= 0 || level < needed || this.#isTooLarge(count)) return false;
-    if (this.#untold > 0 && this.#untold + count > this.#untoldMost()) {
+    const minLevel = isStartingUp ? Math.min(count, this.#limit.burst) : 0;
+    if (level <= 0 || level < minLevel || this.#isTooLarge(count)) return false;
+    if (
+      this.#unreported > 0 && this.#unreported + count > this.#maxUnreported()
+    ) {
       return false;
     }
     this.#take(count);
@@ -157,8 +161,8 @@
   }
 
   /** The others have been told the total. */
-  told(): void {
-    this.#untold = 0;
+  markReported(): void {
+    this.#unreported = 0;
   }
 
   /**
@@ -177,13 +181,13 @@
    * @param nowMs The time.
    * @returns Time until there is room for it.
    */
-  book(count: number, nowMs: number): number {
+  reserveRetry(count: number, nowMs: number): number {
     this.#advance(nowMs);
     const { perSecond, burst } = this.#limit;
-    const perMs = perSecond / 1000;
-    const waitMs = Math.max(0, -this.#level) / perMs +
-      this.#booked / (perMs * this.#evenShare());
-    this.#booked += Math.min(count, burst);
+    const ratePerMs = perSecond / 1000;
+    const waitMs = Math.max(0, -this.#level) / ratePerMs +
+      this.#retryBacklog / (ratePerMs * this.#evenShare());
+    this.#retryBacklog += Math.min(count, burst);
     return waitMs;
   }
 
@@ -191,40 +195,40 @@
    * Takes in what another process tells; left out: it told nothing of this bucket, and so took nothing.
    *
    * @param address The process.
-   * @param told Its word.
+   * @param report Its word.
    * @param options The time, and whether it started before this one.
    */
-  hear(
+  applyReport(
     address: string,
-    told: BucketTold | undefined,
+    report: BucketReport | undefined,
     { nowMs, isOlder }: { nowMs: number; isOlder: boolean },
   ): void {
     this.#advance(nowMs);
-    const use = this.#uses.get(address) ??
-      this.#meet(address, told, isOlder);
-    if (!use) return;
-    const isYoung = nowMs - this.#bornAtMs < YOUNG_MS;
-    if (told && isOlder && isYoung && !this.#isTaught) {
-      this.#isTaught = true;
-      this.#level = Math.min(this.#limit.burst, told.level - this.#total);
+    const usage = this.#usages.get(address) ??
+      this.#addMember(address, report, isOlder);
+    if (!usage) return;
+    const isNew = nowMs - this.#createdAtMs < LEVEL_ADOPTION_MS;
+    if (report && isOlder && isNew && !this.#hasAdoptedLevel) {
+      this.#hasAdoptedLevel = true;
+      this.#level = Math.min(this.#limit.burst, report.level - this.#total);
     }
-    const taken = told ? told.total - use.total : 0;
-    use.total += taken;
-    this.#settle(use, taken);
+    const taken = report ? report.total - usage.total : 0;
+    usage.total += taken;
+    this.#reconcile(usage, taken);
   }
 
   /** @param address A process that has started anew, and counts from 0. */
-  reborn(address: string): void {
+  resetMember(address: string): void {
     this.#forgotten.delete(address);
-    const use = this.#uses.get(address);
-    if (use) use.total = 0;
+    const usage = this.#usages.get(address);
+    if (usage) usage.total = 0;
   }
 
   /** @param address A process that is gone for good. */
   forget(address: string): void {
-    const use = this.#uses.get(address);
-    if (use?.silentFromMs === undefined) this.#othersPerMs -= use?.perMs ?? 0;
-    this.#uses.delete(address);
+    const use = this.#usages.get(address);
+    if (use?.silentSinceMs === undefined) this.#othersPerMs -= use?.perMs ?? 0;
+    this.#usages.delete(address);
     this.#forgotten.add(address);
   }
 
@@ -232,99 +236,104 @@
    * What an older process took before this copy was there is not known, nor what one took that was
    * forgotten; neither lies in a window that still matters.
    */
-  #meet(
+  #addMember(
     address: string,
-    told: BucketTold | undefined,
+    report: BucketReport | undefined,
     isOlder: boolean,
-  ): MemberUse | undefined {
-    const isUnknown = isOlder || this.#forgotten.has(address);
-    const total = isUnknown ? told?.total : 0;
+  ): MemberUsage | undefined {
+    const isHistoryUnknown = isOlder || this.#forgotten.has(address);
+    const total = isHistoryUnknown ? report?.total : 0;
     if (total === undefined) return undefined;
     this.#forgotten.delete(address);
-    const use = { total, perMs: 0, toldAtMs: this.#atMs };
-    this.#uses.set(address, use);
-    return use;
+    const usage = { total, perMs: 0, reportedAtMs: this.#updatedAtMs };
+    this.#usages.set(address, usage);
+    return usage;
   }
 
-  #settle(use: MemberUse, taken: number): void {
-    const missed = taken - this.#assumed(use);
-    const late = Math.max(0, Math.min(missed, this.#overflow));
-    this.#overflow -= late;
-    this.#level = Math.min(this.#limit.burst, this.#level - missed + late);
-    const isBack = use.silentFromMs !== undefined;
-    const before = isBack ? 0 : use.perMs;
-    const decay = Math.exp(-(this.#atMs - use.toldAtMs) / USE_MEAN_MS);
-    use.perMs = use.perMs * decay + taken / USE_MEAN_MS;
-    use.toldAtMs = this.#atMs;
-    use.silentFromMs = undefined;
-    this.#othersPerMs += use.perMs - before;
-    if (isBack) this.#look();
+  #reconcile(usage: MemberUsage, taken: number): void {
+    const excess = taken - this.#assumedUsage(usage);
+    const credited = Math.max(0, Math.min(excess, this.#overflow));
+    this.#overflow -= credited;
+    this.#level = Math.min(this.#limit.burst, this.#level - excess + credited);
+    const isReturning = usage.silentSinceMs !== undefined;
+    const countedPerMs = isReturning ? 0 : usage.perMs;
+    const decay = Math.exp(
+      -(this.#updatedAtMs - usage.reportedAtMs) / USAGE_AVERAGE_MS,
+    );
+    usage.perMs = usage.perMs * decay + taken / USAGE_AVERAGE_MS;
+    usage.reportedAtMs = this.#updatedAtMs;
+    usage.silentSinceMs = undefined;
+    this.#othersPerMs += usage.perMs - countedPerMs;
+    if (isReturning) this.#checkSilence();
   }
 
   /** Taken off the level since its last word, without its word. */
-  #assumed({ perMs, toldAtMs, silentFromMs }: MemberUse): number {
-    const untilMs = silentFromMs ?? this.#atMs;
-    const silentMs = this.#atMs - untilMs;
-    const ratePerMs = this.#limit.perSecond / 1000;
-    return perMs * (untilMs - toldAtMs) +
-      silentMs * ratePerMs * this.#evenShare();
+  #assumedUsage(
+    { perMs, reportedAtMs, silentSinceMs }: MemberUsage,
+  ): number {
+    const untilMs = silentSinceMs ?? this.#updatedAtMs;
+    const silentForMs = this.#updatedAtMs - untilMs;
+    const limitPerMs = this.#limit.perSecond / 1000;
+    return perMs * (untilMs - reportedAtMs) +
+      silentForMs * limitPerMs * this.#evenShare();
   }
 
   #take(count: number): void {
     this.#level = Math.min(this.#limit.burst, this.#level - count);
     this.#total += count;
-    this.#untold = Math.max(0, this.#untold + count);
+    this.#unreported = Math.max(0, this.#unreported + count);
   }
 
   /** Fills up to the time, less what the other processes are assumed to take. */
   #advance(nowMs: number): void {
-    const passedMs = nowMs - this.#atMs;
-    if (passedMs <= 0) return;
-    this.#atMs = nowMs;
-    if (nowMs - this.#lookedAtMs >= LOOK_MS) this.#look();
+    const elapsedMs = nowMs - this.#updatedAtMs;
+    if (elapsedMs <= 0) return;
+    this.#updatedAtMs = nowMs;
+    if (nowMs - this.#checkedAtMs >= SILENCE_CHECK_MS) this.#checkSilence();
     const { perSecond, burst } = this.#limit;
-    const perMs = perSecond / 1000;
+    const ratePerMs = perSecond / 1000;
     // Silent processes have their parts of the burst, too.
     const ownShare = 1 - this.#silentShare;
     const filled = this.#level +
-      (perMs * ownShare - this.#othersPerMs) * passedMs;
-    const most = burst * ownShare;
-    const overflow = this.#overflow + Math.max(0, filled - most);
-    this.#overflow = Math.min(perMs * LATE_FILL_MS, overflow);
-    this.#level = Math.min(most, filled);
-    const booked = this.#booked - perMs * this.#evenShare() * passedMs;
-    this.#booked = Math.max(0, booked);
+      (ratePerMs * ownShare - this.#othersPerMs) * elapsedMs;
+    const capacity = burst * ownShare;
+    const overflow = this.#overflow + Math.max(0, filled - capacity);
+    this.#overflow = Math.min(ratePerMs * OVERFLOW_CREDIT_MS, overflow);
+    this.#level = Math.min(capacity, filled);
+    const retryBacklog = this.#retryBacklog -
+      ratePerMs * this.#evenShare() * elapsedMs;
+    this.#retryBacklog = Math.max(0, retryBacklog);
   }
 
   /** Finds out who is silent. */
-  #look(): void {
-    this.#lookedAtMs = this.#atMs;
-    let silentCount = this.#unheard();
+  #checkSilence(): void {
+    this.#checkedAtMs = this.#updatedAtMs;
+    let silentCount = this.#unheardCount();
     let othersPerMs = 0;
-    for (const [address, heardAtMs] of this.#members.heardAtMs) {
-      const use = this.#uses.get(address);
-      const isSilent = this.#atMs - heardAtMs > SILENT_MS;
+    for (const [address, heardAtMs] of this.#members.lastHeardAtMs) {
+      const usage = this.#usages.get(address);
+      const isSilent = this.#updatedAtMs - heardAtMs > SILENCE_TIMEOUT_MS;
       if (isSilent) silentCount++;
-      if (!use) continue;
-      if (isSilent) use.silentFromMs ??= this.#atMs;
-      if (use.silentFromMs === undefined) othersPerMs += use.perMs;
+      if (!usage) continue;
+      if (isSilent) usage.silentSinceMs ??= this.#updatedAtMs;
+      if (usage.silentSinceMs === undefined) othersPerMs += usage.perMs;
     }
     this.#othersPerMs = othersPerMs;
     this.#silentShare = Math.min(1, silentCount * this.#evenShare());
   }
 
   /** What this process may take between two words: all together at most a few times what is left. */
-  #untoldMost(): number {
-    const left = this.#level + this.#untold;
-    if (left > this.#limit.burst * AMPLE_SHARE) return Infinity;
-    return left * this.#evenShare() * UNTOLD_FACTOR;
+  #maxUnreported(): number {
+    const available = this.#level + this.#unreported;
+    if (available > this.#limit.burst * AMPLE_LEVEL_SHARE) return Infinity;
+    return available * this.#evenShare() * UNREPORTED_FACTOR;
   }
 
   /** Alone with its part, a process pays off what is larger only after seconds, as all others do. */
   #isTooLarge(count: number): boolean {
     const ownShare = 1 - this.#silentShare;
-    if (ownShare > ALONE_SHARE) return false;
-    return count > this.#limit.burst * ownShare * ALONE_BURSTS;
+    if (ownShare > ISOLATED_SHARE) return false;
+    return count > this.#limit.burst * ownShare * ISOLATED_MAX_BURSTS;
   }
 
   #evenShare(): number {
@@ -332,7 +341,10 @@
   }
 
   /** Processes that may live, and were never heard. */
-  #unheard(): number {
-    return Math.max(0, this.#members.count - 1 - this.#members.heardAtMs.size);
+  #unheardCount(): number {
+    return Math.max(
+      0,
+      this.#members.count - 1 - this.#members.lastHeardAtMs.size,
+    );
   }
 }
--- a/src/limits/shared_bucket_test.ts
+++ b/src/limits/shared_bucket_test.ts
@@ -5,84 +5,88 @@
   BucketFleet,
   type BucketFleetOptions,
   type BucketFleetResult,
-  SharingWay,
+  SharingStrategy,
 } from "./_bucket_fleet.ts";
 import { SharedBucket } from "./shared_bucket.ts";
 
 const SEED = 20_261_203;
 /** What may be over, beside the limit: a tenth of it, and so many tokens. */
-const OVER_SHARE = 0.1;
-const OVER_TOKENS = 140_000;
+const TOLERANCE_SHARE = 0.1;
+const TOLERANCE_TOKENS = 140_000;
 /** Usual use of a workspace, as a part of its limit. */
-const USUAL = 1 / 1.8;
+const USUAL_LOAD = 1 / 1.8;
 /** A workspace of nine times its usual use. */
-const HOT = 9 * USUAL;
+const OVERLOAD = 9 * USUAL_LOAD;
 const RATES = [638_023, 200_000, 36_000];
 
-function open(
+function startFleet(
   perSecond: number,
   options: Partial<BucketFleetOptions> = {},
 ): BucketFleet {
   const limit = { perSecond, burst: perSecond };
   const fleet = BucketFleet.create({
-    way: SharingWay.shared,
+    strategy: SharingStrategy.shared,
     entryCount: 30,
     limit,
     seed: SEED,
     ...options,
   });
-  fleet.run(4000, perSecond * USUAL);
+  fleet.run(4000, perSecond * USUAL_LOAD);
   fleet.reset();
   return fleet;
 }
 
-function assertWithin({ windowTaken, windowAllowed }: BucketFleetResult): void {
-  assert.ok(windowTaken <= windowAllowed * (1 + OVER_SHARE) + OVER_TOKENS);
+function assertWithinLimit(
+  { windowTaken, windowAllowed }: BucketFleetResult,
+): void {
+  assert.ok(
+    windowTaken <= windowAllowed * (1 + TOLERANCE_SHARE) + TOLERANCE_TOKENS,
+  );
 }
 
 /** Part of what one bucket for all would have admitted that was refused. */
-function wronglyRefused({ ideal, taken }: BucketFleetResult): number {
+function wronglyRefusedShare({ ideal, taken }: BucketFleetResult): number {
   return Math.max(0, ideal - taken) / ideal;
 }
 
 test("usual use is not refused", () => {
   for (const rate of RATES) {
-    const fleet = open(rate);
-    fleet.run(20_000, rate * USUAL);
-    assert.ok(wronglyRefused(fleet.result()) < 0.01);
+    const fleet = startFleet(rate);
+    fleet.run(20_000, rate * USUAL_LOAD);
+    assert.ok(wronglyRefusedShare(fleet.result()) < 0.01);
   }
 });
 
 test("workspace that moves to other entries is not refused", () => {
   for (const rate of RATES) {
-    const fleet = open(rate);
+    const fleet = startFleet(rate);
     for (const [i, entry] of fleet.entries.entries()) {
       entry.demand = i < 10 ? 1 : 0;
     }
-    fleet.run(6000, rate * USUAL);
+    fleet.run(6000, rate * USUAL_LOAD);
     for (const entry of fleet.entries) entry.demand = 1 - entry.demand;
-    fleet.run(6000, rate * USUAL);
-    assert.ok(wronglyRefused(fleet.result()) < 0.01);
+    fleet.run(6000, rate * USUAL_LOAD);
+    assert.ok(wronglyRefusedShare(fleet.result()) < 0.01);
   }
 });
 
 test("hot workspace stays within its limit, and gets all of it", () => {
   for (const rate of RATES) {
-    const fleet = open(rate);
-    fleet.run(20_000, rate * HOT);
-    assertWithin(fleet.result());
-    assert.ok(wronglyRefused(fleet.result()) < 0.01);
+    const fleet = startFleet(rate);
+    fleet.run(20_000, rate * OVERLOAD);
+    assertWithinLimit(fleet.result());
+    assert.ok(wronglyRefusedShare(fleet.result()) < 0.01);
   }
 });
 
 test("hot workspace at a few entries stays within its limit", () => {
   for (const rate of RATES) {
-    const fleet = open(rate);
+    const fleet = startFleet(rate);
     for (const [i, entry] of fleet.entries.entries()) {
       entry.demand = i < 3 ? 10 : 0.2;
     }
-    fleet.run(20_000, rate * HOT);
-    assertWithin(fleet.result());
+    fleet.run(20_000, rate * OVERLOAD);
+    assertWithinLimit(fleet.result());
   }
 });
 
@@ -96,17 +100,17 @@
   });
   fc.assert(
     fc.property(arbitrary, ({ seed, rate, killed, downMs, upMs }) => {
-      const fleet = open(rate, { seed });
-      fleet.run(6000, rate * HOT);
+      const fleet = startFleet(rate, { seed });
+      fleet.run(6000, rate * OVERLOAD);
       for (let round = 0; round < 2; round++) {
         const lost = fleet.entries.slice(0, killed);
         for (const entry of lost) entry.isUp = false;
-        fleet.run(downMs, rate * HOT);
+        fleet.run(downMs, rate * OVERLOAD);
         for (const { address } of lost) fleet.restart(address);
-        fleet.run(upMs, rate * HOT);
+        fleet.run(upMs, rate * OVERLOAD);
       }
-      fleet.run(4000, rate * HOT);
-      assertWithin(fleet.result());
+      fleet.run(4000, rate * OVERLOAD);
+      assertWithinLimit(fleet.result());
     }),
     { seed: SEED, numRuns: 12 },
   );
@@ -114,61 +118,61 @@
 
 test("both sides of a partition together stay within the limit", () => {
   for (const rate of RATES) {
-    const fleet = open(rate);
-    for (const [i, entry] of fleet.entries.entries()) entry.side = i % 2;
-    fleet.run(2000, rate * USUAL);
-    fleet.run(10_000, rate * HOT);
-    for (const entry of fleet.entries) entry.side = 0;
-    fleet.run(10_000, rate * HOT);
-    assertWithin(fleet.result());
+    const fleet = startFleet(rate);
+    for (const [i, entry] of fleet.entries.entries()) entry.partition = i % 2;
+    fleet.run(2000, rate * USUAL_LOAD);
+    fleet.run(10_000, rate * OVERLOAD);
+    for (const entry of fleet.entries) entry.partition = 0;
+    fleet.run(10_000, rate * OVERLOAD);
+    assertWithinLimit(fleet.result());
   }
 });
 
 test("entries cut off from all others keep the fleet within the limit", () => {
-  const fleet = open(RATES[0]!);
+  const fleet = startFleet(RATES[0]!);
   for (const [i, entry] of fleet.entries.entries()) {
-    entry.side = i < 10 ? i + 1 : 0;
+    entry.partition = i < 10 ? i + 1 : 0;
   }
-  fleet.run(2000, RATES[0]! * USUAL);
-  fleet.run(10_000, RATES[0]! * HOT);
-  assertWithin(fleet.result());
+  fleet.run(2000, RATES[0]! * USUAL_LOAD);
+  fleet.run(10_000, RATES[0]! * OVERLOAD);
+  assertWithinLimit(fleet.result());
 });
 
 test("entries that come back after a long cut are not counted anew", () => {
   const rate = RATES[0]!;
-  const fleet = open(rate);
-  fleet.run(8000, rate * USUAL);
-  for (const [i, entry] of fleet.entries.entries()) entry.side = i % 2;
-  fleet.run(25_000, rate * USUAL);
-  for (const entry of fleet.entries) entry.side = 0;
-  fleet.run(1000, rate * USUAL);
+  const fleet = startFleet(rate);
+  fleet.run(8000, rate * USUAL_LOAD);
+  for (const [i, entry] of fleet.entries.entries()) entry.partition = i % 2;
+  fleet.run(25_000, rate * USUAL_LOAD);
+  for (const entry of fleet.entries) entry.partition = 0;
+  fleet.run(1000, rate * USUAL_LOAD);
   fleet.reset();
-  fleet.run(6000, rate * USUAL);
-  assert.ok(wronglyRefused(fleet.result()) < 0.01);
+  fleet.run(6000, rate * USUAL_LOAD);
+  assert.ok(wronglyRefusedShare(fleet.result()) < 0.01);
 });
 
 test("lowered limit binds one window later", () => {
   const rate = RATES[0]!;
-  const fleet = open(rate);
-  fleet.run(4000, rate * USUAL);
+  const fleet = startFleet(rate);
+  fleet.run(4000, rate * USUAL_LOAD);
   fleet.setLimit({ perSecond: rate / 8, burst: rate / 8 });
-  fleet.run(16_000, rate * USUAL);
-  assertWithin(fleet.result());
+  fleet.run(16_000, rate * USUAL_LOAD);
+  assertWithinLimit(fleet.result());
 });
 
 test("raised limit is used at once", () => {
   const rate = RATES[0]!;
-  const fleet = open(rate / 8);
-  fleet.run(6000, rate * USUAL);
+  const fleet = startFleet(rate / 8);
+  fleet.run(6000, rate * USUAL_LOAD);
   fleet.setLimit({ perSecond: rate, burst: rate });
-  fleet.run(1000, rate * USUAL);
+  fleet.run(1000, rate * USUAL_LOAD);
   fleet.reset();
-  fleet.run(6000, rate * USUAL);
-  assert.ok(wronglyRefused(fleet.result()) < 0.01);
+  fleet.run(6000, rate * USUAL_LOAD);
+  assert.ok(wronglyRefusedShare(fleet.result()) < 0.01);
 });
 
-function alone(perSecond: number, burst: number): SharedBucket {
-  const members = { count: 1, heardAtMs: new Map() };
+function createLoneBucket(perSecond: number, burst: number): SharedBucket {
+  const members = { count: 1, lastHeardAtMs: new Map() };
   const limit = { perSecond, burst };
   const bucket = SharedBucket.create({ limit, members, nowMs: 0 });
   bucket.level(10_000);
@@ -176,15 +180,15 @@
 }
 
 test("request larger than the burst passes once, and leaves a debt", () => {
-  const bucket = alone(1000, 1000);
+  const bucket = createLoneBucket(1000, 1000);
   assert.ok(bucket.tryTake(5000, 10_000));
   assert.ok(!bucket.tryTake(1, 13_900));
   assert.ok(bucket.tryTake(1, 14_100));
 });
 
 test("refused requests are told to come back one after the other", () => {
-  const bucket = alone(1000, 1000);
+  const bucket = createLoneBucket(1000, 1000);
   bucket.take(2000, 10_000);
-  assert.equal(bucket.book(500, 10_000), 1000);
-  assert.equal(bucket.book(500, 10_000), 1500);
+  assert.equal(bucket.reserveRetry(500, 10_000), 1000);
+  assert.equal(bucket.reserveRetry(500, 10_000), 1500);
 });
--- a/src/limits/shared_buckets.ts
+++ b/src/limits/shared_buckets.ts
@@ -16,19 +16,19 @@
   | { kind: "refused"; retryAfterMs: number };
 
 /** Each change is told so often, as datagrams may be lost. */
-const TELLINGS = 3;
+const SENDS_PER_CHANGE = 3;
 /** Rows in one datagram; the others wait for the next. */
-const MAX_ROWS = 40;
+const MAX_ROWS_PER_DATAGRAM = 40;
 /** Those of them that are no news. */
-const MAX_RETOLD = 4;
+const MAX_UNCHANGED_ROWS = 4;
 /** Processes are counted this often; it is asked for with each request and datagram. */
-const COUNT_MS = 50;
+const MEMBER_COUNT_TTL_MS = 50;
 /** A silent process keeps its part of each rate for this long. */
-const FORGET_MS = 20_000;
+const SILENT_MEMBER_TTL_MS = 20_000;
 /** A process that started this much before another one has seen more. */
-const OLDER_BY_MS = 1000;
+const OLDER_MARGIN_MS = 1000;
 /** Added to the time at which there is room, by chance, so that refused callers come apart. */
-const RETRY_SPREAD_MS = 500;
+const RETRY_JITTER_MS = 500;
 
 /** What {@link SharedBuckets} work with. */
 export interface SharedBucketsOptions {
@@ -40,7 +40,7 @@
 }
 
 /** What another process tells. */
-export interface BucketNews {
+export interface MemberReport {
   /** When it started, since 1970, by its own clock. */
   startedAtMs: number;
   rows: readonly BucketRow[];
@@ -54,9 +54,9 @@
   refused: number;
 }
 
-interface Tracked {
+interface TrackedBucket {
   bucket: SharedBucket;
-  tellingsLeft: number;
+  sendsLeft: number;
   refused: number;
 }
 
@@ -64,12 +64,12 @@
 export class SharedBuckets {
   readonly #options: SharedBucketsOptions;
   readonly #startedAtMs: number;
-  readonly #tracked = new Map<string, Tracked>();
-  readonly #heardAtMs = new Map<string, number>();
-  readonly #startsAtMs = new Map<string, number>();
+  readonly #tracked = new Map<string, TrackedBucket>();
+  readonly #lastHeardAtMs = new Map<string, number>();
+  readonly #memberStartedAtMs = new Map<string, number>();
   readonly #members: BucketMembers;
-  #counted = 1;
-  #countedAtMs = -Infinity;
+  #cachedCount = 1;
+  #cachedCountAtMs = -Infinity;
 
   private constructor(options: SharedBucketsOptions) {
     this.#options = options;
@@ -79,7 +79,7 @@
       get count() {
         return count();
       },
-      heardAtMs: this.#heardAtMs,
+      lastHeardAtMs: this.#lastHeardAtMs,
     };
   }
 
@@ -120,12 +120,12 @@
     const { clock, random } = this.#options;
     const nowMs = clock.nowMs();
     if (tracked.bucket.tryTake(count, nowMs)) {
-      tracked.tellingsLeft = TELLINGS;
+      tracked.sendsLeft = SENDS_PER_CHANGE;
       return { kind: "admitted" };
     }
     tracked.refused++;
-    const roomInMs = tracked.bucket.book(count, nowMs);
-    const retryAfterMs = roomInMs + RETRY_SPREAD_MS * random();
+    const availableInMs = tracked.bucket.reserveRetry(count, nowMs);
+    const retryAfterMs = availableInMs + RETRY_JITTER_MS * random();
     return { kind: "refused", retryAfterMs };
   }
 
@@ -137,13 +137,13 @@
     const tracked = this.#tracked.get(name);
     if (!tracked) return;
     tracked.bucket.take(count, this.#options.clock.nowMs());
-    tracked.tellingsLeft = TELLINGS;
+    tracked.sendsLeft = SENDS_PER_CHANGE;
   }
 
   /** Whether something was taken that others were not told often enough. */
   get hasNews(): boolean {
-    for (const { tellingsLeft } of this.#tracked.values()) {
-      if (tellingsLeft > 0) return true;
+    for (const { sendsLeft } of this.#tracked.values()) {
+      if (sendsLeft > 0) return true;
     }
     return false;
   }
@@ -152,14 +152,14 @@
   takeRows(): BucketRow[] {
     const nowMs = this.#options.clock.nowMs();
     const rows: BucketRow[] = [];
-    let retold = 0;
+    let unchangedCount = 0;
     for (const [name, tracked] of [...this.#tracked]) {
-      if (rows.length === MAX_ROWS) break;
-      const { bucket, tellingsLeft } = tracked;
-      if (tellingsLeft === 0 && retold++ >= MAX_RETOLD) continue;
+      if (rows.length === MAX_ROWS_PER_DATAGRAM) break;
+      const { bucket, sendsLeft } = tracked;
+      if (sendsLeft === 0 && unchangedCount++ >= MAX_UNCHANGED_ROWS) continue;
       rows.push([name, bucket.total, Math.round(bucket.level(nowMs))]);
-      bucket.told();
-      tracked.tellingsLeft = Math.max(0, tellingsLeft - 1);
+      bucket.markReported();
+      tracked.sendsLeft = Math.max(0, sendsLeft - 1);
       // Those that are left out come first next time.
       this.#tracked.delete(name);
       this.#tracked.set(name, tracked);
@@ -171,22 +171,25 @@
    * @param address Another process.
    * @param news What it tells.
    */
-  hear(address: string, { startedAtMs, rows }: BucketNews): void {
+  hear(address: string, { startedAtMs, rows }: MemberReport): void {
     const nowMs = this.#options.clock.nowMs();
-    const before = this.#startsAtMs.get(address);
-    if (before !== undefined && startedAtMs < before) return;
-    const isReborn = before !== undefined && startedAtMs > before;
-    const isOlder = startedAtMs + OLDER_BY_MS < this.#startedAtMs;
-    this.#startsAtMs.set(address, startedAtMs);
-    this.#heardAtMs.set(address, nowMs);
-    const told = new Map(
+    const previousStartedAtMs = this.#memberStartedAtMs.get(address);
+    if (
+      previousStartedAtMs !== undefined && startedAtMs < previousStartedAtMs
+    ) return;
+    const hasRestarted = previousStartedAtMs !== undefined &&
+      startedAtMs > previousStartedAtMs;
+    const isOlder = startedAtMs + OLDER_MARGIN_MS < this.#startedAtMs;
+    this.#memberStartedAtMs.set(address, startedAtMs);
+    this.#lastHeardAtMs.set(address, nowMs);
+    const reports = new Map(
       rows.map(([name, total, level]) => [name, { total, level }]),
     );
     for (const [name, { bucket }] of this.#tracked) {
-      if (isReborn) bucket.reborn(address);
-      bucket.hear(address, told.get(name), { nowMs, isOlder });
+      if (hasRestarted) bucket.resetMember(address);
+      bucket.applyReport(address, reports.get(name), { nowMs, isOlder });
     }
-    this.#forgetSilent(nowMs);
+    this.#forgetSilentMembers(nowMs);
   }
 
   /** @returns The state of each bucket, for dumps. */
@@ -204,23 +207,23 @@
   #memberCount(): number {
     const { clock, memberCount } = this.#options;
     const nowMs = clock.nowMs();
-    if (nowMs - this.#countedAtMs >= COUNT_MS) {
-      this.#countedAtMs = nowMs;
-      this.#counted = memberCount();
+    if (nowMs - this.#cachedCountAtMs >= MEMBER_COUNT_TTL_MS) {
+      this.#cachedCountAtMs = nowMs;
+      this.#cachedCount = memberCount();
     }
-    return this.#counted;
+    return this.#cachedCount;
   }
 
   #track(name: string, limit: RateLimit, nowMs: number): void {
     const members = this.#members;
     const bucket = SharedBucket.create({ limit, members, nowMs });
-    this.#tracked.set(name, { bucket, tellingsLeft: 0, refused: 0 });
+    this.#tracked.set(name, { bucket, sendsLeft: 0, refused: 0 });
   }
 
-  #forgetSilent(nowMs: number): void {
-    for (const [address, heardAtMs] of this.#heardAtMs) {
-      if (nowMs - heardAtMs <= FORGET_MS) continue;
-      this.#heardAtMs.delete(address);
+  #forgetSilentMembers(nowMs: number): void {
+    for (const [address, heardAtMs] of this.#lastHeardAtMs) {
+      if (nowMs - heardAtMs <= SILENT_MEMBER_TTL_MS) continue;
+      this.#lastHeardAtMs.delete(address);
       for (const { bucket } of this.#tracked.values()) bucket.forget(address);
     }
   }
--- a/src/limits/team_limiter.ts
+++ b/src/limits/team_limiter.ts
@@ -5,10 +5,10 @@
 import type { Clock } from "../base/mod.ts";
 import type { TeamDemand, TeamShare } from "../wire/gen/cicadahitch.ts";
 import { floorShare, type Limits } from "./_division.ts";
-import { TeamUse, type TeamUseState } from "./_team_use.ts";
+import { TeamUsage, type TeamUsageState } from "./_team_use.ts";
 
 /** Part of the floor from which an entry asks for a share. */
-const NEAR_FLOOR = 0.75;
+const FLOOR_REPORT_SHARE = 0.75;
 /** A refusal brings the next report forward, but not closer than this to the last one. */
 const MIN_REPORT_GAP_MS = 1000;
 
@@ -43,7 +43,7 @@
 /** Admits requests of all teams at one entry. */
 export class TeamLimiter {
   readonly #options: TeamLimiterOptions;
-  readonly #uses = new Map<string, TeamUse>();
+  readonly #usages = new Map<string, TeamUsage>();
 
   private constructor(options: TeamLimiterOptions) {
     this.#options = options;
@@ -67,14 +67,14 @@
     if (!limits) {
       return { kind: "refused", retryAfterMs: 0, reason: "unknown_team" };
     }
-    const use = this.#useOf(team, limits);
-    const reason = use.shortOf(tokensExpected);
+    const usage = this.#usageOf(team, limits);
+    const reason = usage.exceededLimit(tokensExpected);
     if (reason) {
-      const retryAfterMs = use.refuse(reason, tokensExpected);
+      const retryAfterMs = usage.refuse(reason, tokensExpected);
       return { kind: "refused", retryAfterMs, reason };
     }
-    use.admit(tokensExpected);
-    const admission = this.#admissionOf(use, tokensExpected);
+    usage.admit(tokensExpected);
+    const admission = this.#createAdmission(usage, tokensExpected);
     return { kind: "admitted", admission };
   }
 
@@ -86,14 +86,15 @@
   dueDemands(): TeamDemand[] {
     const nowMs = this.#options.clock.nowMs();
     const due: TeamDemand[] = [];
-    for (const [team, use] of this.#uses) {
-      if (this.#limitsGone(team) || use.isForgettable()) {
-        this.#uses.delete(team);
+    for (const [team, usage] of this.#usages) {
+      if (this.#hasNoLimits(team) || usage.isIdle()) {
+        this.#usages.delete(team);
         continue;
       }
-      const needsShare = use.hasShare || use.nearFloor(NEAR_FLOOR);
-      if (!needsShare || nowMs < use.reportDueMs(MIN_REPORT_GAP_MS)) continue;
-      due.push(use.report(team));
+      const needsShare = usage.hasShare ||
+        usage.isNearFloor(FLOOR_REPORT_SHARE);
+      if (!needsShare || nowMs < usage.reportDueMs(MIN_REPORT_GAP_MS)) continue;
+      due.push(usage.report(team));
     }
     return due;
   }
@@ -104,8 +105,8 @@
    * @param share The coordinator's answer.
    * @param sentAtMs When the demand was sent; the share's time counts from there.
    */
-  takeShare(share: TeamShare, sentAtMs: number): void {
-    this.#uses.get(share.team)?.takeShare(share, sentAtMs);
+  applyShare(share: TeamShare, sentAtMs: number): void {
+    this.#usages.get(share.team)?.applyShare(share, sentAtMs);
   }
 
   /**
@@ -115,32 +116,32 @@
    * @param afterMs When.
    */
   reportFailed(team: string, afterMs: number): void {
-    this.#uses.get(team)?.reportAgainIn(afterMs);
+    this.#usages.get(team)?.scheduleReport(afterMs);
   }
 
   /** @returns The state of each team in use, for dumps. */
-  state(): TeamUseState[] {
-    return [...this.#uses].map(([team, use]) => use.state(team));
+  state(): TeamUsageState[] {
+    return [...this.#usages].map(([team, usage]) => usage.state(team));
   }
 
-  #limitsGone(team: string): boolean {
+  #hasNoLimits(team: string): boolean {
     return this.#options.limitsOf(team) === undefined;
   }
 
-  #useOf(team: string, limits: Limits): TeamUse {
+  #usageOf(team: string, limits: Limits): TeamUsage {
     const { clock, random, entryCount } = this.#options;
     const floor = floorShare(limits, entryCount());
-    const known = this.#uses.get(team);
+    const known = this.#usages.get(team);
     if (known) {
       known.setLimits(limits, floor);
       return known;
     }
-    const use = TeamUse.create({ clock, random, limits, floor });
-    this.#uses.set(team, use);
-    return use;
+    const usage = TeamUsage.create({ clock, random, limits, floor });
+    this.#usages.set(team, usage);
+    return usage;
   }
 
-  #admissionOf(use: TeamUse, tokensExpected: number): Admission {
+  #createAdmission(usage: TeamUsage, tokensExpected: number): Admission {
     const { clock } = this.#options;
     const admittedMs = clock.nowMs();
     let isOpen = true;
@@ -149,7 +150,7 @@
         if (!isOpen) return;
         isOpen = false;
         const durationMs = clock.nowMs() - admittedMs;
-        use.settle({ tokensExpected, tokensUsed, durationMs });
+        usage.settle({ tokensExpected, tokensUsed, durationMs });
       },
     };
   }
--- a/src/limits/team_limiter_test.ts
+++ b/src/limits/team_limiter_test.ts
@@ -49,7 +49,7 @@
 test("admits its share until it lapses", async () => {
   const { clock, limiter, fill } = setUp(2);
   limiter.tryAdmit(TEAM, 0);
-  limiter.takeShare(share(), clock.nowMs());
+  limiter.applyShare(share(), clock.nowMs());
   assert.equal(fill().admissions.length, 49);
   await clock.advance(3000);
   assert.equal(limiter.state()[0]!.maxInFlight, 10);
@@ -60,14 +60,14 @@
   limiter.tryAdmit(TEAM, 0);
   const sentAtMs = clock.nowMs();
   await clock.advance(3000);
-  limiter.takeShare(share(), sentAtMs);
+  limiter.applyShare(share(), sentAtMs);
   assert.equal(limiter.state()[0]!.maxInFlight, 10);
 });
 
 test("lapsed share below the floor binds until the next report", async () => {
   const { clock, limiter } = setUp(2);
   limiter.tryAdmit(TEAM, 0);
-  limiter.takeShare(share({ inFlight: 1 }), clock.nowMs());
+  limiter.applyShare(share({ inFlight: 1 }), clock.nowMs());
   assert.equal(limiter.tryAdmit(TEAM, 0).kind, "refused");
   await clock.advance(3000);
   assert.equal(limiter.state()[0]!.maxInFlight, 1);
@@ -82,7 +82,7 @@
   const sentAtMs = clock.nowMs();
   await clock.advance(4000);
   assert.equal(limiter.dueDemands().length, 1);
-  limiter.takeShare(share({ ttlMs: 9000 }), sentAtMs);
+  limiter.applyShare(share({ ttlMs: 9000 }), sentAtMs);
   assert.equal(limiter.state()[0]!.maxInFlight, 10);
 });
 
@@ -196,7 +196,7 @@
         const demands = limiter.dueDemands();
         for (const answer of ledger.answer(`e${index}`, demands)) {
           if (lostAnswer) limiter.reportFailed(TEAM, 200);
-          else limiter.takeShare(answer, clock.nowMs());
+          else limiter.applyShare(answer, clock.nowMs());
         }
       },
     };
--- a/src/limits/token_bucket.ts
+++ b/src/limits/token_bucket.ts
@@ -17,14 +17,14 @@
   #perSecond: number;
   #burst: number;
   #tokens: number;
-  #filledAtMs: number;
+  #refilledAtMs: number;
 
   private constructor(options: TokenBucketOptions) {
     this.#clock = options.clock;
     this.#perSecond = options.perSecond;
     this.#burst = options.burst;
     this.#tokens = options.initial ?? options.burst;
-    this.#filledAtMs = options.clock.nowMs();
+    this.#refilledAtMs = options.clock.nowMs();
   }
 
   /**
@@ -37,7 +37,7 @@
 
   /** Tokens at hand; negative: debt. */
   get tokens(): number {
-    this.#fill();
+    this.#refill();
     return this.#tokens;
   }
 
@@ -45,7 +45,7 @@
    * @param count Tokens to take, whatever is at hand; negative: to give back.
    */
   take(count: number): void {
-    this.#fill();
+    this.#refill();
     this.#tokens = Math.min(this.#burst, this.#tokens - count);
   }
 
@@ -73,16 +73,16 @@
    * @param burst The new size; what is at hand is cut to it.
    */
   resize(perSecond: number, burst: number): void {
-    this.#fill();
+    this.#refill();
     this.#perSecond = perSecond;
     this.#burst = burst;
     this.#tokens = Math.min(this.#tokens, burst);
   }
 
-  #fill(): void {
+  #refill(): void {
     const nowMs = this.#clock.nowMs();
-    const gained = (nowMs - this.#filledAtMs) / 1000 * this.#perSecond;
-    this.#tokens = Math.min(this.#burst, this.#tokens + gained);
-    this.#filledAtMs = nowMs;
+    const accrued = (nowMs - this.#refilledAtMs) / 1000 * this.#perSecond;
+    this.#tokens = Math.min(this.#burst, this.#tokens + accrued);
+    this.#refilledAtMs = nowMs;
   }
 }
