--- a/src/limits/_bucket_fleet.ts
+++ b/src/limits/_bucket_fleet.ts
@@ -1,4 +1,4 @@
-/** Entries that share one workspace's limit, in virtual time, under several ways to share it. */
+/** Simulates entries that share one workspace's limit by several strategies, in virtual time. */
 import type { Clock } from "../base/mod.ts";
 import { seededRandom } from "../base/random.ts";
 import { tellPauseMs } from "../router/tell_pace.ts";
@@ -6,13 +6,13 @@
 import type { RateLimit } from "./shared_bucket.ts";
 import { TokenBucket } from "./token_bucket.ts";
 
-/** Ways to keep a limit over all entries. */
+/** Strategies to enforce one limit at all entries together. */
 export const SharingStrategy = {
-  /** Each has an equal part. */
+  /** Each entry has an equal part of the limit. */
   even: "even",
-  /** Each subtracts what others have told, and nothing else. */
+  /** Each entry deducts only the usage that others have reported, without estimates. */
   reportedOnly: "told_only",
-  /** As {@link SharedBuckets} do. */
+  /** The entries use {@link SharedBuckets}. */
   shared: "shared",
 } as const;
 
@@ -28,23 +28,24 @@
   seed: number;
 }
 
-/** What a fleet has admitted. */
+/** Tokens that a simulated fleet has admitted. */
 export interface BucketFleetResult {
-  /** Most that was taken in a window, and what the limit allows in it without any slack. */
+  /** Most tokens taken in any window, and the tokens that the limit allows in a window. */
   windowTaken: number;
   windowAllowed: number;
   requested: number;
   taken: number;
-  /** What one bucket for all would have admitted. */
+  /** Tokens that a single bucket for all entries would have admitted. */
   ideal: number;
 }
 
-/** One entry. */
+/** One simulated entry. */
 export interface BucketEntry {
   address: string;
   isUp: boolean;
-  /** Entries on different sides don't hear each other. */
+  /** Entries in different partitions get no reports of each other. */
   partition: number;
+  /** Relative weight of this entry's part of the load. */
   demand: number;
 }
 
@@ -68,7 +69,7 @@
 const LOSS_RATE = 0.03;
 const MAX_DELAY_MS = 20;
 const MAX_CLOCK_SKEW_MS = 400;
-/** Sizes of requests, as often as they stand here. */
+/** Request sizes in tokens; each element is equally likely. */
 const REQUEST_SIZES = [
   2400,
   2400,
@@ -84,7 +85,7 @@
 const MEAN_REQUEST_SIZE = REQUEST_SIZES.reduce((sum, size) => sum + size, 0) /
   REQUEST_SIZES.length;
 
-/** Entries with a copy of the bucket each. */
+/** A simulated fleet in which each entry has its own copy of the bucket. */
 export class BucketFleet {
   readonly #options: BucketFleetOptions;
   readonly #random: () => number;
@@ -94,7 +95,7 @@
   #singleBucket: TokenBucket;
   #nowMs = 100_000;
   #datagrams: Datagram[] = [];
-  /** Taken in each tick. */
+  /** Tokens taken in each tick. */
   readonly #takenPerTick: number[] = [];
   #requested = 0;
   #ideal = 0;
@@ -109,19 +110,19 @@
   }
 
   /**
-   * @param options Way, sizes and seed.
-   * @returns Entries that have just started.
+   * @param options Strategy, sizes and seed.
+   * @returns A fleet whose entries have just started.
    */
   static create(options: BucketFleetOptions): BucketFleet {
     return new BucketFleet(options);
   }
 
-  /** The entries. */
+  /** All entries, including those that are down. */
   get entries(): readonly BucketEntry[] {
     return this.#entries;
   }
 
-  /** @param limit The limit from now on, at all entries. */
+  /** @param limit The new limit of all entries; also clears the tokens counted so far. */
   setLimit(limit: RateLimit): void {
     this.#limit = limit;
     this.#singleBucket.resize(limit.perSecond, limit.burst);
@@ -129,7 +130,7 @@
     this.#takenPerTick.length = 0;
   }
 
-  /** @param address An entry that ends, and starts again later. */
+  /** @param address An entry that starts again, without the state that it had. */
   restart(address: string): void {
     const entry = this.#entries.find((one) => one.address === address)!;
     entry.buckets = this.#createBuckets(entry.clockSkewMs);
@@ -139,14 +140,14 @@
   }
 
   /**
-   * @param ms Time that passes.
-   * @param perSecond Tokens that are asked for over all entries, by their demands.
+   * @param ms Virtual time to simulate.
+   * @param perSecond Tokens per second requested from all entries, in proportion to their demands.
    */
   run(ms: number, perSecond: number): void {
     for (let timeMs = 0; timeMs < ms; timeMs += TICK_MS) this.#tick(perSecond);
   }
 
-  /** @returns What came of it. */
+  /** @returns The tokens requested and taken since the last reset. */
   result(): BucketFleetResult {
     const { perSecond, burst } = this.#limit;
     const ticks = WINDOW_MS / TICK_MS;
@@ -165,7 +166,7 @@
     };
   }
 
-  /** Counts asked, taken and ideal from now on. */
+  /** Clears the counts of requested and taken tokens. */
   reset(): void {
     this.#takenPerTick.length = 0;
     this.#requested = 0;
@@ -225,9 +226,9 @@
 
   #deliverReports(): void {
     const due = this.#datagrams.filter(({ dueAtMs }) => dueAtMs <= this.#nowMs);
-    this.#datagrams = this.#datagrams.filter((
-      { dueAtMs },
-    ) => dueAtMs > this.#nowMs);
+    this.#datagrams = this.#datagrams.filter(({ dueAtMs }) =>
+      dueAtMs > this.#nowMs
+    );
     for (const { from, to, report } of due) {
       if (to.isUp) to.buckets.hear(from, report);
     }
--- a/src/limits/_division.ts
+++ b/src/limits/_division.ts
@@ -1,29 +1,29 @@
-/** The arithmetic of shares. */
+/** Computes how a team's limits are divided into shares for the entries. */
 
-/** A team's limits, or an entry's part of them. */
+/** A team's limits, or the share of them that one entry may use. */
 export interface Limits {
   maxInFlight: number;
   tokensPerSecond: number;
 }
 
-/** Part of a limit that is spread evenly and needs no message. */
+/** Part of a limit that is divided evenly between all entries and needs no report. */
 const FLOOR_SHARE = 0.2;
-/** An entry gets no more than this multiple of what it wants, so that something stays at hand. */
+/** Caps a share at this multiple of the demand, which leaves capacity for later demands. */
 const HEADROOM_FACTOR = 2;
-/** A share is not cut for less than this part of it, so that shares don't swing with each report. */
+/** Smaller reductions, as a part of the share, are skipped so that shares don't fluctuate. */
 const MIN_CUT_SHARE = 0.2;
 
-/** What one division is made from; all of one kind, requests or tokens per second. */
+/** Input of one division; all amounts are requests in flight, or all are tokens per second. */
 export interface DivisionInput {
   limit: number;
-  /** What an entry without a share may use. */
+  /** Amount that an entry without a share may use. */
   floor: number;
   /** Entries that have not reported. */
   silentCount: number;
-  /** Entries that report, this one included. */
+  /** Entries that report, including the one that gets this share. */
   reporterCount: number;
   wanted: number;
-  /** The share that the entry has now. */
+  /** Share that the entry holds now. */
   held: number;
   wantedByOthers: number;
   heldByOthers: number;
@@ -31,9 +31,9 @@
 
 /**
  * @param limits A team's limits.
- * @param entryCount Live entries.
- * @returns What an entry may use without asking; at least one request, so that any entry serves any
- * team at once.
+ * @param entryCount Entries that are running.
+ * @returns The floor: the amount that an entry may use without a share. It is at least one request, so
+ * that every entry can serve every team at once.
  */
 export function floorShare(limits: Limits, entryCount: number): Limits {
   const fraction = FLOOR_SHARE / Math.max(1, entryCount);
@@ -45,8 +45,8 @@
 
 /**
  * @param limits A team's limits.
- * @param entryCount Live entries.
- * @returns The same part for each entry.
+ * @param entryCount Entries that are running.
+ * @returns An equal part for each entry, rounded up.
  */
 export function evenShare(limits: Limits, entryCount: number): Limits {
   const fraction = 1 / Math.max(1, entryCount);
@@ -57,8 +57,9 @@
 }
 
 /**
- * @param input What is divided.
- * @returns The share aimed at, with some headroom but no more; a fraction.
+ * @param input Limit and demands.
+ * @returns The share that an entry should get, before rounding: its fair share, up to its demand times
+ * {@link HEADROOM_FACTOR}.
  */
 export function targetShare(input: DivisionInput): number {
   const { wanted, floor, held } = input;
@@ -69,16 +70,16 @@
 }
 
 /**
- * @param target The share aimed at.
- * @param input What is divided.
- * @returns As much of it as nobody else may be using, in whole numbers.
+ * @param target The share that the entry should get.
+ * @param input Limit and demands.
+ * @returns The part of the target that no other entry may still be using, as an integer.
  */
 export function grantableShare(target: number, input: DivisionInput): number {
   const available = distributableLimit(input) - input.heldByOthers;
   return Math.max(0, Math.floor(Math.min(Math.ceil(target), available)));
 }
 
-/** What is wanted and an even part of the surplus, or in proportion when there is none. */
+/** The demand plus an even part of the surplus; without a surplus, in proportion to the demand. */
 function fairShare(input: DivisionInput): number {
   const { wanted, wantedByOthers, reporterCount } = input;
   const total = wanted + wantedByOthers;
@@ -87,7 +88,7 @@
   return distributableLimit(input) * wanted / total;
 }
 
-/** What is left when silent entries keep their floors; never less than 80%. */
+/** The limit less the floors of entries that have not reported; at least 80% of the limit. */
 function distributableLimit(
   { limit, floor, silentCount }: DivisionInput,
 ): number {
--- a/src/limits/_fleet.ts
+++ b/src/limits/_fleet.ts
@@ -1,4 +1,4 @@
-/** Many limiters in virtual time, for measurements and tests. */
+/** Simulates a fleet of team limiters in virtual time, for measurements and tests. */
 import { seededRandom } from "../base/random.ts";
 import { Result } from "true-myth";
 import type { Clock } from "../base/mod.ts";
@@ -8,7 +8,7 @@
 import { ShareLedger } from "./share_ledger.ts";
 import { type Admission, TeamLimiter } from "./team_limiter.ts";
 
-/** The one team of the fleet. */
+/** The only team in the simulation. */
 export const TEAM = "team-a";
 const TOKENS_EXPECTED = 200;
 const TICKS_PER_EXCHANGE = 4;
@@ -31,7 +31,7 @@
 export interface FleetEntry {
   id: string;
   isAlive: boolean;
-  /** Entries on different sides can't reach each other. */
+  /** Entries in different partitions can't reach each other. */
   partition: number;
   /** Ids in this entry's list of instances. */
   knownIds: string[];
@@ -44,14 +44,14 @@
   bytes: number;
 }
 
-/** What one tick came to. */
+/** Totals of one tick over all entries. */
 export interface FleetTick {
   inFlight: number;
   tokensAdmitted: number;
   refused: number;
 }
 
-/** Entries with a limiter, a ledger and an exchange each. */
+/** A simulated fleet; each entry has a limiter, a ledger and an exchange. */
 export class Fleet {
   readonly entries: FleetEntry[] = [];
   readonly #options: FleetOptions;
@@ -73,14 +73,14 @@
   }
 
   /**
-   * @param options Sizes.
-   * @returns A fleet without load.
+   * @param options Sizes, limits and seed.
+   * @returns A fleet without requests.
    */
   static create(options: FleetOptions): Fleet {
     return new Fleet(options);
   }
 
-  /** @returns A new entry that knows itself only, until the lists are set. */
+  /** @returns A new entry that lists only itself until `setEntryLists` is called. */
   addEntry(): FleetEntry {
     const id = `entry-${this.entries.length}`;
     const { limits } = this.#options;
@@ -118,10 +118,10 @@
   }
 
   /**
-   * Brings the lists of instances of all live entries up to date.
+   * Updates the list of instances at each entry.
    *
-   * @param isListed Whether an entry lists another.
-   * @param changedMs When they changed; now when left out.
+   * @param isListed Whether the first entry lists the second.
+   * @param changedMs When the lists changed; defaults to the current time.
    */
   setEntryLists(
     isListed: (entry: FleetEntry, other: FleetEntry) => boolean,
@@ -136,17 +136,17 @@
     }
   }
 
-  /** Ends an entry; its requests end with it. */
+  /** Stops an entry and drops its requests. */
   kill(entry: FleetEntry): void {
     entry.isAlive = false;
     entry.runs = [];
   }
 
   /**
-   * Moves time by one tick.
+   * Advances the virtual time by one tick.
    *
-   * @param perSecond Requests that arrive at each entry.
-   * @returns What came of it.
+   * @param perSecond Requests per second that arrive at an entry.
+   * @returns The totals of the tick.
    */
   async tick(perSecond: (entry: FleetEntry) => number): Promise<FleetTick> {
     const { tickMs } = this.#options;
@@ -226,7 +226,10 @@
 }
 
 function unreachableResult(): ReturnType<typeof sharesResult> {
-  return Result.err({ kind: "unreachable", message: "On the other side" });
+  return Result.err({
+    kind: "unreachable",
+    message: "The entry is down or in another partition",
+  });
 }
 
 function encodedSize(limits: NonNullable<VersionDigest["limits"]>): number {
--- a/src/limits/_measure.ts
+++ b/src/limits/_measure.ts
@@ -1,6 +1,6 @@
 /**
- * Measures how far a fleet of limiters is over or under a team's limits, in virtual time:
- * `node --import tsx src/limits/_measure.ts`. Prints JSON, one line a case.
+ * Measures how far a simulated fleet of limiters exceeds or underuses a team's limits. Run
+ * `node --import tsx src/limits/_measure.ts`; it prints one JSON line per case.
  */
 import type { Limits } from "./_division.ts";
 import {
@@ -26,7 +26,7 @@
   }
 }
 for (const { entryCount, maxInFlight } of SIZES) {
-  // A request takes 200 tokens and a second, so that the bound on those in flight is never met.
+  // A request takes 200 tokens and 1 s on average, so the limit on requests in flight isn't reached.
   const tokensPerSecond = maxInFlight * 200;
   const limits = { maxInFlight: maxInFlight * 4, tokensPerSecond };
   for (const scenario of [Scenario.Even, Scenario.Skewed]) {
--- a/src/limits/_measure_sharing.ts
+++ b/src/limits/_measure_sharing.ts
@@ -1,18 +1,19 @@
 /**
- * Compares ways to keep a workspace's limit over 30 entries, in virtual time:
- * `node --import tsx src/limits/_measure_sharing.ts`. Prints a line for each load and rate: for each
- * way the most that was over the limit in a window, as a part of what may be over, and the part of
- * what was asked for that one bucket for all would have admitted and the fleet refused.
+ * Compares strategies to enforce a workspace's limit at 30 simulated entries. Run
+ * `node --import tsx src/limits/_measure_sharing.ts`; it prints one line per load and rate with two
+ * figures per strategy: the largest excess over the limit in any window, as a multiple of the
+ * tolerance, and the part of the requested tokens that the fleet refused although a single bucket for
+ * all entries would have admitted them.
  */
 import { BucketFleet, SharingStrategy } from "./_bucket_fleet.ts";
 
 const SEEDS = [1, 2, 3];
 const ENTRY_COUNT = 30;
 const RATES = [638_023, 200_000, 36_000];
-/** Parts of the limit that are asked for. */
+/** Requested rates, as multiples of the limit. */
 const USUAL_LOAD = 1 / 1.8;
 const OVERLOAD = 5;
-/** What may be over in a window. */
+/** Tolerated excess in a window: a part of the allowed tokens plus a fixed number. */
 const TOLERANCE_SHARE = 0.1;
 const TOLERANCE_TOKENS = 140_000;
 
--- a/src/limits/_pace.ts
+++ b/src/limits/_pace.ts
@@ -1,15 +1,15 @@
-/** How often entries report, so that a coordinator's traffic stays within its budget. */
+/** Report intervals and share lifetimes, which bound the traffic of a coordinator. */
 
-/** Reports that a coordinator takes each second, for all its teams. */
+/** Reports per second that a coordinator receives for all its teams, up to MAX_INTERVAL_MS. */
 const MAX_REPORTS_PER_SECOND = 30;
 const MIN_INTERVAL_MS = 1000;
 const MAX_INTERVAL_MS = 20_000;
-/** Reports that may be lost before a share lapses. */
+/** Report intervals in the lifetime of a share. */
 const INTERVALS_PER_TTL = 3;
 
 /**
  * @param reporterCount Entries that report, counted once for each team.
- * @returns Time between two reports of one entry.
+ * @returns Time between two reports of one entry for one team.
  */
 export function reportIntervalMs(reporterCount: number): number {
   const ms = reporterCount * 1000 / MAX_REPORTS_PER_SECOND;
@@ -18,7 +18,7 @@
 
 /**
  * @param reporterCount Entries that report, counted once for each team.
- * @returns Time for which a share holds.
+ * @returns Lifetime of a share.
  */
 export function shareTtlMs(reporterCount: number): number {
   return reportIntervalMs(reporterCount) * INTERVALS_PER_TTL;
--- a/src/limits/_scenarios.ts
+++ b/src/limits/_scenarios.ts
@@ -1,4 +1,4 @@
-/** Loads and faults under which the limits are measured. */
+/** Load and fault scenarios for measuring the team limits. */
 import { rankProcesses } from "../lease/mod.ts";
 import { Fleet, type FleetEntry, TEAM } from "./_fleet.ts";
 import type { Limits } from "./_division.ts";
@@ -24,7 +24,7 @@
 /** One of {@link Scenario}. */
 export type Scenario = (typeof Scenario)[keyof typeof Scenario];
 
-/** What is run. */
+/** Settings of one scenario run. */
 export interface ScenarioOptions {
   scenario: Scenario;
   entryCount: number;
@@ -32,34 +32,34 @@
   seed: number;
 }
 
-/** What a scenario came to. */
+/** Figures of one scenario run. */
 export interface ScenarioResult {
-  /** Most requests in flight, as a part of the limit. */
+  /** Peak of requests in flight, as a part of the limit. */
   maxInFlightRatio: number;
   medianInFlightRatio: number;
-  /** Longest time above the limit at a stretch. */
+  /** Longest continuous time above the limit. */
   longestOverMs: number;
-  /** Mean requests in flight under overload, up to the limit, as a part of it. */
+  /** Mean requests in flight under overload, as a part of the limit and capped at 1. */
   utilisation: number;
-  /** The same from 10 s after the step. */
+  /** The same mean, from 10 s after the load step. */
   lateUtilisation: number;
-  /** From the step to 90% of the limit; undefined: never. */
+  /** Time from the load step to 90% of the limit; undefined if that was never reached. */
   rampMs: number | undefined;
   /** Most tokens admitted in a second, as a part of the limit. */
   maxTokenRatio: number;
   /** Mean tokens admitted in a second, as a part of the limit. */
   meanTokenRatio: number;
-  /** Encoded bytes a second, both ways, of the busiest entry and of the median one. */
+  /** Encoded bytes per second, sent and received, at the busiest and at the median entry. */
   maxBytesPerSecond: number;
   medianBytesPerSecond: number;
   maxMessagesPerSecond: number;
 }
 
 /**
- * Demand steps from 0.3 to 2 times the limit; a fault follows.
+ * Runs a scenario in which demand steps from 0.3 to 2 times the limit, followed by a fault.
  *
  * @param options Scenario and sizes.
- * @returns Figures from the step on.
+ * @returns Figures measured from the load step on.
  */
 export async function runScenario(
   options: ScenarioOptions,
--- a/src/limits/_team_use.ts
+++ b/src/limits/_team_use.ts
@@ -1,24 +1,24 @@
-/** What one team uses at one entry, and the share it may use. */
+/** Tracks what one team uses at one entry and the share that it may use. */
 import type { Clock } from "../base/mod.ts";
 import type { TeamDemand, TeamShare } from "../wire/gen/cicadahitch.ts";
 import type { Limits } from "./_division.ts";
 import { TokenBucket } from "./token_bucket.ts";
 
-/** Seconds of a share's rate that may be used at once. */
+/** Token bucket size, in seconds of the share's token rate. */
 const BURST_SECONDS = 1;
 const MIN_RETRY_MS = 100;
 const MAX_RETRY_MS = 30_000;
-/** Width of the jitter, as a part of the time worked out. */
+/** Largest jitter added to a retry time, as a part of it. */
 const RETRY_JITTER = 0.5;
-/** Weight of the newest request in the mean time that requests take. */
+/** Weight of the newest request in the moving average of request durations. */
 const DURATION_WEIGHT = 0.1;
-/** Part of the demand reported last that still counts, so that a quiet moment costs no share. */
+/** Part of the last reported demand that still counts, so that a short pause keeps the share. */
 const DEMAND_DECAY = 0.5;
 const INITIAL_DURATION_MS = 1000;
-/** A report without an answer is made again after this. */
+/** A report that got no answer is repeated after this time. */
 const REPORT_TIMEOUT_MS = 3000;
 
-/** What a {@link TeamUsage} is made from. */
+/** Settings of a {@link TeamUsage}. */
 export interface TeamUsageOptions {
   clock: Clock;
   random: () => number;
@@ -26,7 +26,7 @@
   floor: Limits;
 }
 
-/** State of one team at one entry, for dumps. */
+/** State of one team at one entry, for state dumps. */
 export interface TeamUsageState {
   team: string;
   inFlight: number;
@@ -41,7 +41,7 @@
   validUntilMs: number;
 }
 
-/** What a request came to. */
+/** Cost and duration of a request that ended. */
 export interface Settlement {
   tokensExpected: number;
   tokensUsed: number;
@@ -57,7 +57,7 @@
   refusedTokens: number;
 }
 
-/** Use of one team. */
+/** Requests in flight, tokens and share of one team at one entry. */
 export class TeamUsage {
   readonly #clock: Clock;
   readonly #random: () => number;
@@ -65,7 +65,7 @@
   #limits: Limits;
   #floor: Limits;
   #share: ActiveShare | undefined;
-  /** A share that lapsed since the last report. */
+  /** A share that expired since the last report. */
   #expiredShare: Limits | undefined;
   #inFlight = 0;
   #refused = 0;
@@ -74,9 +74,9 @@
   #nextReportMs = 0;
   #lastReportMs = -Infinity;
   #lastWantedInFlight = 0;
-  /** True: the last report asked for more than it got, so that asking sooner is of no use. */
+  /** Requests were refused before the last report too, so an earlier next report would not help. */
   #isCapped = false;
-  /** True: the last report gave the share back, so that its answer brings none. */
+  /** The last report returned the share, so its answer grants none. */
   #returnedShare = false;
 
   private constructor(options: TeamUsageOptions) {
@@ -91,24 +91,24 @@
     this.#bucket = TokenBucket.create({ clock, perSecond, burst });
   }
 
-  /** @returns Use of a team that has no request yet. */
+  /** @returns The usage of a team without any requests. */
   static create(options: TeamUsageOptions): TeamUsage {
     return new TeamUsage(options);
   }
 
-  /** True while a share of the coordinator is in force. */
+  /** Whether a share from the coordinator is valid now. */
   get hasShare(): boolean {
     return this.#activeShare() !== undefined;
   }
 
-  /** Follows a change of the settings or of the number of entries. */
+  /** Applies new limits, and a new floor when the number of entries changes. */
   setLimits(limits: Limits, floor: Limits): void {
     this.#limits = limits;
     this.#floor = floor;
     this.#resizeBucket();
   }
 
-  /** @returns Which limit stands against one more request. */
+  /** @returns The limit that one more request would exceed, if any. */
   exceededLimit(tokens: number): "in_flight" | "tokens" | undefined {
     if (this.#inFlight >= this.#currentLimits().maxInFlight) return "in_flight";
     return this.#bucket.msUntil(this.#requiredTokens(tokens)) > 0
@@ -124,7 +124,11 @@
     this.#period.admittedTokens += tokens;
   }
 
-  /** @returns When a place or the tokens should be there, spread so that callers come apart. */
+  /**
+   * Counts a refused request.
+   *
+   * @returns Estimated time until it can be admitted, with jitter to spread the retries of callers.
+   */
   refuse(reason: "in_flight" | "tokens", tokens: number): number {
     this.#refused++;
     this.#period.refused++;
@@ -145,7 +149,7 @@
     this.#meanDurationMs += deviationMs * DURATION_WEIGHT;
   }
 
-  /** @returns Whether this entry uses that part of its floor, or has refused. */
+  /** @returns Whether this entry uses at least that part of its floor or has refused a request. */
   isNearFloor(fraction: number): boolean {
     const { refused, peakInFlight } = this.#period;
     if (refused > 0) return true;
@@ -160,14 +164,18 @@
     return Math.min(this.#nextReportMs, this.#lastReportMs + minGapMs);
   }
 
-  /** @returns Whether nothing is left to remember. */
+  /** @returns Whether the team has no share, no recent requests and a full bucket. */
   isIdle(): boolean {
     const { peakInFlight, refused } = this.#period;
     return !this.hasShare && peakInFlight === 0 && refused === 0 &&
       this.#bucket.tokens >= this.#floor.tokensPerSecond * BURST_SECONDS;
   }
 
-  /** @returns The demand to report, and starts a new period. */
+  /**
+   * Starts a new report period.
+   *
+   * @returns The demand of the past period.
+   */
   report(team: string): TeamDemand {
     const share = this.#activeShare();
     const { refused } = this.#period;
@@ -198,7 +206,7 @@
   }
 
   applyShare(share: TeamShare, sentAtMs: number): void {
-    // A late answer to an earlier report: the coordinator counts with a later one.
+    // Ignores a late answer to an earlier report: the coordinator may have recorded the newer one.
     if (sentAtMs < this.#lastReportMs) return;
     this.#nextReportMs = sentAtMs + share.nextReportMs * this.#jitter();
     if (this.#returnedShare) return;
@@ -214,7 +222,7 @@
     this.#nextReportMs = this.#clock.nowMs() + afterMs * this.#jitter();
   }
 
-  /** @returns The state, for dumps. */
+  /** @returns The state, for state dumps. */
   state(team: string): TeamUsageState {
     const { maxInFlight, tokensPerSecond } = this.#currentLimits();
     const validUntilMs = this.#activeShare()?.validUntilMs ?? 0;
@@ -241,7 +249,7 @@
     return this.#share;
   }
 
-  /** Until the next report a lapsed share smaller than the floor still binds. */
+  /** Until the next report, an expired share that is smaller than the floor still applies. */
   #expiredShareLimits(): Limits | undefined {
     if (!this.#expiredShare) return undefined;
     const { maxInFlight, tokensPerSecond } = this.#expiredShare;
@@ -261,7 +269,7 @@
     this.#bucket.resize(tokensPerSecond, tokensPerSecond * BURST_SECONDS);
   }
 
-  /** A request larger than the bucket passes when it is full, and leaves a debt. */
+  /** Caps at the bucket size: a full bucket admits a larger request, and keeps a debt. */
   #requiredTokens(tokens: number): number {
     return Math.min(
       tokens,
@@ -269,7 +277,7 @@
     );
   }
 
-  /** The peak, and what of the refused would be in flight besides. */
+  /** Peak of requests in flight plus the refused ones that would be in flight at the same time. */
   #wantedInFlight(): number {
     const { startedMs, peakInFlight, refused } = this.#period;
     const periodMs = Math.max(1, this.#clock.nowMs() - startedMs);
--- a/src/limits/fleet_test.ts
+++ b/src/limits/fleet_test.ts
@@ -17,7 +17,7 @@
   }
 });
 
-test("death of the coordinator lets nothing over the limit", async () => {
+test("failure of the coordinator never exceeds the limit", async () => {
   const { maxInFlightRatio, lateUtilisation } = await run(
     Scenario.CoordinatorDies,
   );
@@ -25,7 +25,7 @@
   assert.ok(lateUtilisation >= 0.8);
 });
 
-test("a split into two is over by no more than the limit", async () => {
+test("two partitions together use at most twice the limit", async () => {
   const { maxInFlightRatio } = await run(Scenario.Partition);
   assert.ok(maxInFlightRatio <= 2);
 });
@@ -42,7 +42,7 @@
   assert.ok(result.meanTokenRatio <= 1 + 1 / 60);
 });
 
-test("entries that start together serve at once", async () => {
+test("entries that start together admit requests at once", async () => {
   const fleet = Fleet.create({
     entryCount: 30,
     limits: LIMITS,
@@ -55,11 +55,11 @@
   for (let tick = 0; tick < 400; tick++) {
     refused += (await fleet.tick(() => 4)).refused;
   }
-  // 4 in flight at each entry on average, of an even part of 10.
+  // Each entry has 4 requests in flight on average; its even part of the limit is 10.
   assert.ok(refused / (400 * 30 * 4 / 20) < 0.05);
 });
 
-test("idle team costs no message", async () => {
+test("a team below its floor sends no messages", async () => {
   const fleet = Fleet.create({
     entryCount: 30,
     limits: { ...LIMITS, maxInFlight: 30_000 },
--- a/src/limits/mod.ts
+++ b/src/limits/mod.ts
@@ -1,4 +1,4 @@
-/** Limits of teams across entries. */
+/** Limits of teams and workspaces that all entries enforce together. */
 export { floorShare, type Limits } from "./_division.ts";
 export { type RateLimit, SharedBucket } from "./shared_bucket.ts";
 export {
--- a/src/limits/share_exchange.ts
+++ b/src/limits/share_exchange.ts
@@ -1,4 +1,4 @@
-/** Carries demands to the teams' coordinators and shares back. */
+/** Sends demands to the teams' coordinators and applies the shares that they answer. */
 import type { Result } from "true-myth";
 import type { Clock } from "../base/mod.ts";
 import { rankProcesses } from "../lease/mod.ts";
@@ -6,18 +6,18 @@
 import type { TeamLimiter } from "./team_limiter.ts";
 
 const REPORT_CHECK_INTERVAL_MS = 200;
-/** A coordinator that gave no answer is passed over this long. */
+/** A coordinator that gave no answer is skipped for this long. */
 const BACKOFF_MS = 3000;
 const REPORT_RETRY_MS = 200;
 
-/** Why a coordinator gave no shares. */
+/** Why a coordinator answered no shares. */
 export type ShareFailure = { kind: "unreachable"; message: string };
 
-/** What the exchange needs of the process around it. */
+/** Functions of the surrounding process that the exchange calls. */
 export interface SharePorts {
-  /** Ids of the entries known to live, this one included. */
+  /** Ids of the entries known to be running, including this one. */
   listEntries(): string[];
-  /** Brings demands to an entry (also to this one) and its shares back, within a deadline. */
+  /** Sends demands to an entry, which may be this one, and returns its shares; times out. */
   exchange(
     entryId: string,
     demands: TeamDemand[],
@@ -30,7 +30,7 @@
   readonly #ports: SharePorts;
   readonly #clock: Clock;
   readonly #backoffUntilMs = new Map<string, number>();
-  /** Coordinator of each team for the entries in `#rankedIds`. */
+  /** Coordinator of each team, cached for the entries in `#rankedIds`. */
   readonly #coordinators = new Map<string, string | undefined>();
   #rankedIds = "";
 
@@ -41,10 +41,10 @@
   }
 
   /**
-   * @param limiter Where demands come from and shares go.
-   * @param ports The other entries.
+   * @param limiter Supplies demands and receives shares.
+   * @param ports Access to the other entries.
    * @param options The clock.
-   * @returns An exchange that does nothing until `run`.
+   * @returns An exchange that sends nothing until `run` or `reportDue` is called.
    */
   static create(
     limiter: TeamLimiter,
@@ -55,19 +55,19 @@
   }
 
   /**
-   * Reports what is due until the signal is aborted; a task for a `Lifecycle`.
+   * Sends due reports until the signal is aborted; runs as a task of a `Lifecycle`.
    *
-   * @param signal Ends it.
+   * @param signal Stops the exchange.
    */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      // Not awaited: a coordinator that is silent must not hold up the other teams.
+      // Not awaited, so that a coordinator that doesn't answer can't delay other teams.
       void this.reportDue();
       await this.#clock.sleep(REPORT_CHECK_INTERVAL_MS, signal);
     }
   }
 
-  /** Sends what is due, one message to each coordinator, and takes the shares. */
+  /** Sends due demands, one message per coordinator, and applies the shares. */
   async reportDue(): Promise<void> {
     const demands = this.#limiter.dueDemands();
     if (demands.length === 0) return;
--- a/src/limits/share_ledger.ts
+++ b/src/limits/share_ledger.ts
@@ -1,12 +1,12 @@
 /**
  * Divides a team's limits between the entries that need them. Each team has one coordinator, the
- * entry that ranks first for it; it keeps soft state only.
+ * entry that ranks first for it by rendezvous hashing. The coordinator keeps its state in memory only.
  *
- * The ledger never gives away what others may still use: a share counts until it lapses, the one
- * before it until the entry reports the new one (the answer may be lost), requests in flight count,
- * and entries that hold no share count with their floor.
- * A new ledger can't know the shares of an earlier coordinator. Until those have lapsed it confirms
- * what the entries say they hold and gives the others no more than an even part.
+ * The ledger never grants capacity that another entry may still use. It counts a share until it
+ * expires, the previous share until the entry reports the new one (the answer may be lost), requests
+ * in flight, and the floor of each entry without a share.
+ * A new coordinator doesn't know the shares that an earlier one granted. Until those have expired, it
+ * confirms the shares that entries report, and grants other entries at most an even part.
  */
 import type { Clock } from "../base/mod.ts";
 import type { TeamDemand, TeamShare } from "../wire/gen/cicadahitch.ts";
@@ -19,36 +19,36 @@
   targetShare,
 } from "./_division.ts";
 
-/** Added to a share's time here, for clocks that run at other rates and answers on their way. */
+/** Added to the lifetime of a share in the ledger, for clock drift and answers in transit. */
 const EXPIRY_MARGIN_MS = 500;
 
 /** Settings of a {@link ShareLedger}. */
 export interface ShareLedgerOptions {
   clock: Clock;
-  /** Limits in force; undefined for an unknown team. */
+  /** Current limits; undefined for an unknown team. */
   limitsOf: (team: string) => Limits | undefined;
-  /** Entries known to live, this one included. */
+  /** Entries known to be running, including this one. */
   entryCount: () => number;
-  /** When the list of entries last changed, in the clock's time. */
+  /** When the list of entries last changed, as a time of `clock`. */
   entriesChangedMs: () => number;
 }
 
-/** What the coordinator knows about one entry. */
+/** Last demand and share of one entry. */
 interface EntryRow {
   demand: TeamDemand;
   share: Limits;
   expiresAtMs: number;
 }
 
-/** One team's rows, by entry. */
+/** The rows of one team, by entry id. */
 interface TeamTable {
   rows: Map<string, EntryRow>;
   createdAtMs: number;
-  /** Until then an earlier coordinator's shares may be in use. */
+  /** Until this time, shares granted by an earlier coordinator may still be valid. */
   handoverUntilMs: number;
 }
 
-/** State of a ledger, for dumps. */
+/** State of one team in a ledger, for state dumps. */
 export interface LedgerState {
   team: string;
   rows: {
@@ -72,18 +72,18 @@
 
   /**
    * @param options Clock, limits and entries.
-   * @returns A ledger that knows of no shares.
+   * @returns A ledger without any shares.
    */
   static create(options: ShareLedgerOptions): ShareLedger {
     return new ShareLedger(options);
   }
 
   /**
-   * Takes an entry's demands and divides anew.
+   * Records an entry's demands and computes its shares.
    *
    * @param processId The entry.
-   * @param demands What it needs and holds.
-   * @returns Its shares, for the known teams.
+   * @param demands Its demands, with the shares that it holds.
+   * @returns Its shares; unknown teams are left out.
    */
   answer(processId: string, demands: TeamDemand[]): TeamShare[] {
     const shares: TeamShare[] = [];
@@ -94,7 +94,7 @@
     return shares;
   }
 
-  /** @returns The state, for dumps. */
+  /** @returns The state of each team, for state dumps. */
   state(): LedgerState[] {
     const nowMs = this.#options.clock.nowMs();
     return [...this.#tables].map(([team, { rows }]) => ({
@@ -214,7 +214,7 @@
   used: () => 0,
 };
 
-/** True: the entry has a share that this book did not give. */
+/** Whether the entry holds a share that is not recorded in this table. */
 function hasUnrecordedShare(
   { rows }: TeamTable,
   processId: string,
@@ -223,7 +223,7 @@
   return demand.hasShare && !rows.has(processId);
 }
 
-/** What is held stays; who holds nothing gets what there is, up to an even part. */
+/** Keeps the share that the entry holds; otherwise grants the computed share, at most an even part. */
 function confirmShare(
   demand: TeamDemand,
   computed: Limits,
--- a/src/limits/shared_bucket.ts
+++ b/src/limits/shared_bucket.ts
@@ -1,62 +1,62 @@
 /**
- * A token bucket that several processes take from, each by its own copy. Every process tells the
- * others the total that it has taken; until it is heard again, it is assumed to go on as before. A
- * process that has fallen silent keeps a part of the rate, the same in every copy, so that both sides
- * of a partition together stay within the limit.
+ * A token bucket shared by several processes, each with its own copy. Every process reports its total
+ * to the others. Between two reports, a process is assumed to keep taking tokens at its average rate.
+ * A process without recent reports is silent: each copy reserves an equal part of the rate for it, so
+ * that both sides of a network partition together stay within the limit.
  */
 
-/** A rate and the size of its bucket, both in the unit that requests are counted in. */
+/** Refill rate and capacity of a bucket, in the unit that requests are counted in. */
 export interface RateLimit {
   perSecond: number;
   burst: number;
 }
 
-/** What a {@link SharedBucket} knows of the processes that share it. */
+/** The processes that share a {@link SharedBucket}. */
 export interface BucketMembers {
-  /** Processes that may live, this one included. */
+  /** Processes that may be running, including this one. */
   readonly count: number;
-  /** When each other process was last heard, by its address; the clock's time. */
+  /** When the last report of each other process arrived, by address. */
   readonly lastHeardAtMs: ReadonlyMap<string, number>;
 }
 
-/** What one process tells of a bucket. */
+/** Report of one process about one bucket. */
 export interface BucketReport {
-  /** Taken since the process started. */
+  /** Tokens that the process has taken from the bucket since its copy was created. */
   total: number;
-  /** Level of its own copy. */
+  /** Level of the process's copy. */
   level: number;
 }
 
-/** What this process knows of another one's use. */
+/** Usage of another process, from its reports. */
 interface MemberUsage {
   total: number;
-  /** Decaying mean, for what it has taken since its last word. */
+  /** Exponential moving average of its rate; the estimate between two reports. */
   perMs: number;
-  /** When that was. */
+  /** When the last report arrived. */
   reportedAtMs: number;
-  /** Since when it is silent; left out while it isn't. */
+  /** When the process became silent; undefined while it reports. */
   silentSinceMs?: number;
 }
 
-/** A process that tells nothing for longer than this is silent; the longest pause of one is 0.6 s. */
+/** A process is silent after this time without a report; the longest report interval is 600 ms. */
 export const SILENCE_TIMEOUT_MS = 850;
-/** Pause between looks for processes that have fallen silent. */
+/** Interval between checks for silent processes. */
 const SILENCE_CHECK_MS = 50;
-/** Time over which a process's use is averaged. */
+/** Time constant of the moving average of a process's rate. */
 const USAGE_AVERAGE_MS = 1000;
-/** What came in while the bucket was full still counts for takes that are told this much later. */
+/** Refill lost to a full bucket offsets late reports, up to this time's refill at the full rate. */
 const OVERFLOW_CREDIT_MS = 400;
-/** A process with this part of the rate or less stands nearly alone. */
+/** A process is isolated when its own part of the rate is at most this. */
 const ISOLATED_SHARE = 0.2;
-/** Largest request that it passes, as a multiple of its part of the burst. */
+/** Largest request that an isolated process admits, as a multiple of its part of the burst. */
 const ISOLATED_MAX_BURSTS = 2;
-/** What all processes together may take between two words, as a multiple of what is left. */
+/** Bounds what all processes together take between two reports, as a multiple of the level. */
 const UNREPORTED_FACTOR = 3;
-/** With more than this part of the burst left, nothing need be spared between two words. */
+/** Above this part of the burst, tokens taken between two reports are not bounded. */
 const AMPLE_LEVEL_SHARE = 0.4;
-/** Part of the burst that a process's copy begins with, over all processes. */
+/** Initial level of the copies of all processes together, as a part of the burst. */
 const INITIAL_BURST_SHARE = 0.25;
-/** A copy this young takes over the level of an older one. */
+/** A copy younger than this adopts the level that an older process reports. */
 const LEVEL_ADOPTION_MS = 1500;
 
 /** Settings of a {@link SharedBucket}. */
@@ -66,28 +66,28 @@
   nowMs: number;
 }
 
-/** One process's copy. */
+/** One process's copy of a shared token bucket. */
 export class SharedBucket {
   readonly #members: BucketMembers;
   readonly #usages = new Map<string, MemberUsage>();
-  /** Processes that were forgotten, and may come back without having started anew. */
+  /** Addresses of removed processes, which may return without a restart. */
   readonly #forgotten = new Set<string>();
   readonly #createdAtMs: number;
   #limit: RateLimit;
   #level: number;
   #updatedAtMs: number;
   #total = 0;
-  /** What all others that are not silent are assumed to take. */
+  /** Estimated rate of all other processes that are not silent. */
   #othersPerMs = 0;
   #checkedAtMs = -Infinity;
-  /** Did not fit into the bucket lately. */
+  /** Recent refill that did not fit into the full bucket. */
   #overflow = 0;
   #hasAdoptedLevel = false;
-  /** Taken since the others were last told. */
+  /** Tokens taken since the last report to the other processes. */
   #unreported = 0;
-  /** Part of the rate that is set aside for silent processes. */
+  /** Part of the rate that is reserved for silent processes. */
   #silentShare = 0;
-  /** Refused requests that were told when to come back. */
+  /** Tokens of refused requests that were given a retry time. */
   #retryBacklog = 0;
 
   private constructor({ limit, members, nowMs }: SharedBucketOptions) {
@@ -101,25 +101,25 @@
 
   /**
    * @param options Limit and processes.
-   * @returns A copy that holds this process's part of the burst.
+   * @returns A copy with this process's part of the initial level.
    */
   static create(options: SharedBucketOptions): SharedBucket {
     return new SharedBucket(options);
   }
 
-  /** The limit in force. */
+  /** The current limit. */
   get limit(): RateLimit {
     return this.#limit;
   }
 
-  /** Taken by this process since it started. */
+  /** Tokens that this process has taken since the copy was created. */
   get total(): number {
     return this.#total;
   }
 
   /**
-   * @param limit A new rate and size; what is at hand is cut to it.
-   * @param nowMs The time.
+   * @param limit New rate and capacity; tokens beyond the capacity are dropped.
+   * @param nowMs The current time.
    */
   resize(limit: RateLimit, nowMs: number): void {
     this.#advance(nowMs);
@@ -128,8 +128,8 @@
   }
 
   /**
-   * @param nowMs The time.
-   * @returns What may be taken now; negative: more was taken than the limit allows.
+   * @param nowMs The current time.
+   * @returns Available tokens; negative if more was taken than the limit allows.
    */
   level(nowMs: number): number {
     this.#advance(nowMs);
@@ -137,18 +137,18 @@
   }
 
   /**
-   * Any request passes while something is left, and may leave a debt: with large ones refused as long
-   * as small ones use up what comes in, they would never pass.
+   * Admits a request of any size while the level is positive; the level may then become negative.
+   * Otherwise small requests that use up the refill would starve large ones.
    *
-   * @param count What a request takes.
-   * @param nowMs The time.
-   * @returns Whether it was taken.
+   * @param count Tokens that the request needs.
+   * @param nowMs The current time.
+   * @returns Whether the tokens were taken.
    */
   tryTake(count: number, nowMs: number): boolean {
     const level = this.level(nowMs);
     const isStartingUp = nowMs - this.#createdAtMs < SILENCE_TIMEOUT_MS &&
       this.#unheardCount() > 0;
-    // Many that start together would each go into debt with their first request.
+    // Processes that start together would otherwise each go into debt with their first request.
     const minLevel = isStartingUp ? Math.min(count, this.#limit.burst) : 0;
     if (level <= 0 || level < minLevel || this.#isTooLarge(count)) return false;
     if (
@@ -160,14 +160,14 @@
     return true;
   }
 
-  /** The others have been told the total. */
+  /** Records that the total was reported to the other processes. */
   markReported(): void {
     this.#unreported = 0;
   }
 
   /**
-   * @param count What is taken, whatever is left; negative: what is given back.
-   * @param nowMs The time.
+   * @param count Tokens to take regardless of the level; a negative count returns tokens.
+   * @param nowMs The current time.
    */
   take(count: number, nowMs: number): void {
     this.#advance(nowMs);
@@ -175,11 +175,11 @@
   }
 
   /**
-   * Books room for a request that was refused, behind those refused before it.
+   * Adds a refused request to the retry backlog, after those refused earlier.
    *
-   * @param count What it takes.
-   * @param nowMs The time.
-   * @returns Time until there is room for it.
+   * @param count Tokens that the request needs.
+   * @param nowMs The current time.
+   * @returns Estimated time until the tokens are available.
    */
   reserveRetry(count: number, nowMs: number): number {
     this.#advance(nowMs);
@@ -192,11 +192,11 @@
   }
 
   /**
-   * Takes in what another process tells; left out: it told nothing of this bucket, and so took nothing.
+   * Applies the report of another process.
    *
    * @param address The process.
-   * @param report Its word.
-   * @param options The time, and whether it started before this one.
+   * @param report Its report; undefined if it sent none for this bucket, and so took nothing.
+   * @param options The current time, and whether the process started before this one.
    */
   applyReport(
     address: string,
@@ -217,14 +217,14 @@
     this.#reconcile(usage, taken);
   }
 
-  /** @param address A process that has started anew, and counts from 0. */
+  /** @param address A process that has restarted and counts its total from 0. */
   resetMember(address: string): void {
     this.#forgotten.delete(address);
     const usage = this.#usages.get(address);
     if (usage) usage.total = 0;
   }
 
-  /** @param address A process that is gone for good. */
+  /** @param address A silent process to remove. */
   forget(address: string): void {
     const use = this.#usages.get(address);
     if (use?.silentSinceMs === undefined) this.#othersPerMs -= use?.perMs ?? 0;
@@ -233,8 +233,8 @@
   }
 
   /**
-   * What an older process took before this copy was there is not known, nor what one took that was
-   * forgotten; neither lies in a window that still matters.
+   * Starts tracking a process. The first total of an older or a removed process becomes its baseline:
+   * what it took earlier is unknown and too long ago to affect the level.
    */
   #addMember(
     address: string,
@@ -267,10 +267,8 @@
     if (isReturning) this.#checkSilence();
   }
 
-  /** Taken off the level since its last word, without its word. */
-  #assumedUsage(
-    { perMs, reportedAtMs, silentSinceMs }: MemberUsage,
-  ): number {
+  /** Tokens deducted for a process since its last report, by estimate. */
+  #assumedUsage({ perMs, reportedAtMs, silentSinceMs }: MemberUsage): number {
     const untilMs = silentSinceMs ?? this.#updatedAtMs;
     const silentForMs = this.#updatedAtMs - untilMs;
     const limitPerMs = this.#limit.perSecond / 1000;
@@ -284,7 +282,7 @@
     this.#unreported = Math.max(0, this.#unreported + count);
   }
 
-  /** Fills up to the time, less what the other processes are assumed to take. */
+  /** Refills up to a time, less the estimated usage of the other processes. */
   #advance(nowMs: number): void {
     const elapsedMs = nowMs - this.#updatedAtMs;
     if (elapsedMs <= 0) return;
@@ -292,7 +290,7 @@
     if (nowMs - this.#checkedAtMs >= SILENCE_CHECK_MS) this.#checkSilence();
     const { perSecond, burst } = this.#limit;
     const ratePerMs = perSecond / 1000;
-    // Silent processes have their parts of the burst, too.
+    // Silent processes keep their parts of the burst as well as of the rate.
     const ownShare = 1 - this.#silentShare;
     const filled = this.#level +
       (ratePerMs * ownShare - this.#othersPerMs) * elapsedMs;
@@ -305,7 +303,7 @@
     this.#retryBacklog = Math.max(0, retryBacklog);
   }
 
-  /** Finds out who is silent. */
+  /** Detects silent processes, and updates their reserved part and the rate of the others. */
   #checkSilence(): void {
     this.#checkedAtMs = this.#updatedAtMs;
     let silentCount = this.#unheardCount();
@@ -322,14 +320,14 @@
     this.#silentShare = Math.min(1, silentCount * this.#evenShare());
   }
 
-  /** What this process may take between two words: all together at most a few times what is left. */
+  /** Tokens that this process may take between two reports, by {@link UNREPORTED_FACTOR}. */
   #maxUnreported(): number {
     const available = this.#level + this.#unreported;
     if (available > this.#limit.burst * AMPLE_LEVEL_SHARE) return Infinity;
     return available * this.#evenShare() * UNREPORTED_FACTOR;
   }
 
-  /** Alone with its part, a process pays off what is larger only after seconds, as all others do. */
+  /** Whether a request would leave an isolated process a debt that takes seconds to pay off. */
   #isTooLarge(count: number): boolean {
     const ownShare = 1 - this.#silentShare;
     if (ownShare > ISOLATED_SHARE) return false;
@@ -340,7 +338,7 @@
     return 1 / Math.max(1, this.#members.count);
   }
 
-  /** Processes that may live, and were never heard. */
+  /** Processes that may be running but have sent no report. */
   #unheardCount(): number {
     return Math.max(
       0,
--- a/src/limits/shared_bucket_test.ts
+++ b/src/limits/shared_bucket_test.ts
@@ -10,12 +10,12 @@
 import { SharedBucket } from "./shared_bucket.ts";
 
 const SEED = 20_261_203;
-/** What may be over, beside the limit: a tenth of it, and so many tokens. */
+/** Tolerated excess over the limit: a part of the allowed tokens plus a fixed number. */
 const TOLERANCE_SHARE = 0.1;
 const TOLERANCE_TOKENS = 140_000;
-/** Usual use of a workspace, as a part of its limit. */
+/** Normal load of a workspace, as a part of its limit. */
 const USUAL_LOAD = 1 / 1.8;
-/** A workspace of nine times its usual use. */
+/** Overload of nine times the normal load, as a multiple of the limit. */
 const OVERLOAD = 9 * USUAL_LOAD;
 const RATES = [638_023, 200_000, 36_000];
 
@@ -44,12 +44,12 @@
   );
 }
 
-/** Part of what one bucket for all would have admitted that was refused. */
+/** Part of the tokens that a single bucket would have admitted but the fleet refused. */
 function wronglyRefusedShare({ ideal, taken }: BucketFleetResult): number {
   return Math.max(0, ideal - taken) / ideal;
 }
 
-test("usual use is not refused", () => {
+test("normal load is not refused", () => {
   for (const rate of RATES) {
     const fleet = startFleet(rate);
     fleet.run(20_000, rate * USUAL_LOAD);
@@ -57,7 +57,7 @@
   }
 });
 
-test("workspace that moves to other entries is not refused", () => {
+test("a workspace whose load moves to other entries is not refused", () => {
   for (const rate of RATES) {
     const fleet = startFleet(rate);
     for (const [i, entry] of fleet.entries.entries()) {
@@ -70,7 +70,7 @@
   }
 });
 
-test("hot workspace stays within its limit, and gets all of it", () => {
+test("an overloaded workspace gets its whole limit and no more", () => {
   for (const rate of RATES) {
     const fleet = startFleet(rate);
     fleet.run(20_000, rate * OVERLOAD);
@@ -79,7 +79,7 @@
   }
 });
 
-test("hot workspace at a few entries stays within its limit", () => {
+test("an overload at a few entries stays within the limit", () => {
   for (const rate of RATES) {
     const fleet = startFleet(rate);
     for (const [i, entry] of fleet.entries.entries()) {
@@ -90,7 +90,7 @@
   }
 });
 
-test("entries killed under a hot workspace don't come back with a burst each", () => {
+test("entries that restart under overload don't each admit a new burst", () => {
   const arbitrary = fc.record({
     seed: fc.nat(1000),
     rate: fc.constantFrom(...RATES),
@@ -128,7 +128,7 @@
   }
 });
 
-test("entries cut off from all others keep the fleet within the limit", () => {
+test("isolated entries and the others together stay within the limit", () => {
   const fleet = startFleet(RATES[0]!);
   for (const [i, entry] of fleet.entries.entries()) {
     entry.partition = i < 10 ? i + 1 : 0;
@@ -138,7 +138,7 @@
   assertWithinLimit(fleet.result());
 });
 
-test("entries that come back after a long cut are not counted anew", () => {
+test("totals are not counted again after a long partition", () => {
   const rate = RATES[0]!;
   const fleet = startFleet(rate);
   fleet.run(8000, rate * USUAL_LOAD);
@@ -151,7 +151,7 @@
   assert.ok(wronglyRefusedShare(fleet.result()) < 0.01);
 });
 
-test("lowered limit binds one window later", () => {
+test("usage stays within a limit that was lowered", () => {
   const rate = RATES[0]!;
   const fleet = startFleet(rate);
   fleet.run(4000, rate * USUAL_LOAD);
@@ -160,7 +160,7 @@
   assertWithinLimit(fleet.result());
 });
 
-test("raised limit is used at once", () => {
+test("a raised limit is fully used within a second", () => {
   const rate = RATES[0]!;
   const fleet = startFleet(rate / 8);
   fleet.run(6000, rate * USUAL_LOAD);
@@ -179,14 +179,14 @@
   return bucket;
 }
 
-test("request larger than the burst passes once, and leaves a debt", () => {
+test("a request larger than the burst is admitted once and leaves a debt", () => {
   const bucket = createLoneBucket(1000, 1000);
   assert.ok(bucket.tryTake(5000, 10_000));
   assert.ok(!bucket.tryTake(1, 13_900));
   assert.ok(bucket.tryTake(1, 14_100));
 });
 
-test("refused requests are told to come back one after the other", () => {
+test("refused requests get successive retry times", () => {
   const bucket = createLoneBucket(1000, 1000);
   bucket.take(2000, 10_000);
   assert.equal(bucket.reserveRetry(500, 10_000), 1000);
--- a/src/limits/shared_buckets.ts
+++ b/src/limits/shared_buckets.ts
@@ -1,4 +1,4 @@
-/** The shared buckets of all workspaces at one process, and what processes tell each other of them. */
+/** The shared buckets of all workspaces at one process, and the reports that processes exchange. */
 import type { Clock } from "../base/mod.ts";
 import {
   type BucketMembers,
@@ -6,47 +6,47 @@
   SharedBucket,
 } from "./shared_bucket.ts";
 
-/** What a process tells of one bucket: its name, the total taken there, and its level. */
+/** One bucket in a report: its name, the total that the process has taken, and the level. */
 export type BucketRow = [string, number, number];
 
-/** Whether a request may go on. */
+/** Whether a request is admitted. */
 export type BucketVerdict =
   | { kind: "admitted" }
-  /** Not run; there is room for it then. */
+  /** The request was not run; the tokens should be available after this time. */
   | { kind: "refused"; retryAfterMs: number };
 
-/** Each change is told so often, as datagrams may be lost. */
+/** Number of times that each change is sent, since datagrams may be lost. */
 const SENDS_PER_CHANGE = 3;
-/** Rows in one datagram; the others wait for the next. */
+/** Bounds the rows of one datagram; the others wait for the next. */
 const MAX_ROWS_PER_DATAGRAM = 40;
-/** Those of them that are no news. */
+/** Bounds the rows of one datagram whose changes were already sent {@link SENDS_PER_CHANGE} times. */
 const MAX_UNCHANGED_ROWS = 4;
-/** Processes are counted this often; it is asked for with each request and datagram. */
+/** Lifetime of the cached member count, which every request and datagram reads. */
 const MEMBER_COUNT_TTL_MS = 50;
-/** A silent process keeps its part of each rate for this long. */
+/** A silent process keeps its part of each rate for this long, then it is removed. */
 const SILENT_MEMBER_TTL_MS = 20_000;
-/** A process that started this much before another one has seen more. */
+/** A process counts as older if its wall-clock start time is more than this earlier. */
 const OLDER_MARGIN_MS = 1000;
-/** Added to the time at which there is room, by chance, so that refused callers come apart. */
+/** Largest random delay added to a retry time, so that refused callers don't retry together. */
 const RETRY_JITTER_MS = 500;
 
-/** What {@link SharedBuckets} work with. */
+/** Settings of {@link SharedBuckets}. */
 export interface SharedBucketsOptions {
   clock: Clock;
   /** 0 to 1. */
   random: () => number;
-  /** Processes that may live, this one included. */
+  /** Processes that may be running, including this one. */
   memberCount(): number;
 }
 
-/** What another process tells. */
+/** Report of another process. */
 export interface MemberReport {
-  /** When it started, since 1970, by its own clock. */
+  /** When the process started, in ms since 1970 by its own clock. */
   startedAtMs: number;
   rows: readonly BucketRow[];
 }
 
-/** State of a bucket, for dumps. */
+/** State of a bucket, for state dumps. */
 export interface BucketState extends RateLimit {
   name: string;
   level: number;
@@ -60,7 +60,7 @@
   refused: number;
 }
 
-/** Buckets by name. */
+/** Shared buckets by name. */
 export class SharedBuckets {
   readonly #options: SharedBucketsOptions;
   readonly #startedAtMs: number;
@@ -84,19 +84,19 @@
   }
 
   /**
-   * @param options Clock and processes.
-   * @returns No buckets.
+   * @param options Clock, randomness and processes.
+   * @returns An empty set of buckets.
    */
   static create(options: SharedBucketsOptions): SharedBuckets {
     return new SharedBuckets(options);
   }
 
-  /** When this process started, since 1970. */
+  /** When this process started, in ms since 1970. */
   get startedAtMs(): number {
     return this.#startedAtMs;
   }
 
-  /** @param limits Limits in force from now on, by name; other names have none. */
+  /** @param limits The new limits by name; buckets of other names are removed. */
   setLimits(limits: ReadonlyMap<string, RateLimit>): void {
     const nowMs = this.#options.clock.nowMs();
     for (const name of this.#tracked.keys()) {
@@ -110,9 +110,9 @@
   }
 
   /**
-   * @param name Whose bucket; one without a limit admits all.
-   * @param count What the request takes.
-   * @returns Whether it may go on; it has then taken it.
+   * @param name Name of the bucket; a name without a limit admits all requests.
+   * @param count Tokens that the request needs.
+   * @returns Whether the request is admitted; the tokens have then been taken.
    */
   tryTake(name: string, count: number): BucketVerdict {
     const tracked = this.#tracked.get(name);
@@ -130,8 +130,8 @@
   }
 
   /**
-   * @param name Whose bucket.
-   * @param count What is taken, whatever is left; negative: what is given back.
+   * @param name Name of the bucket.
+   * @param count Tokens to take regardless of the level; a negative count returns tokens.
    */
   take(name: string, count: number): void {
     const tracked = this.#tracked.get(name);
@@ -140,7 +140,7 @@
     tracked.sendsLeft = SENDS_PER_CHANGE;
   }
 
-  /** Whether something was taken that others were not told often enough. */
+  /** Whether a change was sent fewer than {@link SENDS_PER_CHANGE} times. */
   get hasNews(): boolean {
     for (const { sendsLeft } of this.#tracked.values()) {
       if (sendsLeft > 0) return true;
@@ -148,7 +148,7 @@
     return false;
   }
 
-  /** @returns What is told next: news, and some of what was told before, for those that are new. */
+  /** @returns Rows of the next report: changes, and some unchanged buckets for new processes. */
   takeRows(): BucketRow[] {
     const nowMs = this.#options.clock.nowMs();
     const rows: BucketRow[] = [];
@@ -160,7 +160,7 @@
       rows.push([name, bucket.total, Math.round(bucket.level(nowMs))]);
       bucket.markReported();
       tracked.sendsLeft = Math.max(0, sendsLeft - 1);
-      // Those that are left out come first next time.
+      // Moves the bucket to the end, so that buckets left out come first in the next report.
       this.#tracked.delete(name);
       this.#tracked.set(name, tracked);
     }
@@ -169,7 +169,7 @@
 
   /**
    * @param address Another process.
-   * @param news What it tells.
+   * @param report Its report; ignored if it is from before a restart of that process.
    */
   hear(address: string, { startedAtMs, rows }: MemberReport): void {
     const nowMs = this.#options.clock.nowMs();
@@ -192,7 +192,7 @@
     this.#forgetSilentMembers(nowMs);
   }
 
-  /** @returns The state of each bucket, for dumps. */
+  /** @returns The state of each bucket, for state dumps. */
   state(): BucketState[] {
     const nowMs = this.#options.clock.nowMs();
     return [...this.#tracked].map(([name, { bucket, refused }]) => ({
--- a/src/limits/team_limiter.ts
+++ b/src/limits/team_limiter.ts
@@ -1,15 +1,15 @@
 /**
- * A team's limits at one entry. Decides at once from the share at hand; shares come from the team's
- * coordinator between requests, never with them.
+ * Enforces team limits at one entry. Each decision uses the share that the entry holds, without a
+ * network call; the team's coordinator sends new shares in the background.
  */
 import type { Clock } from "../base/mod.ts";
 import type { TeamDemand, TeamShare } from "../wire/gen/cicadahitch.ts";
 import { floorShare, type Limits } from "./_division.ts";
 import { TeamUsage, type TeamUsageState } from "./_team_use.ts";
 
-/** Part of the floor from which an entry asks for a share. */
+/** An entry requests a share once it uses this part of its floor. */
 const FLOOR_REPORT_SHARE = 0.75;
-/** A refusal brings the next report forward, but not closer than this to the last one. */
+/** Minimum time between two reports when a refusal brings the next one forward. */
 const MIN_REPORT_GAP_MS = 1000;
 
 /** Settings of a {@link TeamLimiter}. */
@@ -17,25 +17,25 @@
   clock: Clock;
   /** 0 to 1. */
   random: () => number;
-  /** Limits in force; undefined for an unknown team. */
+  /** Current limits; undefined for an unknown team. */
   limitsOf: (team: string) => Limits | undefined;
-  /** Entries known to live, this one included. */
+  /** Entries known to be running, including this one. */
   entryCount: () => number;
 }
 
-/** Whether a request may go on. */
+/** Whether a request is admitted. */
 export type AdmitVerdict =
   | { kind: "admitted"; admission: Admission }
-  /** Not run; the caller may come back then. */
+  /** The request was not run; the caller may retry after this time. */
   | { kind: "refused"; retryAfterMs: number; reason: RefusalReason };
 
 /** Which limit was reached. */
 export type RefusalReason = "in_flight" | "tokens" | "unknown_team";
 
-/** A request that was admitted; end it with exactly one `settle`, whatever became of it. */
+/** An admitted request. Call `settle` once when it ends, whether it succeeded or failed. */
 export interface Admission {
   /**
-   * @param tokensUsed Tokens that the request took in the end.
+   * @param tokensUsed Tokens that the request consumed.
    */
   settle(tokensUsed: number): void;
 }
@@ -51,7 +51,7 @@
 
   /**
    * @param options Clock, limits and entries.
-   * @returns A limiter that nobody uses.
+   * @returns A limiter without any requests.
    */
   static create(options: TeamLimiterOptions): TeamLimiter {
     return new TeamLimiter(options);
@@ -59,8 +59,8 @@
 
   /**
    * @param team The team.
-   * @param tokensExpected Tokens of prompt and answer, as far as can be told.
-   * @returns The admission, or when to come back.
+   * @param tokensExpected Estimated tokens of prompt and answer.
+   * @returns The admission, or the time to wait before a retry.
    */
   tryAdmit(team: string, tokensExpected: number): AdmitVerdict {
     const limits = this.#options.limitsOf(team);
@@ -79,9 +79,9 @@
   }
 
   /**
-   * What is to be reported now. Teams that stay below their floor cost no message.
+   * Collects the demands that are due. Teams well below their floor report nothing.
    *
-   * @returns Demands of the teams that are due.
+   * @returns One demand for each team whose report is due.
    */
   dueDemands(): TeamDemand[] {
     const nowMs = this.#options.clock.nowMs();
@@ -100,26 +100,26 @@
   }
 
   /**
-   * Takes a share into force.
+   * Applies a new share.
    *
    * @param share The coordinator's answer.
-   * @param sentAtMs When the demand was sent; the share's time counts from there.
+   * @param sentAtMs When the demand was sent; the lifetime of the share starts then.
    */
   applyShare(share: TeamShare, sentAtMs: number): void {
     this.#usages.get(share.team)?.applyShare(share, sentAtMs);
   }
 
   /**
-   * Makes a report that got no answer due again soon.
+   * Schedules another report after one that got no answer.
    *
    * @param team The team.
-   * @param afterMs When.
+   * @param afterMs Delay before the next report, to which jitter is added.
    */
   reportFailed(team: string, afterMs: number): void {
     this.#usages.get(team)?.scheduleReport(afterMs);
   }
 
-  /** @returns The state of each team in use, for dumps. */
+  /** @returns The state of each team with recent use, for state dumps. */
   state(): TeamUsageState[] {
     return [...this.#usages].map(([team, usage]) => usage.state(team));
   }
--- a/src/limits/team_limiter_test.ts
+++ b/src/limits/team_limiter_test.ts
@@ -41,12 +41,12 @@
   };
 }
 
-test("admits its floor without a share", () => {
+test("an entry without a share admits its floor", () => {
   assert.equal(setUp(2).fill().admissions.length, 10);
   assert.equal(setUp(360).fill().admissions.length, 1);
 });
 
-test("admits its share until it lapses", async () => {
+test("an entry admits its share until it expires", async () => {
   const { clock, limiter, fill } = setUp(2);
   limiter.tryAdmit(TEAM, 0);
   limiter.applyShare(share(), clock.nowMs());
@@ -55,7 +55,7 @@
   assert.equal(limiter.state()[0]!.maxInFlight, 10);
 });
 
-test("share counts from before the demand was sent", async () => {
+test("the lifetime of a share starts when the demand is sent", async () => {
   const { clock, limiter } = setUp(2);
   limiter.tryAdmit(TEAM, 0);
   const sentAtMs = clock.nowMs();
@@ -64,7 +64,7 @@
   assert.equal(limiter.state()[0]!.maxInFlight, 10);
 });
 
-test("lapsed share below the floor binds until the next report", async () => {
+test("an expired share below the floor applies until the next report", async () => {
   const { clock, limiter } = setUp(2);
   limiter.tryAdmit(TEAM, 0);
   limiter.applyShare(share({ inFlight: 1 }), clock.nowMs());
@@ -75,7 +75,7 @@
   assert.equal(limiter.state()[0]!.maxInFlight, 10);
 });
 
-test("late answer to an earlier report is not taken", async () => {
+test("a late answer to an earlier report is ignored", async () => {
   const { clock, limiter, fill } = setUp(2);
   fill();
   assert.equal(limiter.dueDemands().length, 1);
@@ -86,7 +86,7 @@
   assert.equal(limiter.state()[0]!.maxInFlight, 10);
 });
 
-test("settling frees one place, once", () => {
+test("settling an admission twice frees one slot", () => {
   const { limiter, fill } = setUp(2);
   const { admissions } = fill();
   admissions[0]!.settle(0);
@@ -94,7 +94,7 @@
   assert.equal(limiter.state()[0]!.inFlight, 9);
 });
 
-test("tokens used beyond those expected are owed", async () => {
+test("tokens used beyond the estimate leave a debt", async () => {
   const { clock, limiter, fill } = setUp(2);
   const { admissions, verdict } = fill(100);
   assert.equal(admissions.length, 1);
@@ -107,13 +107,13 @@
   assert.equal(limiter.tryAdmit(TEAM, 100).kind, "admitted");
 });
 
-test("a request larger than the burst passes alone", () => {
+test("a request larger than the burst is admitted alone", () => {
   const { limiter } = setUp(2);
   assert.equal(limiter.tryAdmit(TEAM, 100_000).kind, "admitted");
   assert.equal(limiter.tryAdmit(TEAM, 1).kind, "refused");
 });
 
-test("refusals are spread further the more there are", () => {
+test("retry times grow and spread with the number of refusals", () => {
   const waits: number[] = [];
   let draw = 0;
   const { limiter, fill } = setUp(2, LIMITS, () => (draw++ % 10) / 10);
@@ -126,7 +126,7 @@
   assert.equal(waits.at(-1)! > waits[0]!, true);
 });
 
-test("unknown team is refused", () => {
+test("a request of an unknown team is refused", () => {
   const verdict = setUp(2).limiter.tryAdmit("team-b", 0);
   assert.deepEqual(verdict, {
     kind: "refused",
@@ -135,7 +135,7 @@
   });
 });
 
-test("team below its floor has nothing to report", () => {
+test("a team well below its floor reports no demand", () => {
   const { limiter } = setUp(2);
   for (let next = 0; next < 7; next++) limiter.tryAdmit(TEAM, 0);
   assert.equal(limiter.dueDemands().length, 0);
@@ -143,7 +143,7 @@
   assert.equal(limiter.dueDemands().length, 1);
 });
 
-test("requests of entries that report never exceed the limit", async () => {
+test("requests in flight at reporting entries never exceed the limit", async () => {
   const step = fc.record({
     entry: fc.nat(4),
     wanted: fc.nat(120),
@@ -174,7 +174,7 @@
   await fc.assert(property, { seed: SEED, numRuns: 300 });
 });
 
-/** Entries before one ledger. */
+/** @returns Entries that report to one ledger. */
 function createReporters(clock: ManualClock, entryCount: number) {
   const settings = {
     clock,
--- a/src/limits/token_bucket.ts
+++ b/src/limits/token_bucket.ts
@@ -1,17 +1,17 @@
-/** A token bucket that may go into debt when the cost is known only afterwards. */
+/** A token bucket whose level may become negative when the cost of a request is only known later. */
 import type { Clock } from "../base/mod.ts";
 
 /** Settings of a {@link TokenBucket}. */
 export interface TokenBucketOptions {
   clock: Clock;
   perSecond: number;
-  /** Most tokens it holds. */
+  /** Capacity in tokens. */
   burst: number;
-  /** Tokens at the start; the burst when left out. */
+  /** Tokens at the start; defaults to `burst`. */
   initial?: number;
 }
 
-/** Tokens that accrue with time. */
+/** A bucket that refills at a fixed rate up to its capacity. */
 export class TokenBucket {
   readonly #clock: Clock;
   #perSecond: number;
@@ -28,21 +28,21 @@
   }
 
   /**
-   * @param options Rate and size.
+   * @param options Refill rate and capacity.
    * @returns A bucket.
    */
   static create(options: TokenBucketOptions): TokenBucket {
     return new TokenBucket(options);
   }
 
-  /** Tokens at hand; negative: debt. */
+  /** Available tokens; negative after more was taken than was available. */
   get tokens(): number {
     this.#refill();
     return this.#tokens;
   }
 
   /**
-   * @param count Tokens to take, whatever is at hand; negative: to give back.
+   * @param count Tokens to take regardless of the level; a negative count returns tokens.
    */
   take(count: number): void {
     this.#refill();
@@ -50,8 +50,8 @@
   }
 
   /**
-   * @param count Tokens wanted.
-   * @returns Whether they were there and have been taken.
+   * @param count Tokens to take.
+   * @returns Whether enough tokens were available; they have then been taken.
    */
   tryTake(count: number): boolean {
     if (this.tokens < count) return false;
@@ -60,8 +60,8 @@
   }
 
   /**
-   * @param count Tokens wanted.
-   * @returns Time until they are there; infinite without a rate.
+   * @param count Required tokens.
+   * @returns Time until they are available; infinite if the refill rate is 0.
    */
   msUntil(count: number): number {
     const missing = count - this.tokens;
@@ -69,8 +69,8 @@
   }
 
   /**
-   * @param perSecond The new rate.
-   * @param burst The new size; what is at hand is cut to it.
+   * @param perSecond New refill rate.
+   * @param burst New capacity; tokens beyond it are dropped.
    */
   resize(perSecond: number, burst: number): void {
     this.#refill();
