--- a/src/limits/_pace.ts
+++ b/src/limits/_pace.ts
@@ -1,10 +1,10 @@
 /** Report intervals and share lifetimes, which bound the traffic of a coordinator. */
 
-/** Reports per second that a coordinator receives for all its teams, up to MAX_INTERVAL_MS. */
+/** Target rate of reports at a coordinator; exceeded only once intervals reach the maximum. */
 const MAX_REPORTS_PER_SECOND = 30;
 const MIN_INTERVAL_MS = 1000;
 const MAX_INTERVAL_MS = 20_000;
-/** Report intervals in the lifetime of a share. */
+/** Lifetime of a share in report intervals, so that a lost report doesn't end the share. */
 const INTERVALS_PER_TTL = 3;
 
 /**
--- a/src/limits/share_exchange.ts
+++ b/src/limits/share_exchange.ts
@@ -1,4 +1,4 @@
-/** Sends demands to the teams' coordinators and applies the shares that they answer. */
+/** Sends demands to the teams' coordinators and applies the shares that they return. */
 import type { Result } from "true-myth";
 import type { Clock } from "../base/mod.ts";
 import { rankProcesses } from "../lease/mod.ts";
@@ -10,7 +10,7 @@
 const BACKOFF_MS = 3000;
 const REPORT_RETRY_MS = 200;
 
-/** Why a coordinator answered no shares. */
+/** Why a coordinator returned no shares. */
 export type ShareFailure = { kind: "unreachable"; message: string };
 
 /** Functions of the surrounding process that the exchange calls. */
--- a/src/limits/shared_buckets.ts
+++ b/src/limits/shared_buckets.ts
@@ -33,7 +33,7 @@
 /** Settings of {@link SharedBuckets}. */
 export interface SharedBucketsOptions {
   clock: Clock;
-  /** 0 to 1. */
+  /** Returns a number from 0 to 1. */
   random: () => number;
   /** Processes that may be running, including this one. */
   memberCount(): number;
--- a/src/limits/team_limiter.ts
+++ b/src/limits/team_limiter.ts
@@ -15,7 +15,7 @@
 /** Settings of a {@link TeamLimiter}. */
 export interface TeamLimiterOptions {
   clock: Clock;
-  /** 0 to 1. */
+  /** Returns a number from 0 to 1. */
   random: () => number;
   /** Current limits; undefined for an unknown team. */
   limitsOf: (team: string) => Limits | undefined;
@@ -113,7 +113,7 @@
    * Schedules another report after one that got no answer.
    *
    * @param team The team.
-   * @param afterMs Delay before the next report, to which jitter is added.
+   * @param afterMs Mean delay before the next report, which jitter varies.
    */
   reportFailed(team: string, afterMs: number): void {
     this.#usages.get(team)?.scheduleReport(afterMs);
