--- a/src/entry/_cleanup.ts
+++ b/src/entry/_cleanup.ts
@@ -1,4 +1,7 @@
-/** Closes what tests of a file left open, so that a failed test can't keep its file from ending. */
+/**
+ * Closes the resources of a test file after its last test, so that a failed test that left some open
+ * can't keep the process running.
+ */
 import { after } from "node:test";
 
 const closers: (() => void | Promise<void>)[] = [];
@@ -7,7 +10,7 @@
   for (const close of closers.reverse()) await close();
 });
 
-/** @param close Safe to call more than once. */
+/** @param close Closes a resource; must be safe to call more than once. */
 export function closeAtEnd(close: () => void | Promise<void>): void {
   closers.push(close);
 }
--- a/src/entry/_fake_agent.ts
+++ b/src/entry/_fake_agent.ts
@@ -1,4 +1,4 @@
-/** A scripted agent for tests: each connection of a run is answered by a function of the test. */
+/** A scripted agent for tests: a function of the test answers each connection of a run. */
 import type { ServerDuplexStream } from "@grpc/grpc-js";
 import { createHash } from "node:crypto";
 import {
@@ -21,34 +21,35 @@
 import { closeAtEnd } from "./_cleanup.ts";
 import { GrpcListener } from "../wire/mod.ts";
 
-/** One connection of a run, as the script sees it. */
+/** One connection of a run, through which a {@link Script} answers. */
 export interface FakeRun {
   start: StartRun;
-  /** Highest acknowledged piece so far. */
+  /** Sequence number after the last piece that the entry acknowledged. */
   ackedSeq: number;
-  /** True once the entry has given the connection up. */
+  /** True once the entry has cancelled the connection. */
   isOver: boolean;
   send(step: RunDown["step"]): void;
   started(change?: { attempt?: number; agentIncarnation?: string }): void;
   pieces(firstSeq: number, texts: string[]): void;
   end(pieceCount: number, change?: Partial<RunEnd>): void;
   refuse(refusal: Partial<Refusal> & { code: RefusalCode }): void;
-  /** Ends the connection without another word. */
+  /** Closes the connection without sending an end or a refusal. */
   cut(): void;
 }
 
-/** Answers the n-th connection, counted from 0. */
+/** Answers one connection; `connection` counts the agent's connections from 0. */
 export type Script = (run: FakeRun, connection: number) => void;
 
-/** Names of the fake team. */
+/** The team that {@link BRANCH} configures. */
 export const TEAM = "acme";
+/** A valid API key of {@link TEAM}. */
 export const KEY = "acme.notes.secret";
 
 const CLASSES = {
   desk: { priority: "urgent", deadlineMs: 20_000 },
 };
 
-/** The fake team's branch. */
+/** Configuration branch of {@link TEAM}. */
 export const BRANCH = {
   format: 1,
   models: { m: { pool: "engines", weightsVersion: "1" } },
@@ -75,7 +76,7 @@
   limits: { maxBodyBytes: 4096, maxInFlight: 40, retryShare: 0.1 },
 };
 
-/** A scripted agent. */
+/** An agent that records the calls it gets and answers them as a test scripts. */
 export class FakeAgent {
   readonly starts: StartRun[] = [];
   readonly cancels: CancelRequest[] = [];
@@ -99,9 +100,9 @@
 
   /**
    * @param id Instance id.
-   * @param script Answers runs.
-   * @param options The pool.
-   * @returns An agent that listens.
+   * @param script Answers each connection of a run.
+   * @param options The pool that the agent belongs to.
+   * @returns An agent that is listening.
    */
   static async create(
     id: string,
--- a/src/entry/_fixture.ts
+++ b/src/entry/_fixture.ts
@@ -1,21 +1,21 @@
-/** An entry with scripted agents, for tests. */
+/** Test fixture: an entry with scripted agents, requests to send and helpers to read answers. */
 import { createSilentLogger, systemClock } from "../base/mod.ts";
 import type { ErrorBody } from "./errors.ts";
 import { Entry, type EntryTuning } from "./mod.ts";
 import { closeAtEnd } from "./_cleanup.ts";
 import { KEY } from "./_fake_agent.ts";
 
-/** Short times, so that tests of silence end soon. */
+/** Short timeouts, so that tests of silent agents finish quickly. */
 export const TEST_TUNING: Partial<EntryTuning> = {
   progressMs: 100,
   cancelTimeoutMs: 200,
 };
 
 /**
- * @param agents Agents that the entry knows.
- * @param tuning Times that differ.
- * @param options How long it fails `/readyz` before it stops.
- * @returns An entry that knows them all.
+ * @param agents Seed addresses of the entry.
+ * @param tuning Overrides of {@link TEST_TUNING}.
+ * @param options How long `/readyz` fails before a graceful shutdown closes the listener, in ms.
+ * @returns A running entry that has discovered all of the agents.
  */
 export async function startEntry(
   agents: { address: string }[],
@@ -48,7 +48,7 @@
   return entry;
 }
 
-/** What a test sends. */
+/** A request to send; the defaults make it a chat request. */
 export interface Call {
   path?: string;
   method?: string;
@@ -58,9 +58,9 @@
 }
 
 /**
- * @param entry Where to.
- * @param call What; a chat request where left out.
- * @returns The answer.
+ * @param entry The entry to send to.
+ * @param call The request; each field that is left out has the value of a plain chat request.
+ * @returns The HTTP response.
  */
 export function send(entry: Entry, call: Call = {}): Promise<Response> {
   const { path = "/v1/chat/completions", method = "POST" } = call;
@@ -77,15 +77,15 @@
   });
 }
 
-/** A chat request. */
+/** Body of a chat request. */
 export const CHAT = { model: "m", messages: [{ role: "user", content: "hi" }] };
-/** A chat request with a streamed answer. */
+/** Body of a chat request that asks for a streamed answer. */
 export const STREAM = { ...CHAT, stream: true };
 
 /**
- * @param text Content.
- * @param finishReason Set on the last chunk.
- * @returns A chunk of a chat answer.
+ * @param text Content of the chunk.
+ * @param finishReason Set on the last chunk of an answer.
+ * @returns A chunk of a streamed chat answer, as JSON.
  */
 export function chunk(
   text: string,
@@ -101,12 +101,12 @@
   });
 }
 
-/** Chunks of the answer "abc". */
+/** Chunks of a chat answer with the content "abc". */
 export const ABC = [chunk("a"), chunk("b"), chunk("c", "stop")];
 
 /**
- * @param sse A streamed answer.
- * @returns Its events' data.
+ * @param sse Body of a streamed answer.
+ * @returns The data of each server-sent event.
  */
 export function eventsOf(sse: string): string[] {
   return sse.split("\n\n").filter((event) => event !== "")
@@ -114,8 +114,8 @@
 }
 
 /**
- * @param answer An error answer.
- * @returns What it says.
+ * @param answer An error response.
+ * @returns The error object of its body.
  */
 export async function errorOf(answer: Response): Promise<ErrorBody["error"]> {
   const { error } = await answer.json() as ErrorBody;
--- a/src/entry/assemble.ts
+++ b/src/entry/assemble.ts
@@ -1,16 +1,16 @@
-/** Assembles a whole answer from the chunks of a stream. */
+/** Assembles a non-streamed answer from the chunks of a stream. */
 import { Result } from "true-myth";
 import type { PromptAPI } from "../placement/mod.ts";
 import type { RunEnd } from "../wire/gen/cicadahitch.ts";
 
-/** Why chunks make no answer. */
+/** Why the chunks don't form a complete answer. */
 export interface AssemblyFailure {
   kind: "bad_chunk";
   message: string;
 }
 
-/** A whole answer, as the OpenAI interface has it. */
-export interface WholeAnswer {
+/** A non-streamed answer in the format of the OpenAI API. */
+export interface CompleteAnswer {
   id: string;
   object: string;
   created: number;
@@ -26,7 +26,8 @@
   function: { name: string; arguments: string };
 }
 
-interface Choice {
+/** A choice whose text parts are collected until the stream ends. */
+interface PartialChoice {
   role: string;
   content: string[];
   hasContent: boolean;
@@ -48,6 +49,7 @@
   })[];
 }
 
+/** The fields of a streamed chunk that the assembler reads. */
 interface Chunk {
   id?: string;
   created?: number;
@@ -63,14 +65,16 @@
   usage?: Record<string, unknown> | null;
 }
 
+/** Bounds the choices that a server's index can make the assembler allocate. */
 const MAX_CHOICES = 128;
+/** Bounds the tool calls per choice that a server's index can make the assembler allocate. */
 const MAX_TOOL_CALLS = 1024;
 
-/** Collects chunks. */
+/** Collects the chunks of one answer; the first error makes {@link finish} fail. */
 export class AnswerAssembler {
   readonly #api: PromptAPI;
-  readonly #choices: Choice[] = [];
-  #first: Chunk | undefined;
+  readonly #choices: PartialChoice[] = [];
+  #firstChunk: Chunk | undefined;
   #usage: Record<string, unknown> | undefined;
   #problem: string | undefined;
 
@@ -79,44 +83,44 @@
   }
 
   /**
-   * @param api Form of the answer.
+   * @param api API whose answer format to build.
    * @returns An assembler without chunks.
    */
   static create(api: PromptAPI): AnswerAssembler {
     return new AnswerAssembler(api);
   }
 
-  /** @param piece Data of the next event. */
+  /** @param piece Data of the next server-sent event. */
   add(piece: Buffer): void {
     const chunk = parseChunk(piece);
     if (!chunk) {
       this.#problem ??= "The server sent a chunk that is not a JSON object";
       return;
     }
-    this.#first ??= chunk;
+    this.#firstChunk ??= chunk;
     if (chunk.usage) this.#usage = chunk.usage;
     for (const part of chunk.choices ?? []) this.#addChoice(part);
   }
 
   /**
-   * @param end The run's end, for usage that the stream lacks.
-   * @returns The whole answer.
+   * @param end End of the run; supplies the token usage if the stream contained none.
+   * @returns The complete answer, or why the chunks don't form one.
    */
-  finish(end: RunEnd): Result<WholeAnswer, AssemblyFailure> {
-    const problem = this.#problem ?? this.#missing();
+  finish(end: RunEnd): Result<CompleteAnswer, AssemblyFailure> {
+    const problem = this.#problem ?? this.#incompleteReason();
     if (problem) return Result.err({ kind: "bad_chunk", message: problem });
-    const first = this.#first!;
-    const answer: WholeAnswer = {
+    const first = this.#firstChunk!;
+    const answer: CompleteAnswer = {
       id: first.id ?? "",
       object: this.#api === "chat" ? "chat.completion" : "text_completion",
       created: first.created ?? 0,
       model: first.model ?? "",
       choices: this.#choices.map((choice, index) =>
         this.#api === "chat"
-          ? chatChoice(choice, index)
-          : textChoice(choice, index)
+          ? toChatChoice(choice, index)
+          : toTextChoice(choice, index)
       ),
-      usage: this.#usage ?? usageOf(end),
+      usage: this.#usage ?? usageFromRunEnd(end),
     };
     if (first.system_fingerprint !== undefined) {
       answer.system_fingerprint = first.system_fingerprint;
@@ -124,11 +128,12 @@
     return Result.ok(answer);
   }
 
-  #missing(): string | undefined {
-    if (!this.#first) return "The server sent no chunk";
-    const isCut = this.#choices.length === 0 ||
+  /** @returns Why the answer is incomplete; undefined if it is complete. */
+  #incompleteReason(): string | undefined {
+    if (!this.#firstChunk) return "The server sent no chunk";
+    const isTruncated = this.#choices.length === 0 ||
       this.#choices.some(({ finishReason }) => finishReason === null);
-    return isCut ? "The answer has no finish reason" : undefined;
+    return isTruncated ? "The answer has no finish reason" : undefined;
   }
 
   #addChoice(part: NonNullable<Chunk["choices"]>[number]): void {
@@ -145,7 +150,7 @@
     if (part.delta) this.#addDelta(choice, part.delta);
   }
 
-  #addDelta(choice: Choice, delta: ChunkDelta): void {
+  #addDelta(choice: PartialChoice, delta: ChunkDelta): void {
     if (delta.role) choice.role = delta.role;
     if (typeof delta.content === "string") addContent(choice, delta.content);
     if (delta.refusal) choice.refusal.push(delta.refusal);
@@ -169,7 +174,7 @@
   }
 }
 
-function newChoice(): Choice {
+function newChoice(): PartialChoice {
   return {
     role: "assistant",
     content: [],
@@ -182,13 +187,13 @@
   };
 }
 
-function addContent(choice: Choice, text: string): void {
+function addContent(choice: PartialChoice, text: string): void {
   choice.hasContent = true;
   choice.content.push(text);
 }
 
 function addLogprobs(
-  choice: Choice,
+  choice: PartialChoice,
   logprobs: Record<string, unknown[] | null>,
 ): void {
   choice.logprobs ??= {};
@@ -199,7 +204,7 @@
 }
 
 function addToolCall(
-  choice: Choice,
+  choice: PartialChoice,
   part: NonNullable<ChunkDelta["tool_calls"]>[number],
 ): void {
   while (choice.toolCalls.length <= part.index) {
@@ -216,7 +221,10 @@
   call.function.arguments += part.function?.arguments ?? "";
 }
 
-function chatChoice(choice: Choice, index: number): Record<string, unknown> {
+function toChatChoice(
+  choice: PartialChoice,
+  index: number,
+): Record<string, unknown> {
   const message: Record<string, unknown> = {
     role: choice.role,
     content: choice.hasContent ? choice.content.join("") : null,
@@ -234,7 +242,10 @@
   };
 }
 
-function textChoice(choice: Choice, index: number): Record<string, unknown> {
+function toTextChoice(
+  choice: PartialChoice,
+  index: number,
+): Record<string, unknown> {
   return {
     index,
     text: choice.content.join(""),
@@ -243,7 +254,7 @@
   };
 }
 
-function usageOf(end: RunEnd): Record<string, unknown> {
+function usageFromRunEnd(end: RunEnd): Record<string, unknown> {
   return {
     prompt_tokens: end.promptTokens,
     completion_tokens: end.completionTokens,
--- a/src/entry/caller.ts
+++ b/src/entry/caller.ts
@@ -1,4 +1,4 @@
-/** The caller of one request: whether it is still there, and the time it has left. */
+/** The caller of one request: its connection and the time left until its deadline. */
 import type { ServerResponse } from "node:http";
 import type { Clock } from "../base/mod.ts";
 
@@ -10,12 +10,12 @@
 /** One of {@link AbortCause}. */
 export type AbortCause = (typeof AbortCause)[keyof typeof AbortCause];
 
-/** Watches the caller's connection and deadline. */
+/** Aborts a signal when the caller disconnects or its deadline expires. */
 export class Caller {
   readonly response: ServerResponse;
   readonly #clock: Clock;
-  readonly #abort = new AbortController();
-  readonly #onClose = () => this.#end(AbortCause.ClientGone);
+  readonly #controller = new AbortController();
+  readonly #onClose = () => this.#abort(AbortCause.ClientGone);
   #cause: AbortCause | undefined;
   #timer: NodeJS.Timeout | undefined;
   #deadlineAtMs = Infinity;
@@ -27,45 +27,48 @@
   }
 
   /**
-   * @param response The answer to the caller.
-   * @param clock Measures the time left.
+   * @param response The response to the caller.
+   * @param clock Measures the time until the deadline.
    * @returns A caller without a deadline.
    */
   static create(response: ServerResponse, clock: Clock): Caller {
     return new Caller(response, clock);
   }
 
-  /** Aborted when the caller is gone or out of time. */
+  /** Aborted when the caller disconnects or its deadline expires. */
   get signal(): AbortSignal {
-    return this.#abort.signal;
+    return this.#controller.signal;
   }
 
-  /** Why the signal was aborted. */
+  /** Why the signal was aborted; undefined if it was not. */
   get cause(): AbortCause | undefined {
     return this.#cause;
   }
 
-  /** Time left until the deadline, in ms; at least 0. */
+  /** Time left until the deadline, in ms; at least 0, infinite without a deadline. */
   get leftMs(): number {
     return Math.max(0, this.#deadlineAtMs - this.#clock.nowMs());
   }
 
-  /** @param deadlineMs Time that the caller gives, from now on. */
+  /** @param deadlineMs Time from now until the deadline; replaces an earlier deadline. */
   setDeadline(deadlineMs: number): void {
     clearTimeout(this.#timer);
     this.#deadlineAtMs = this.#clock.nowMs() + deadlineMs;
-    this.#timer = setTimeout(() => this.#end(AbortCause.Deadline), deadlineMs);
+    this.#timer = setTimeout(
+      () => this.#abort(AbortCause.Deadline),
+      deadlineMs,
+    );
   }
 
-  /** Stops watching; the request has ended. */
+  /** Stops watching the connection and the deadline; call it when the request has ended. */
   finish(): void {
     clearTimeout(this.#timer);
     this.response.removeListener("close", this.#onClose);
   }
 
-  #end(cause: AbortCause): void {
+  #abort(cause: AbortCause): void {
     if (this.#cause) return;
     this.#cause = cause;
-    this.#abort.abort();
+    this.#controller.abort();
   }
 }
--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -1,4 +1,4 @@
-/** An entry: takes callers' requests, chooses backend servers, streams the answers. */
+/** An entry: accepts requests, sends them to backend servers and streams the answers back. */
 import { randomUUID } from "node:crypto";
 import type { ServerResponse } from "node:http";
 import type { Result } from "true-myth";
@@ -21,15 +21,15 @@
 import { serveModel } from "./model_handler.ts";
 import { serveModels } from "./models_handler.ts";
 import type { EntryOptions } from "./options.ts";
-import { noteRequest } from "./request_log.ts";
+import { recordRequest } from "./request_log.ts";
 import { serveService } from "./service_handler.ts";
 import { describeEntry } from "./state_dump.ts";
 
-/** An entry could not open a listener. */
+/** Thrown when an entry can't open a listener. */
 export class ListenError extends Error {
   readonly failure: ListenFailure;
 
-  /** @param failure Why. */
+  /** @param failure Address and cause. */
   constructor(failure: ListenFailure) {
     super(`Could not listen on ${failure.address}: ${failure.message}`);
     this.failure = failure;
@@ -47,7 +47,7 @@
   execution: Execution.Unknown,
 };
 
-/** A running entry. */
+/** A running entry process: its listeners, background tasks and requests in flight. */
 export class Entry {
   readonly #life: Lifecycle;
   readonly #parts: EntryParts;
@@ -56,12 +56,12 @@
   readonly #records = new Set<RequestRecord>();
   #stopped: Promise<void> | undefined;
 
-  private constructor(parts: EntryParts, life: Lifecycle) {
+  private constructor(parts: EntryParts, lifecycle: Lifecycle) {
     this.#parts = parts;
-    this.#life = life;
+    this.#life = lifecycle;
     this.#deps = buildHandlerDeps(parts);
-    this.#http = life.own(this.#buildHttp());
-    parts.metrics.follow({
+    this.#http = lifecycle.own(this.#buildHttp());
+    parts.metrics.registerGauges({
       in_flight_requests: () => this.#records.size,
       open_channels: () => parts.channels.counts.open,
       known_instances: () => parts.members.instances.length,
@@ -71,51 +71,53 @@
 
   /**
    * @param options Settings.
-   * @returns An entry that serves; it has a configuration if anybody gave it one in time.
+   * @returns An entry that accepts requests. It may still lack a configuration: startup waits for the
+   * first one only for a limited time.
    */
   static async create(options: EntryOptions): Promise<Entry> {
-    const life = Lifecycle.create("entry");
+    const lifecycle = Lifecycle.create("entry");
     try {
-      const entry = new Entry(buildParts(options, life), life);
+      const entry = new Entry(buildParts(options, lifecycle), lifecycle);
       await entry.#start();
       return entry;
     } catch (error) {
-      await life.stop();
+      await lifecycle.stop();
       throw error;
     }
   }
 
-  /** `ip:port` of the callers' listener. */
+  /** `ip:port` of the HTTP listener for callers. */
   get httpAddress(): string {
     return this.#http.address;
   }
 
-  /** `ip:port` of the listener for other processes. */
+  /** `ip:port` of the gRPC listener for other processes. */
   get peerAddress(): string {
     return this.#parts.listener.address;
   }
 
-  /** `ip:port` of the administration API; empty: it is off. */
+  /** `ip:port` of the administration API; empty if it is off. */
   get adminAddress(): string {
     return this.#parts.admin?.address ?? "";
   }
 
-  /** Branches in force here. */
+  /** Branches in force at this entry. */
   get branches(): BranchSet {
     return this.#parts.branches;
   }
 
   /**
-   * Stops as planned: `/readyz` fails, then no connection is accepted, requests end, all is closed.
+   * Shuts down gracefully: fails `/readyz` for a while, stops accepting connections, waits for the
+   * requests in flight, then closes everything.
    *
-   * @returns Resolves when all is closed.
+   * @returns Resolves when everything is closed.
    */
   stop(): Promise<void> {
     this.#stopped ??= this.#drainAndClose();
     return this.#stopped;
   }
 
-  /** @returns The state, ready for `JSON.stringify`. */
+  /** @returns The state for operators; can be passed to `JSON.stringify`. */
   dumpState(): ReturnType<typeof describeEntry> {
     return describeEntry(this.#parts, {
       httpAddress: this.httpAddress,
@@ -127,22 +129,28 @@
   async #start(): Promise<void> {
     const { listener, follower, sync, shares, admin, options } = this.#parts;
     addPeerService(this.#parts, () => JSON.stringify(this.dumpState()));
-    check(await listener.start());
-    this.#life.task("instance-list", (end) => follower.followList(end));
-    this.#life.task("instance-seeds", (end) => follower.askSeeds(end));
-    this.#life.task("team-shares", (end) => shares.run(end));
+    throwIfNotListening(await listener.start());
+    this.#life.task(
+      "instance-list",
+      (signal) => follower.followList(signal),
+    );
+    this.#life.task(
+      "instance-seeds",
+      (signal) => follower.pollSeeds(signal),
+    );
+    this.#life.task("team-shares", (signal) => shares.run(signal));
     const { planners } = this.#parts;
-    if (planners) this.#life.task("planners", (end) => planners.run(end));
+    if (planners) this.#life.task("planners", (signal) => planners.run(signal));
     const { source } = await sync.ready;
-    if (admin) check(await admin.start());
-    check(await this.#http.start());
+    if (admin) throwIfNotListening(await admin.start());
+    throwIfNotListening(await this.#http.start());
     const { httpAddress, peerAddress } = this;
     options.log.info({ httpAddress, peerAddress, source }, "serving");
   }
 
   async #drainAndClose(): Promise<void> {
     const { clock, unreadyMs, drainMs } = this.#parts.options;
-    this.#http.becomeUnready();
+    this.#http.markUnready();
     await clock.sleep(unreadyMs);
     await this.#http.drain(drainMs);
     await this.#life.stop();
@@ -191,34 +199,41 @@
       failure = await handler(this.#deps, exchange);
     } catch (error) {
       const { requestId } = record;
-      this.#parts.options.log.error({ err: error, requestId }, "broken off");
+      this.#parts.options.log.error(
+        { err: error, requestId },
+        "Request handler failed",
+      );
       failure = INTERNAL_FAILURE;
-      endBroken(response, failure);
+      endWithFailure(response, failure);
     }
     caller.finish();
-    cutLate(response, lingerOf(caller, this.#parts.tuning.lingerMs));
+    destroyAfter(response, readTimeoutMs(caller, this.#parts.tuning.lingerMs));
     this.#records.delete(record);
-    noteRequest(this.#parts, record, { failure });
+    recordRequest(this.#parts, record, { failure });
   }
 }
 
-function check(listening: Result<string, ListenFailure>): void {
+function throwIfNotListening(listening: Result<string, ListenFailure>): void {
   if (listening.isErr) throw new ListenError(listening.error);
 }
 
-/** A caller that never reads the last of its answer must not hold its connection for good. */
-function cutLate(response: ServerResponse, lingerMs: number): void {
+/** Closes the connection of a caller that doesn't read the rest of its answer in time. */
+function destroyAfter(response: ServerResponse, timeoutMs: number): void {
   if (response.writableFinished || response.destroyed) return;
-  const cut = setTimeout(() => response.destroy(), lingerMs);
-  response.once("close", () => clearTimeout(cut));
+  const timer = setTimeout(() => response.destroy(), timeoutMs);
+  response.once("close", () => clearTimeout(timer));
 }
 
-/** A caller with time left may read that long, however slowly. */
-function lingerOf({ leftMs }: Caller, lingerMs: number): number {
+/** @returns Time to read the rest of an answer: until the deadline, but at least `lingerMs`. */
+function readTimeoutMs({ leftMs }: Caller, lingerMs: number): number {
   return Number.isFinite(leftMs) ? Math.max(leftMs, lingerMs) : lingerMs;
 }
 
-function endBroken(response: ServerResponse, failure: RequestFailure): void {
+/** Sends the failure if nothing was sent yet; otherwise closes the connection. */
+function endWithFailure(
+  response: ServerResponse,
+  failure: RequestFailure,
+): void {
   writeFailure(response, failure);
   if (!response.writableEnded) response.destroy();
 }
--- a/src/entry/entry_metrics.ts
+++ b/src/entry/entry_metrics.ts
@@ -1,20 +1,20 @@
-/** Metrics of an entry. */
+/** Prometheus metrics of an entry. */
 import type { Counter, Histogram, Metrics } from "../base/metrics.ts";
 
-/** Kinds of requests. */
+/** Kind of a request, by the API that was called. */
 export type RequestKind = "chat" | "text" | "service";
 
-/** One finished request. */
+/** Measurements of one finished request. */
 export interface RequestSample {
   kind: RequestKind;
-  /** Empty: not known. */
+  /** Empty if the request failed before its class was known. */
   className: string;
-  /** `ok` or an error code. */
+  /** `ok` or the error code. */
   outcome: string;
   durationMs: number;
-  /** Undefined: no byte of an answer came. */
+  /** Time to the first piece of the answer; undefined if none arrived. */
   ttftMs: number | undefined;
-  /** From the request's arrival to its start at an agent; undefined: it was not started. */
+  /** Time from the request's arrival to its start at an agent; undefined if it was not started. */
   placementMs: number | undefined;
   attempts: number;
   reattaches: number;
@@ -28,10 +28,10 @@
   config_age_ms: "Since the store confirmed the branches in force",
 } as const;
 
-/** Numbers that are read when they are shown. */
+/** Functions that return the current value of each gauge. */
 export type GaugeSources = Record<keyof typeof GAUGES, () => number>;
 
-/** Counts requests. Labels are kinds, outcomes and classes, never teams or prompts. */
+/** Records requests. The labels are kind, outcome and class, never teams or prompts. */
 export class EntryMetrics {
   readonly #metrics: Metrics;
   readonly #retries: Counter;
@@ -60,7 +60,7 @@
 
   /**
    * @param metrics The process's registry.
-   * @returns Metrics at 0.
+   * @returns Metrics of an entry that has served no request.
    */
   static create(metrics: Metrics): EntryMetrics {
     return new EntryMetrics(metrics);
@@ -87,18 +87,18 @@
   }
 
   /**
-   * Shows numbers that others keep.
+   * Registers gauges whose values are read from other parts of the entry.
    *
-   * @param sources Asked whenever metrics are shown.
+   * @param sources Called on each scrape.
    */
-  follow(sources: GaugeSources): void {
+  registerGauges(sources: GaugeSources): void {
     for (const [name, help] of Object.entries(GAUGES)) {
       const read = sources[name as keyof GaugeSources];
       this.#metrics.gauge(`cicadahitch_entry_${name}`, { help }).follow(read);
     }
   }
 
-  /** @returns All metrics of the process as Prometheus text. */
+  /** @returns All metrics of the process in the Prometheus text format. */
   render(): string {
     return this.#metrics.render();
   }
--- a/src/entry/entry_parts.ts
+++ b/src/entry/entry_parts.ts
@@ -1,4 +1,4 @@
-/** Builds the parts of an entry and gives them to its life cycle. */
+/** Builds the parts of an entry and registers them with its {@link Lifecycle}. */
 import type { Lifecycle } from "../base/mod.ts";
 import { Metrics } from "../base/metrics.ts";
 import { AdminServer } from "../admin/mod.ts";
@@ -28,7 +28,7 @@
 import { DEFAULT_TUNING, type EntryTuning } from "./tuning.ts";
 import { VersionMemory } from "./version_memory.ts";
 
-/** What an entry is made of. */
+/** The components of an entry. */
 export interface EntryParts {
   options: EntryOptions;
   tuning: EntryTuning;
@@ -43,29 +43,34 @@
   suspects: RunSuspects;
   sync: ConfigSync;
   demand: DemandMeter;
-  /** Undefined: planning is off, or there is no store. */
+  /** Undefined if planning is off or no key-value service is configured. */
   planners: PoolPlanners | undefined;
-  /** Undefined: the settings name no key or no store. */
+  /** Undefined if the settings lack its address, its key or the key-value service. */
   admin: AdminServer | undefined;
 }
 
 /**
  * @param options Settings.
- * @param life Owns what is opened.
- * @returns The parts; listeners aren't open yet.
+ * @param lifecycle Owns the resources and background tasks.
+ * @returns The parts; the listeners are not open yet.
  */
-export function buildParts(options: EntryOptions, life: Lifecycle): EntryParts {
+export function buildParts(
+  options: EntryOptions,
+  lifecycle: Lifecycle,
+): EntryParts {
   const { clock, security, instanceId } = options;
   const tuning = { ...DEFAULT_TUNING, ...options.tuning };
   const branches = BranchSet.create();
   const members = Members.create(clock);
-  const channels = life.own(ChannelPool.create({
+  const channels = lifecycle.own(ChannelPool.create({
     security,
     clock,
     maxChannels: tuning.maxChannels,
     idleMs: tuning.channelIdleMs,
   }));
-  const listener = life.own(GrpcListener.create(options.peerAddress, security));
+  const listener = lifecycle.own(
+    GrpcListener.create(options.peerAddress, security),
+  );
   const shares: TeamShares = TeamShares.create({
     instanceId,
     branches,
@@ -75,9 +80,9 @@
     random: Math.random,
     sync: () => sync,
   });
-  const store = openStore(options, life);
+  const store = openStore(options, lifecycle);
   const suspects = RunSuspects.create({ clock, log: options.log, store });
-  life.task("suspects", (signal) => suspects.run(signal));
+  lifecycle.task("suspects", (signal) => suspects.run(signal));
   const base = {
     options,
     tuning,
@@ -87,25 +92,25 @@
     listener,
     suspects,
   };
-  const sync = buildSync(base, store, { life });
-  const follower = buildFollower(base, life);
+  const sync = buildSync(base, store, { lifecycle });
+  const follower = buildFollower(base, lifecycle);
   const demand = DemandMeter.create(clock);
   return {
     ...base,
     demand,
-    planners: buildPlanners({ ...base, demand }, store, { sync, life }),
+    planners: buildPlanners({ ...base, demand }, store, { sync, lifecycle }),
     metrics: EntryMetrics.create(Metrics.create({ clock })),
     policy: buildPolicy(options),
     follower,
     shares,
     sync,
-    admin: buildAdmin(base, store, { sync, life }),
+    admin: buildAdmin(base, store, { sync, lifecycle }),
   };
 }
 
 /**
- * @param parts An entry's parts.
- * @returns What its handlers work with.
+ * @param parts Parts of the entry.
+ * @returns The dependencies of the entry's request handlers.
  */
 export function buildHandlerDeps(parts: EntryParts): HandlerDeps {
   const { channels, members, policy, tuning, sync, branches, shares } = parts;
@@ -113,7 +118,7 @@
   const budget = RetryBudget.create();
   const asker = Asker.create({
     channels,
-    observe: (outcome) => learnFromAsk(outcome, { members, policy }),
+    observe: (outcome) => applyAskOutcome(outcome, { members, policy }),
     clock,
     timeoutMs: tuning.askTimeoutMs,
     config: {
@@ -154,10 +159,10 @@
 }
 
 /**
- * Adds the services that other processes call.
+ * Adds the gRPC service that other processes call.
  *
- * @param parts An entry's parts.
- * @param dumpState The entry's state as JSON.
+ * @param parts Parts of the entry.
+ * @param dumpState Returns the entry's state as JSON.
  */
 export function addPeerService(
   { listener, sync, branches, shares }: EntryParts,
@@ -172,6 +177,7 @@
   listener.addService(PeerService, service);
 }
 
+/** The parts that the other parts are built from. */
 type BaseParts = Pick<
   EntryParts,
   | "options"
@@ -185,11 +191,11 @@
 
 function openStore(
   { storeAddress, clock }: EntryOptions,
-  life: Lifecycle,
+  lifecycle: Lifecycle,
 ): KeyValueStore | undefined {
   if (storeAddress === "") return undefined;
   const store = EtcdStore.create({ address: storeAddress, clock });
-  life.own({ name: "store", close: () => store.close() });
+  lifecycle.own({ name: "store", close: () => store.close() });
   return store;
 }
 
@@ -205,7 +211,7 @@
 function buildSync(
   { options, branches, members, channels, listener, suspects }: BaseParts,
   store: KeyValueStore | undefined,
-  { life }: { life: Lifecycle },
+  { lifecycle }: { lifecycle: Lifecycle },
 ): ConfigSync {
   const { instanceId, seedAddresses, clock, log } = options;
   return ConfigSync.create({
@@ -216,7 +222,7 @@
     peers: GrpcPeerCalls.create({ channels, clock }),
     peerAddresses: () => members.entryAddresses,
     seedAddresses: () => [...seedAddresses, ...members.agentAddresses],
-    lifecycle: life,
+    lifecycle,
     log,
     clock,
     extend: (digest) => suspects.extend(digest),
@@ -226,13 +232,13 @@
 
 function buildFollower(
   { options, tuning, members, channels }: BaseParts,
-  life: Lifecycle,
+  lifecycle: Lifecycle,
 ): InstanceFollower {
   const { instanceListUrl, seedAddresses, clock, log } = options;
   const list = instanceListUrl === ""
     ? undefined
     : HttpInstanceList.create({ url: instanceListUrl });
-  if (list) life.own({ name: "instance-list", close: () => list.close() });
+  if (list) lifecycle.own({ name: "instance-list", close: () => list.close() });
   return InstanceFollower.create({
     list,
     seedAddresses,
@@ -250,7 +256,7 @@
     demand: DemandMeter;
   },
   store: KeyValueStore | undefined,
-  { sync, life }: { sync: ConfigSync; life: Lifecycle },
+  { sync, lifecycle }: { sync: ConfigSync; lifecycle: Lifecycle },
 ): PoolPlanners | undefined {
   const { planning, instanceId, clock, log } = options;
   if (!store || !planning) return undefined;
@@ -263,7 +269,7 @@
     demand,
     knowsAllTeams: () => sync.knowsAllTeams,
     tuning: planning,
-    lifecycle: life,
+    lifecycle,
     clock,
     log,
   });
@@ -272,11 +278,11 @@
 function buildAdmin(
   { options, branches, listener }: BaseParts,
   store: KeyValueStore | undefined,
-  { sync, life }: { sync: ConfigSync; life: Lifecycle },
+  { sync, lifecycle }: { sync: ConfigSync; lifecycle: Lifecycle },
 ): AdminServer | undefined {
   const { adminAddress, adminKeySha256, instanceId, clock, log } = options;
   if (!store || adminAddress === "" || adminKeySha256 === "") return undefined;
-  return life.own(AdminServer.create({
+  return lifecycle.own(AdminServer.create({
     address: adminAddress,
     keySha256: adminKeySha256,
     store,
@@ -289,7 +295,8 @@
   }));
 }
 
-function learnFromAsk(
+/** Updates the members and the placement policy with an agent's reply to an ask. */
+function applyAskOutcome(
   outcome: AskOutcome,
   { members, policy }: Pick<EntryParts, "members" | "policy">,
 ): void {
--- a/src/entry/errors.ts
+++ b/src/entry/errors.ts
@@ -1,18 +1,18 @@
-/** What callers are told when a request fails: stable codes, and whether the request was run. */
+/** Error answers to callers: a stable code, and whether the request was executed. */
 
 /** Whether a failed request was executed. */
 export const Execution = {
-  /** It was not run and never will be. */
+  /** The request was not executed and never will be. */
   NotRun: "not_run",
-  /** It ran, and failed or its answer is gone. */
+  /** The request was executed, but it failed or its answer was lost. */
   Ran: "ran",
-  /** It may have run, or may still be running. */
+  /** The request may have been executed, or may still be running. */
   Unknown: "unknown",
 } as const;
 /** One of {@link Execution}. */
 export type Execution = (typeof Execution)[keyof typeof Execution];
 
-/** Status and type of each code; codes are part of the interface and don't change. */
+/** HTTP status and error type of each code. The codes are part of the API and must not change. */
 export const ERROR_CODES = {
   bad_json: [400, "invalid_request_error"],
   invalid_body: [400, "invalid_request_error"],
@@ -44,19 +44,19 @@
 /** A stable error code. */
 export type ErrorCode = keyof typeof ERROR_CODES;
 
-/** A failed request, as its caller sees it. */
+/** A failed request as reported to its caller. */
 export interface RequestFailure {
   code: ErrorCode;
-  /** A sentence for people; carries no prompt and no key. */
+  /** A sentence for people; contains no prompt and no API key. */
   message: string;
   execution: Execution;
-  /** Field or header at fault. */
+  /** Body field or header that caused the failure. */
   param?: string;
-  /** When to try again; only where that makes sense. */
+  /** Delay before a retry; undefined if a retry is not expected to help. */
   retryAfterMs?: number;
 }
 
-/** The body of an error answer. */
+/** JSON body of an error response, in the format of the OpenAI API. */
 export interface ErrorBody {
   error: {
     message: string;
@@ -67,17 +67,17 @@
   };
 }
 
-/** What else a refusal says besides its code. */
+/** Optional details of a rejected request. */
 export interface RejectionOptions {
   param?: string;
   retryAfterMs?: number;
 }
 
 /**
- * @param code The code.
+ * @param code Error code.
  * @param message A sentence for people.
- * @param options Field at fault and time to wait.
- * @returns A failure of a request that was not run.
+ * @param options Body field or header at fault, and the delay before a retry.
+ * @returns The failure of a request that was not executed.
  */
 export function notRun(
   code: ErrorCode,
@@ -89,7 +89,7 @@
 
 /**
  * @param failure The failure.
- * @returns Its HTTP status.
+ * @returns HTTP status of the error response.
  */
 export function statusOf(failure: RequestFailure): number {
   return ERROR_CODES[failure.code][0];
@@ -97,7 +97,7 @@
 
 /**
  * @param failure The failure.
- * @returns The JSON body of its answer.
+ * @returns Body of the error response.
  */
 export function errorBody(failure: RequestFailure): ErrorBody {
   return {
@@ -113,8 +113,8 @@
 
 /**
  * @param failure The failure.
- * @returns Headers of its answer. Clients that retry by themselves are told not to where the
- * request may have run.
+ * @returns Headers of the error response. They tell clients that retry automatically not to do so if
+ * the request may have been executed.
  */
 export function errorHeaders(failure: RequestFailure): Record<string, string> {
   const headers: Record<string, string> = {
--- a/src/entry/handler_deps.ts
+++ b/src/entry/handler_deps.ts
@@ -1,15 +1,15 @@
-/** What the handlers of an entry work with. */
+/** Dependencies and common steps of an entry's request handlers. */
 import { Result } from "true-myth";
 import type { Clock } from "../base/mod.ts";
 import type { BranchSet } from "../config/branch_set.ts";
 import type { Admission, TeamLimiter } from "../limits/mod.ts";
-import { authenticate, type Identity, namedTeam } from "./auth.ts";
+import { authenticate, claimedTeam, type Identity } from "./auth.ts";
 import type { Dispatcher } from "./dispatch.ts";
 import { notRun, type RequestFailure } from "./errors.ts";
 import type { Exchange } from "./exchange.ts";
 import type { OfferRouteOptions } from "./routes.ts";
 
-/** What all routes of an entry have in common. */
+/** Options that all routes of an entry share. */
 export type Routing = Pick<
   OfferRouteOptions,
   | "members"
@@ -22,23 +22,26 @@
   | "demand"
 >;
 
-/** What handlers work with. */
+/** Dependencies of the request handlers. */
 export interface HandlerDeps {
   clock: Clock;
   branches: BranchSet;
   limiter: TeamLimiter;
   dispatcher: Dispatcher;
   routing: Routing;
-  /** False: a team that is not held may exist all the same. */
+  /** False while branches may be missing here, so that an unknown team may still exist. */
   knowsAllTeams: () => boolean;
 }
 
+/** Delay before a retry that is sent to callers while the configuration is incomplete. */
 const CONFIG_RETRY_MS = 1000;
 
 /**
+ * Authenticates a request and records its team, workspace and key id.
+ *
  * @param deps Branches in force.
- * @param exchange The request; its record is filled in.
- * @returns Whose request it is.
+ * @param exchange The request.
+ * @returns The owner of the request; `not_ready` if its team's branch may not have arrived yet.
  */
 export function identify(
   deps: HandlerDeps,
@@ -47,7 +50,7 @@
   const { authorization } = exchange.request.headers;
   const identified = authenticate(deps.branches, authorization);
   if (identified.isErr) {
-    const team = namedTeam(authorization);
+    const team = claimedTeam(authorization);
     const mayExist = team !== "" && !deps.branches.held(team) &&
       !deps.knowsAllTeams();
     return mayExist ? Result.err(notReady()) : identified;
@@ -58,10 +61,12 @@
 }
 
 /**
+ * Checks a request against the limits of its team.
+ *
  * @param deps Limits.
  * @param team The team.
- * @param tokensExpected Tokens of prompt and answer, as far as can be told.
- * @returns The admission, to be settled, or what to tell the caller.
+ * @param tokensExpected Estimated tokens of the prompt and the answer.
+ * @returns The admission, which the caller must settle, or the failure to send.
  */
 export function admit(
   deps: HandlerDeps,
--- a/src/entry/http_server.ts
+++ b/src/entry/http_server.ts
@@ -1,4 +1,4 @@
-/** The callers' HTTP listener: routes, health, and the planned stop. */
+/** HTTP listener for callers: routing, health checks and graceful shutdown. */
 import {
   createServer,
   type IncomingMessage,
@@ -15,35 +15,37 @@
 import { writeFailure } from "./answer_sink.ts";
 import { notRun } from "./errors.ts";
 
-/** Serves one request; must not throw. */
+/** Serves one request; its promise must not reject. */
 export type RequestHandler = (
   request: IncomingMessage,
   response: ServerResponse,
 ) => Promise<void>;
 
-/** What the listener serves. */
+/** Settings and handlers of an {@link HttpServer}. */
 export interface HttpServerOptions {
-  /** `ip:port`; port 0: any free one. */
+  /** `ip:port`; port 0 picks a free port. */
   address: string;
   clock: Clock;
-  /** Longest time for a request's head and body to come, in ms. */
+  /** How long the head and body of a request may take to arrive, in ms. */
   requestTimeoutMs: number;
   chat: RequestHandler;
   text: RequestHandler;
   service: RequestHandler;
   models: RequestHandler;
-  /** Metrics as Prometheus text. */
+  /** Metrics in the Prometheus text format. */
   metrics: () => string;
-  /** Why requests should go to other entries; undefined: this one is ready. */
+  /** Reason for failing `/readyz`; undefined if this entry is ready. */
   unreadyReason: () => string | undefined;
 }
 
 const CHAT_PATH = "/v1/chat/completions";
 const TEXT_PATH = "/v1/completions";
-const POLL_MS = 10;
-const KEEP_ALIVE_MS = 65_000;
+/** Interval at which a drain checks whether all requests have ended. */
+const DRAIN_POLL_MS = 10;
+/** How long an idle keep-alive connection stays open. */
+const KEEP_ALIVE_TIMEOUT_MS = 65_000;
 
-/** Serves callers. */
+/** HTTP server for callers. */
 export class HttpServer implements Owned {
   readonly name = "http-server";
   readonly #options: HttpServerOptions;
@@ -69,28 +71,28 @@
     });
     this.#server.on("connection", () => this.#intake.accepted());
     this.#server.requestTimeout = options.requestTimeoutMs;
-    this.#server.keepAliveTimeout = KEEP_ALIVE_MS;
+    this.#server.keepAliveTimeout = KEEP_ALIVE_TIMEOUT_MS;
   }
 
   /**
    * @param options Address and handlers.
-   * @returns A listener that is not open yet.
+   * @returns A server that is not listening yet.
    */
   static create(options: HttpServerOptions): HttpServer {
     return new HttpServer(options);
   }
 
-  /** `ip:port`; after {@link start} with the port that was chosen. */
+  /** `ip:port`; contains the actual port once {@link start} has resolved. */
   get address(): string {
     return this.#address;
   }
 
-  /** Requests that are being served. */
+  /** Number of requests in flight. */
   get inFlight(): number {
     return this.#inFlight;
   }
 
-  /** @returns The address listened on, or why it could not be opened. */
+  /** @returns The address of the listener, or why it could not be opened. */
   start(): Promise<Result<string, ListenFailure>> {
     const address = this.#options.address;
     const at = address.lastIndexOf(":");
@@ -107,15 +109,15 @@
     });
   }
 
-  /** Fails `/readyz` from now on; requests are still served. */
-  becomeUnready(): void {
+  /** Makes `/readyz` fail from now on; requests are still served. */
+  markUnready(): void {
     this.#isStopping = true;
   }
 
   /**
-   * Stops accepting connections and waits for requests to end.
+   * Stops accepting connections and waits for the requests in flight to end.
    *
-   * @param timeoutMs After this long, what is left is cut.
+   * @param timeoutMs Longest wait; requests still in flight are cut off when the server is closed.
    */
   async drain(timeoutMs: number): Promise<void> {
     const { clock } = this.#options;
@@ -124,22 +126,22 @@
     this.#server.close();
     this.#server.closeIdleConnections();
     while (this.#inFlight > 0 && clock.nowMs() < untilMs) {
-      await clock.sleep(POLL_MS);
+      await clock.sleep(DRAIN_POLL_MS);
     }
   }
 
-  /** Closes at once. */
+  /** Closes the listener and all connections at once. */
   close(): void {
     this.#server.close();
     this.#server.closeAllConnections();
   }
 
-  /** What nearly every request asks for goes past the router, which wraps each one anew. */
+  /** Routes of the most frequent requests; they bypass H3, which wraps each request in new objects. */
   #directRoutes(): ReadonlyMap<string, RequestHandler> {
     const { chat, text } = this.#options;
     return new Map([
-      [CHAT_PATH, this.#counted(chat)],
-      [TEXT_PATH, this.#counted(text)],
+      [CHAT_PATH, this.#trackInFlight(chat)],
+      [TEXT_PATH, this.#trackInFlight(text)],
     ]);
   }
 
@@ -147,38 +149,45 @@
     const { chat, text, service, models } = this.#options;
     return new H3({ debug: false, silent: true })
       .get("/healthz", () => "ok\n")
-      .get("/readyz", this.#plain((response) => this.#writeReady(response)))
-      .get("/metrics", this.#plain((response) => this.#writeMetrics(response)))
-      .get("/v1/models", this.#routed(models))
-      .post(CHAT_PATH, this.#routed(chat))
-      .post(TEXT_PATH, this.#routed(text))
-      .all("/services/**", this.#routed(service))
-      .all("/v1/models", this.#plain(writeMethodNotAllowed))
-      .all(CHAT_PATH, this.#plain(writeMethodNotAllowed))
-      .all(TEXT_PATH, this.#plain(writeMethodNotAllowed))
-      .all("/**", this.#plain(writeNotFound));
-  }
-
-  #counted(handler: RequestHandler): RequestHandler {
+      .get(
+        "/readyz",
+        this.#toUntrackedHandler((response) => this.#writeReady(response)),
+      )
+      .get(
+        "/metrics",
+        this.#toUntrackedHandler((response) => this.#writeMetrics(response)),
+      )
+      .get("/v1/models", this.#toH3Handler(models))
+      .post(CHAT_PATH, this.#toH3Handler(chat))
+      .post(TEXT_PATH, this.#toH3Handler(text))
+      .all("/services/**", this.#toH3Handler(service))
+      .all("/v1/models", this.#toUntrackedHandler(writeMethodNotAllowed))
+      .all(CHAT_PATH, this.#toUntrackedHandler(writeMethodNotAllowed))
+      .all(TEXT_PATH, this.#toUntrackedHandler(writeMethodNotAllowed))
+      .all("/**", this.#toUntrackedHandler(writeNotFound));
+  }
+
+  /** Counts requests in flight and delays them while connections wait to be accepted. */
+  #trackInFlight(handler: RequestHandler): RequestHandler {
     return async (request, response) => {
       this.#inFlight++;
       response.once("close", () => this.#inFlight--);
       await this.#intake.enter();
-      // Its caller left before it could be served.
+      // The caller disconnected while the request was queued.
       if (response.destroyed) return;
       if (this.#isStopping) response.shouldKeepAlive = false;
       await handler(request, response);
     };
   }
 
-  #routed(handler: RequestHandler) {
-    const counted = this.#counted(handler);
+  #toH3Handler(handler: RequestHandler) {
+    const counted = this.#trackInFlight(handler);
     return fromNodeHandler((request, response) =>
       counted(request as IncomingMessage, response as ServerResponse)
     );
   }
 
-  #plain(write: (response: ServerResponse) => void) {
+  #toUntrackedHandler(write: (response: ServerResponse) => void) {
     return fromNodeHandler((_request, response) => {
       write(response as ServerResponse);
     });
--- a/src/entry/instance_follower.ts
+++ b/src/entry/instance_follower.ts
@@ -1,6 +1,6 @@
 /**
- * Follows the platform's list of instances by long polls. While it can't be read, instances are
- * learned from the seeds: an agent says who it is, an entry says whom it knows.
+ * Follows the platform's list of instances by long polling. Until the list has been read once,
+ * instances are discovered from the seeds: an agent reports itself, an entry all instances it knows.
  */
 import { z } from "zod";
 import type { Clock, Logger } from "../base/mod.ts";
@@ -19,7 +19,7 @@
 
 /** Settings of an {@link InstanceFollower}. */
 export interface InstanceFollowerOptions {
-  /** Undefined: only seeds are known. */
+  /** Undefined if instances are discovered from the seeds only. */
   list: InstanceList | undefined;
   seedAddresses: string[];
   members: Members;
@@ -27,7 +27,7 @@
   clock: Clock;
   log: Logger;
   random: () => number;
-  /** How long the list may hold back its answer, in ms. */
+  /** Timeout of a long poll of the list, in ms. */
   waitMs: number;
 }
 
@@ -39,6 +39,7 @@
   pool: z.string(),
   state: z.enum(InstanceState),
 }));
+/** State dump of an agent. */
 const AGENT_DUMP = z.looseObject({
   role: z.literal("agent"),
   instanceId: z.string().min(1),
@@ -46,6 +47,7 @@
   pool: z.string(),
   isLeaving: z.boolean().default(false),
 });
+/** State dump of an entry. */
 const ENTRY_DUMP = z.looseObject({
   role: z.literal("entry"),
   instanceId: z.string().min(1),
@@ -53,16 +55,20 @@
   instances: INSTANCES,
 });
 
-const FIRST_PAUSE_MS = 100;
-const MAX_PAUSE_MS = 5000;
+/** First backoff after a failed read of the list, and interval of seed polls that found nothing. */
+const MIN_BACKOFF_MS = 100;
+/** Upper bound of the exponential backoff after failed reads of the list. */
+const MAX_BACKOFF_MS = 5000;
 const SEED_TIMEOUT_MS = 1000;
+/** Interval of the polls of the seeds once at least one instance is known. */
 const SEED_POLL_MS = 2000;
-const SEEDS_AT_ONCE = 16;
+/** Seeds that are queried in parallel, picked at random. */
+const MAX_SEEDS_PER_ROUND = 16;
 
-/** Keeps members in step with the list. */
+/** Updates {@link Members} from the list of instances and the seeds. */
 export class InstanceFollower {
   readonly #options: InstanceFollowerOptions;
-  #hasList = false;
+  #hasReadList = false;
   #lastFailure: string | undefined;
 
   private constructor(options: InstanceFollowerOptions) {
@@ -70,58 +76,66 @@
   }
 
   /**
-   * @param options Where instances are learned from.
-   * @returns A follower that does nothing yet.
+   * @param options List, seeds and the members to update.
+   * @returns A follower that is not running yet.
    */
   static create(options: InstanceFollowerOptions): InstanceFollower {
     return new InstanceFollower(options);
   }
 
-  /** Why the list could not be read last time; undefined: it could. */
+  /** Why the last read of the list failed; undefined if it succeeded. */
   get lastFailure(): string | undefined {
     return this.#lastFailure;
   }
 
-  /** @param signal Ends following. */
+  /**
+   * Polls the list until aborted, with backoff after failures.
+   *
+   * @param signal Stops the polling.
+   */
   async followList(signal: AbortSignal): Promise<void> {
     const { list, clock, random } = this.#options;
     if (!list) return;
-    let pauseMs = FIRST_PAUSE_MS;
+    let backoffMs = MIN_BACKOFF_MS;
     while (!signal.aborted) {
       if (await this.#poll(list, signal)) {
-        pauseMs = FIRST_PAUSE_MS;
+        backoffMs = MIN_BACKOFF_MS;
         continue;
       }
-      await clock.sleep(pauseMs * (0.5 + random()), signal);
-      pauseMs = Math.min(MAX_PAUSE_MS, pauseMs * 2);
+      await clock.sleep(backoffMs * (0.5 + random()), signal);
+      backoffMs = Math.min(MAX_BACKOFF_MS, backoffMs * 2);
     }
   }
 
-  /** @param signal Ends asking. */
-  async askSeeds(signal: AbortSignal): Promise<void> {
+  /**
+   * Polls the seeds until the list has been read.
+   *
+   * @param signal Stops the polling.
+   */
+  async pollSeeds(signal: AbortSignal): Promise<void> {
     const { seedAddresses, clock, random } = this.#options;
-    while (!signal.aborted && !this.#hasList && seedAddresses.length > 0) {
+    while (!signal.aborted && !this.#hasReadList && seedAddresses.length > 0) {
       const shuffled = seedAddresses.toSorted(() => random() - 0.5);
-      const chosen = shuffled.slice(0, SEEDS_AT_ONCE);
-      await Promise.all(chosen.map((address) => this.#askSeed(address)));
-      const isComplete = this.#options.members.instances.length > 0;
-      const pauseMs = isComplete ? SEED_POLL_MS : FIRST_PAUSE_MS;
+      const chosen = shuffled.slice(0, MAX_SEEDS_PER_ROUND);
+      await Promise.all(chosen.map((address) => this.#querySeed(address)));
+      const hasInstances = this.#options.members.instances.length > 0;
+      const pauseMs = hasInstances ? SEED_POLL_MS : MIN_BACKOFF_MS;
       await clock.sleep(pauseMs * (0.5 + random()), signal);
     }
   }
 
   async #poll(list: InstanceList, signal: AbortSignal): Promise<boolean> {
     const { members, log, waitMs } = this.#options;
-    // The first answer must not be held back.
-    const holdMs = this.#hasList ? waitMs : 0;
-    const since = this.#hasList ? members.revision : 0;
-    const answer = await list.changes(since, holdMs, signal);
+    // The first read returns at once, without waiting for a change.
+    const longPollMs = this.#hasReadList ? waitMs : 0;
+    const since = this.#hasReadList ? members.revision : 0;
+    const answer = await list.changes(since, longPollMs, signal);
     if (signal.aborted) return true;
     const failure = answer.isErr
       ? answer.error.message
       : this.#apply(answer.value);
     if (failure !== undefined && this.#lastFailure === undefined) {
-      log.warn({ failure }, "The list of instances can't be read");
+      log.warn({ failure }, "Could not read the list of instances");
     }
     this.#lastFailure = failure;
     return failure === undefined;
@@ -137,14 +151,14 @@
     const { revision, full } = changes;
     this.#options.members.apply({
       revision,
-      full: full || !this.#hasList,
+      full: full || !this.#hasReadList,
       instances: instances.data,
     });
-    this.#hasList = true;
+    this.#hasReadList = true;
     return undefined;
   }
 
-  async #askSeed(address: string): Promise<void> {
+  async #querySeed(address: string): Promise<void> {
     const { channels, members } = this.#options;
     const lease = channels.acquire(address);
     const options = { timeoutMs: SEED_TIMEOUT_MS };
@@ -163,38 +177,40 @@
       )
       : fromAgent;
     lease.release();
-    if (dumped.isErr || this.#hasList) return;
-    const { itself, others } = instancesOf(dumped.value.json, address);
-    members.learn(itself, { isFirsthand: true });
-    members.learn(others, { isFirsthand: false });
+    if (dumped.isErr || this.#hasReadList) return;
+    const { self, others } = parseSeedReply(dumped.value.json, address);
+    members.addReported(self, { isSelfReported: true });
+    members.addReported(others, { isSelfReported: false });
   }
 }
 
-interface SeedAnswer {
-  itself: Instance[];
+/** Instances reported by a seed. */
+interface SeedInstances {
+  /** The seed; empty if its reply could not be read. */
+  self: Instance[];
   others: Instance[];
 }
 
-function instancesOf(json: string, address: string): SeedAnswer {
-  const dump = parse(json);
+function parseSeedReply(json: string, address: string): SeedInstances {
+  const dump = parseJson(json);
   const agent = AGENT_DUMP.safeParse(dump);
   if (agent.success) {
     const { instanceId: id, zone, pool, isLeaving } = agent.data;
     const state = isLeaving ? InstanceState.Leaving : InstanceState.Live;
     const role = InstanceRole.Agent;
-    const itself = [{ id, role, zone, pool, address, state }];
-    return { itself, others: [] };
+    const self = [{ id, role, zone, pool, address, state }];
+    return { self, others: [] };
   }
   const entry = ENTRY_DUMP.safeParse(dump);
-  if (!entry.success) return { itself: [], others: [] };
+  if (!entry.success) return { self: [], others: [] };
   const { instanceId: id, zone, instances } = entry.data;
   const state = InstanceState.Live;
   const role = InstanceRole.Entry;
-  const itself = [{ id, role, zone, pool: "", address, state }];
-  return { itself, others: instances };
+  const self = [{ id, role, zone, pool: "", address, state }];
+  return { self, others: instances };
 }
 
-function parse(json: string): unknown {
+function parseJson(json: string): unknown {
   try {
     return JSON.parse(json);
   } catch {
--- a/src/entry/members.ts
+++ b/src/entry/members.ts
@@ -1,6 +1,6 @@
 /**
- * Who there is: the platform's lagging list, corrected by what the agents themselves say. An agent
- * that says it is leaving gets no new work, whatever the list shows.
+ * The known instances: the platform's list, which lags, corrected by reports of the agents. An agent
+ * that reports that it is leaving gets no new work, whatever state the list shows.
  */
 import type { Clock } from "../base/mod.ts";
 import { type Member, MemberTable } from "../placement/mod.ts";
@@ -18,19 +18,20 @@
   pool: string;
 }
 
-/** How long an agent's own word counts against the list before it is asked again. */
-const LEAVING_MS = 5000;
-const NO_MEMBERS = MemberTable.create<ServerMember>([]);
+/** How long an agent's leaving report overrides the list before the agent is asked again. */
+const LEAVING_TTL_MS = 5000;
+const EMPTY_TABLE = MemberTable.create<ServerMember>([]);
 
-/** Instances by pool. */
+/** All known instances, and the agents of each pool that accept new work. */
 export class Members {
   readonly #clock: Clock;
   readonly #instances = new Map<string, Instance>();
-  /** Until when an agent counts as leaving, by instance id. */
+  /** Time until which an agent counts as leaving, by instance id. */
   readonly #leavingUntilMs = new Map<string, number>();
-  /** The agent process last heard of, by instance id. */
+  /** Incarnation of the agent process that answered last, by instance id. */
   readonly #incarnations = new Map<string, string>();
-  #tables = new Map<string, MemberTable<ServerMember>>();
+  /** Cache of {@link pool}; cleared when a pool may have changed. */
+  #tableByPool = new Map<string, MemberTable<ServerMember>>();
   #entryIds: readonly string[] = [];
   #entriesChangedMs = 0;
   #revision = 0;
@@ -40,29 +41,29 @@
   }
 
   /**
-   * @param clock Ends corrections.
-   * @returns Members without anyone.
+   * @param clock Expires the agents' reports.
+   * @returns Members without instances.
    */
   static create(clock: Clock): Members {
     return new Members(clock);
   }
 
-  /** Revision of the list. */
+  /** Revision of the list that was applied last. */
   get revision(): number {
     return this.#revision;
   }
 
-  /** All known instances, those that are gone included while the list shows them. */
+  /** All known instances, including those that the list shows as gone. */
   get instances(): Instance[] {
     return [...this.#instances.values()];
   }
 
-  /** Agents that said themselves that they are leaving. */
+  /** Ids of the agents that reported that they are leaving. */
   get leavingIds(): string[] {
     return [...this.#leavingUntilMs.keys()];
   }
 
-  /** When the set of live entries last changed. */
+  /** Time at which the set of live entries last changed. */
   get entriesChangedMs(): number {
     return this.#entriesChangedMs;
   }
@@ -86,88 +87,89 @@
   }
 
   /**
-   * @param id An instance.
-   * @returns Its address, unless it is unknown.
+   * @param id Id of an instance.
+   * @returns Address of the instance; undefined if it is unknown.
    */
   addressOf(id: string): string | undefined {
     return this.#instances.get(id)?.address;
   }
 
   /**
-   * @param pool The pool's name.
-   * @returns Its servers that take new work, as far as known.
+   * @param pool Name of the pool.
+   * @returns The pool's servers that are not known to refuse new work.
    */
   pool(pool: string): MemberTable<ServerMember> {
-    this.#expireLeaving();
-    let table = this.#tables.get(pool);
+    this.#dropExpiredLeaving();
+    let table = this.#tableByPool.get(pool);
     if (!table) {
       table = this.#buildTable(pool);
-      this.#tables.set(pool, table);
+      this.#tableByPool.set(pool, table);
     }
     return table;
   }
 
   /**
-   * @param id An instance.
-   * @returns Whether the platform says that it is gone.
+   * @param id Id of an instance.
+   * @returns Whether the platform's list shows the instance as gone.
    */
   isGone(id: string): boolean {
     return this.#instances.get(id)?.state === InstanceState.Gone;
   }
 
   /**
-   * @param id An instance.
-   * @returns The agent process that last answered there; empty: none did.
+   * @param id Id of an instance.
+   * @returns Incarnation of the agent process that answered last; empty if none has answered.
    */
   incarnationOf(id: string): string {
     return this.#incarnations.get(id) ?? "";
   }
 
   /**
-   * @param id An instance.
-   * @param incarnation The agent process that answered there.
+   * @param id Id of an instance.
+   * @param incarnation Incarnation of the agent process that answered.
    */
   noteIncarnation(id: string, incarnation: string): void {
     if (this.#instances.has(id)) this.#incarnations.set(id, incarnation);
   }
 
-  /** @param changes What the list says. */
+  /** @param changes The whole list, or its changes since {@link revision}. */
   apply(changes: InstanceChanges): void {
     if (changes.full) this.#instances.clear();
-    for (const instance of changes.instances) this.#put(instance);
+    for (const instance of changes.instances) this.#setInstance(instance);
     for (const id of this.#incarnations.keys()) {
       if (!this.#instances.has(id)) this.#incarnations.delete(id);
     }
     this.#revision = changes.revision;
-    this.#noteChange();
+    this.#onInstancesChanged();
   }
 
   /**
-   * Takes in instances learned from others while the list can't be read.
+   * Adds instances that seeds report while the list can't be read.
    *
-   * @param instances What they know.
-   * @param options Whether they speak of themselves; else, rows that are known already stay.
+   * @param instances The reported instances.
+   * @param options Whether each instance reported itself; otherwise known instances are not changed.
    */
-  learn(
+  addReported(
     instances: Instance[],
-    { isFirsthand }: { isFirsthand: boolean },
+    { isSelfReported }: { isSelfReported: boolean },
   ): void {
     for (const instance of instances) {
-      if (!isFirsthand && this.#instances.has(instance.id)) continue;
-      if (isFirsthand) this.#removeEarlier(instance);
-      this.#put(instance);
+      if (!isSelfReported && this.#instances.has(instance.id)) continue;
+      if (isSelfReported) this.#removeFormerAt(instance);
+      this.#setInstance(instance);
     }
-    this.#noteChange();
+    this.#onInstancesChanged();
   }
 
-  /** @param id An agent that refused work because it is leaving. */
+  /** @param id Id of an agent that refused work because it is leaving. */
   markLeaving(id: string): void {
-    this.#leavingUntilMs.set(id, this.#clock.nowMs() + LEAVING_MS);
-    this.#tables.clear();
+    this.#leavingUntilMs.set(id, this.#clock.nowMs() + LEAVING_TTL_MS);
+    this.#tableByPool.clear();
   }
 
-  #noteChange(): void {
-    this.#tables.clear();
+  /** Clears the cached tables and updates the set of live entries. */
+  #onInstancesChanged(): void {
+    this.#tableByPool.clear();
     const ids = [...this.#instances.values()].filter(isLiveEntry)
       .map(({ id }) => id).sort();
     if (ids.join() === this.#entryIds.join()) return;
@@ -175,8 +177,8 @@
     this.#entriesChangedMs = this.#clock.nowMs();
   }
 
-  /** Who answers at an address has taken the place of whoever was there before. */
-  #removeEarlier({ id, address }: Instance): void {
+  /** Removes other instances with this address: the instance that answers there has replaced them. */
+  #removeFormerAt({ id, address }: Instance): void {
     for (const earlier of this.#instances.values()) {
       if (earlier.address === address && earlier.id !== id) {
         this.#instances.delete(earlier.id);
@@ -184,7 +186,8 @@
     }
   }
 
-  #put(instance: Instance): void {
+  /** Adds or replaces an instance. A changed address ends its agent's report that it is leaving. */
+  #setInstance(instance: Instance): void {
     const known = this.#instances.get(instance.id);
     if (known && known.address !== instance.address) {
       this.#leavingUntilMs.delete(instance.id);
@@ -201,16 +204,16 @@
       if (this.#leavingUntilMs.has(id)) continue;
       members.push({ id, zone, address, pool });
     }
-    return members.length > 0 ? MemberTable.create(members) : NO_MEMBERS;
+    return members.length > 0 ? MemberTable.create(members) : EMPTY_TABLE;
   }
 
-  #expireLeaving(): void {
+  #dropExpiredLeaving(): void {
     if (this.#leavingUntilMs.size === 0) return;
     const nowMs = this.#clock.nowMs();
     for (const [id, untilMs] of this.#leavingUntilMs) {
       if (untilMs > nowMs) continue;
       this.#leavingUntilMs.delete(id);
-      this.#tables.clear();
+      this.#tableByPool.clear();
     }
   }
 }
--- a/src/entry/members_test.ts
+++ b/src/entry/members_test.ts
@@ -27,7 +27,7 @@
   return members.pool("p").members.map(({ id }) => id);
 }
 
-test("list is followed by deltas", () => {
+test("changes update the list of instances", () => {
   const members = Members.create(systemClock);
   const rows = [agentRow("a"), agentRow("b"), agentRow("c", { pool: "q" })];
   members.apply({ revision: 1, full: true, instances: rows });
@@ -42,7 +42,7 @@
   assert.equal(members.isGone("a"), false);
 });
 
-test("an agent's own word overrides the list for a while", () => {
+test("an agent's leaving report overrides the list until it expires", () => {
   let nowMs = 0;
   const members = Members.create({ ...systemClock, nowMs: () => nowMs });
   const rows = [agentRow("a"), agentRow("b")];
@@ -55,18 +55,18 @@
   assert.deepEqual(idsOf(members), ["a", "b"]);
 });
 
-test("seeds are believed of themselves, others only about strangers", () => {
+test("seeds override what is known of themselves, but not of other instances", () => {
   const members = Members.create(systemClock);
-  const options = { isFirsthand: true };
-  members.learn([agentRow("a")], options);
-  const hearsay = [agentRow("a", { state: "gone" }), agentRow("bb")];
-  members.learn(hearsay, { isFirsthand: false });
+  const options = { isSelfReported: true };
+  members.addReported([agentRow("a")], options);
+  const reported = [agentRow("a", { state: "gone" }), agentRow("bb")];
+  members.addReported(reported, { isSelfReported: false });
   assert.deepEqual(idsOf(members), ["a", "bb"]);
-  members.learn([agentRow("c")], options);
+  members.addReported([agentRow("c")], options);
   assert.deepEqual(idsOf(members), ["bb", "c"]);
 });
 
-test("a bad list changes nothing, a later one is taken", async () => {
+test("a malformed list is ignored and the next valid one is applied", async () => {
   const members = Members.create(systemClock);
   const rows = [agentRow("a")];
   const answers = [
@@ -104,7 +104,7 @@
   channels.close();
 });
 
-test("a starting entry learns all from another entry", async () => {
+test("a starting entry gets instances and configuration from another entry", async () => {
   const agent = await FakeAgent.create("a0", (run) => {
     run.started();
     run.pieces(0, ABC);
@@ -120,7 +120,7 @@
   agent.close();
 });
 
-test("requests beyond the team's limit are refused at once", async () => {
+test("requests over the team's limit in flight are refused immediately", async () => {
   const { maxInFlight } = BRANCH.limits;
   let open = () => {};
   const gate = new Promise<void>((resolve) => open = resolve);
--- a/src/entry/model_handler.ts
+++ b/src/entry/model_handler.ts
@@ -22,6 +22,7 @@
 import { StreamSink } from "./stream_sink.ts";
 import { WholeSink } from "./whole_sink.ts";
 
+/** A request that was authenticated and validated. */
 interface CheckedRequest {
   identity: Identity;
   settings: RequestSettings;
@@ -30,17 +31,19 @@
 }
 
 /**
- * @param deps What handlers work with.
- * @param exchange The request.
- * @param api Interface that was called.
- * @returns What the caller was told, if it was not served.
+ * Serves a model request: validates it, checks the team's limits and runs it on a backend server.
+ *
+ * @param deps Dependencies of the request handlers.
+ * @param exchange The request and its response.
+ * @param api The API that was called.
+ * @returns The failure that was sent to the caller; undefined if the request was served.
  */
 export async function serveModel(
   deps: HandlerDeps,
   exchange: Exchange,
   { api }: { api: PromptAPI },
 ): Promise<RequestFailure | undefined> {
-  const checked = await check(deps, exchange, api);
+  const checked = await checkRequest(deps, exchange, api);
   if (checked.isErr) {
     writeFailure(exchange.response, checked.error);
     return checked.error;
@@ -55,13 +58,13 @@
     return admission.error;
   }
   try {
-    return await run(deps, exchange, request);
+    return await dispatchRequest(deps, exchange, request);
   } finally {
     admission.value.settle(promptTokens + exchange.record.completionTokens);
   }
 }
 
-async function check(
+async function checkRequest(
   deps: HandlerDeps,
   exchange: Exchange,
   api: PromptAPI,
@@ -89,7 +92,7 @@
     });
 }
 
-async function run(
+async function dispatchRequest(
   deps: HandlerDeps,
   exchange: Exchange,
   request: CheckedRequest,
@@ -99,7 +102,7 @@
   const sink = model.isStream
     ? StreamSink.create(response, caller.signal)
     : WholeSink.create(response, model.api);
-  const ask = askOf(deps, request);
+  const ask = buildAskRequest(deps, request);
   const rerun = settings.idempotencyKey === "" ? Rerun.WhenOver : Rerun.Never;
   const body = Buffer.from(JSON.stringify(model.body));
   const ended = await deps.dispatcher.run({
@@ -124,10 +127,13 @@
     onStarted: () => record.startedMs ??= deps.clock.nowMs(),
     onFirstPiece: () => record.firstPieceMs ??= deps.clock.nowMs(),
   }, record);
-  return conclude(exchange, sink, ended);
+  return finishAnswer(exchange, sink, ended);
 }
 
-function askOf(deps: HandlerDeps, request: CheckedRequest): AskRequest {
+function buildAskRequest(
+  deps: HandlerDeps,
+  request: CheckedRequest,
+): AskRequest {
   const { identity, settings, model, placement } = request;
   return {
     runId: "",
@@ -148,14 +154,14 @@
 }
 
 /**
- * Completes an answer.
+ * Completes the answer when the run of a request has ended.
  *
- * @param exchange The request.
- * @param sink Where its answer went.
- * @param ended How its run ended.
- * @returns What the caller was told, if it was not served.
+ * @param exchange The request and its response.
+ * @param sink Receiver of the answer.
+ * @param ended End of the run, or why it failed.
+ * @returns The failure that was sent to the caller; undefined if the request was served.
  */
-export function conclude(
+export function finishAnswer(
   exchange: Exchange,
   sink: AnswerSink,
   ended: Result<RunEnd, RequestFailure>,
--- a/src/entry/model_request.ts
+++ b/src/entry/model_request.ts
@@ -1,31 +1,31 @@
-/** Reads and checks the body of a model request. */
+/** Parses and validates the body of a model request. */
 import { Result } from "true-myth";
 import { z } from "zod";
 import type { PromptAPI } from "../placement/mod.ts";
 import type { TeamBranch } from "../config/branch.ts";
-import { ownEntry } from "./auth.ts";
+import { ownProperty } from "./auth.ts";
 import { notRun, type RequestFailure } from "./errors.ts";
 
-/** A checked model request. */
+/** A validated model request. */
 export interface ModelRequest {
   api: PromptAPI;
   model: string;
-  /** Empty: none. */
+  /** Empty if the request names no adapter. */
   adapter: string;
-  /** Version that the branch wants. */
+  /** Weights version that the team's branch sets for the model or adapter. */
   weightsVersion: string;
   pool: string;
-  /** True: the caller wants server-sent events. */
+  /** Whether the caller wants the answer as server-sent events. */
   isStream: boolean;
   maxTokens: number;
-  /** The caller's body with the model's own name, parsed. */
+  /** Body to send to the engine: the caller's body with model and adapter resolved. */
   body: Record<string, unknown>;
 }
 
-/** Tokens counted for a request that sets no limit. */
+/** Maximum number of answer tokens assumed for a request that sets no limit. */
 export const DEFAULT_MAX_TOKENS = 1024;
 
-const COMMON = {
+const COMMON_FIELDS = {
   model: z.string().min(1).max(256),
   stream: z.boolean().nullish(),
   stream_options: z.looseObject({ include_usage: z.boolean().optional() })
@@ -35,22 +35,22 @@
   n: z.int().min(1).max(128).nullish(),
   adapter: z.string().max(63).nullish(),
 };
-const CHAT_BODY = z.looseObject({
-  ...COMMON,
+const CHAT_SCHEMA = z.looseObject({
+  ...COMMON_FIELDS,
   messages: z.array(z.looseObject({ role: z.string().min(1) })).min(1),
 });
-const TEXT_BODY = z.looseObject({
-  ...COMMON,
+const TEXT_SCHEMA = z.looseObject({
+  ...COMMON_FIELDS,
   prompt: z.union([z.string().min(1), z.array(z.unknown()).min(1)]),
 });
-const BODIES = { chat: CHAT_BODY, text: TEXT_BODY } as const;
+const BODY_SCHEMAS = { chat: CHAT_SCHEMA, text: TEXT_SCHEMA } as const;
 const ADAPTER_SEPARATOR = ":";
 
 /**
- * @param api Interface that was called.
- * @param bytes The body.
+ * @param api The API that was called.
+ * @param bytes The request's body.
  * @param branch The team's branch.
- * @returns The request, or what is wrong with it.
+ * @returns The request, or why the body is invalid.
  */
 export function readModelRequest(
   api: PromptAPI,
@@ -58,7 +58,7 @@
   { branch }: { branch: TeamBranch },
 ): Result<ModelRequest, RequestFailure> {
   return parseJson(bytes).andThen((json) => {
-    const parsed = BODIES[api].safeParse(json);
+    const parsed = BODY_SCHEMAS[api].safeParse(json);
     if (!parsed.success) return Result.err(invalidBody(parsed.error));
     const body = parsed.data;
     if (body.stream_options && !body.stream) {
@@ -75,14 +75,14 @@
       isStream: body.stream ?? false,
       maxTokens: body.max_completion_tokens ?? body.max_tokens ??
         DEFAULT_MAX_TOKENS,
-      body: engineBody(body, found),
+      body: buildEngineBody(body, found),
     }));
   });
 }
 
 /**
  * @param branch The team's branch.
- * @returns Ids that callers can name: models, and adapters as `model:adapter`.
+ * @returns Ids that callers can use in requests: models, and adapters as `model:adapter`.
  */
 export function modelIds(branch: TeamBranch): string[] {
   return Object.entries(branch.models).flatMap(([name, model]) => [
@@ -116,18 +116,19 @@
   return notRun("invalid_body", message, { param: param || undefined });
 }
 
+/** Finds the model by its id; an id without a match may also be `model:adapter`. */
 function resolveModel(
   branch: TeamBranch,
   id: string,
   adapter: string,
 ): Result<ResolvedModel, RequestFailure> {
-  const whole = findModel(branch, id, adapter);
-  if (whole) return Result.ok(whole);
-  const at = id.lastIndexOf(ADAPTER_SEPARATOR);
-  const split = at > 0 && adapter === ""
-    ? findModel(branch, id.slice(0, at), id.slice(at + 1))
+  const exactMatch = findModel(branch, id, adapter);
+  if (exactMatch) return Result.ok(exactMatch);
+  const separatorAt = id.lastIndexOf(ADAPTER_SEPARATOR);
+  const splitMatch = separatorAt > 0 && adapter === ""
+    ? findModel(branch, id.slice(0, separatorAt), id.slice(separatorAt + 1))
     : undefined;
-  if (split) return Result.ok(split);
+  if (splitMatch) return Result.ok(splitMatch);
   const message = "The model does not exist, or the team has no access to it";
   return Result.err(notRun("model_not_found", message, { param: "model" }));
 }
@@ -137,11 +138,11 @@
   name: string,
   adapter: string,
 ): ResolvedModel | undefined {
-  const model = ownEntry(branch.models, name);
+  const model = ownProperty(branch.models, name);
   if (!model) return undefined;
   const { pool, weightsVersion, adapters } = model;
   if (adapter === "") return { model: name, adapter, weightsVersion, pool };
-  const found = ownEntry(adapters, adapter);
+  const found = ownProperty(adapters, adapter);
   if (!found) return undefined;
   return {
     model: name,
@@ -151,15 +152,15 @@
   };
 }
 
-function engineBody(
+function buildEngineBody(
   body: Record<string, unknown>,
   { model, adapter }: ResolvedModel,
 ): Record<string, unknown> {
   const { adapter: _named, ...rest } = body;
-  const named = adapter === "" ? {} : { adapter };
-  // Whole answers are assembled from the stream, and their usage comes with it.
+  const adapterField = adapter === "" ? {} : { adapter };
+  // A non-streamed answer is assembled from the engine's stream, which must include the usage.
   const options = body.stream
     ? {}
     : { stream_options: { include_usage: true } };
-  return { ...rest, ...options, ...named, model };
+  return { ...rest, ...options, ...adapterField, model };
 }
--- a/src/entry/models_handler.ts
+++ b/src/entry/models_handler.ts
@@ -6,9 +6,11 @@
 import { modelIds } from "./model_request.ts";
 
 /**
+ * Lists the models and adapters in the branch of the caller's team.
+ *
  * @param deps Branches in force.
  * @param request The request.
- * @param response Its answer: the models that the team's branch names.
+ * @param response The response to write.
  */
 export function serveModels(
   deps: HandlerDeps,
--- a/src/entry/options.ts
+++ b/src/entry/options.ts
@@ -1,4 +1,4 @@
-/** Settings of an entry. */
+/** Settings that an entry is started with. */
 import type { Clock, Logger } from "../base/mod.ts";
 import type { PolicyName } from "../placement/policy_name.ts";
 import type { WireSecurity } from "../wire/security.ts";
@@ -7,35 +7,35 @@
 
 /** Settings of {@link Entry}. */
 export interface EntryOptions {
-  /** Stable id of the instance; also its id in the list of instances. */
+  /** Stable id of the instance; the list of instances uses the same id. */
   instanceId: string;
   zone: string;
-  /** `ip:port` of the callers' HTTP listener; port 0: any free one. */
+  /** `ip:port` of the HTTP listener for callers; port 0 picks a free port. */
   httpAddress: string;
-  /** `ip:port` of the administration API's HTTP listener; empty: none. */
+  /** `ip:port` of the administration API's HTTP listener; empty turns the API off. */
   adminAddress: string;
-  /** SHA-256 in hex of the administrators' bearer key; empty: the administration API is off. */
+  /** Hex SHA-256 of the administrators' bearer key; empty turns the administration API off. */
   adminKeySha256: string;
   /** `ip:port` of the gRPC listener for peers. */
   peerAddress: string;
-  /** `ip:port` of the key-value service's gRPC interface; empty: none. */
+  /** `ip:port` of the key-value service's gRPC interface; empty if there is none. */
   storeAddress: string;
-  /** URL of the list of instances; empty: only `seedAddresses` are known. */
+  /** URL of the list of instances; if empty, instances are discovered from `seedAddresses`. */
   instanceListUrl: string;
-  /** Peers and agents to ask on start, `ip:port` each. */
+  /** `ip:port` of peers and agents to discover instances and configuration from on start. */
   seedAddresses: string[];
   security: WireSecurity;
   policy: PolicyName;
-  /** Round trip to each availability zone, in ms. */
+  /** Round-trip time to each availability zone, in ms. */
   zoneRttMs: Record<string, number>;
-  /** How long a planned stop waits for streams to end, in ms. */
+  /** How long a graceful shutdown waits for requests in flight, in ms. */
   drainMs: number;
-  /** How long `/readyz` fails before the listener closes on a planned stop, in ms. */
+  /** How long `/readyz` fails before a graceful shutdown closes the listener, in ms. */
   unreadyMs: number;
-  /** Times and bounds of planning that differ from the defaults; undefined: it plans nothing. */
+  /** Planning settings that differ from the defaults; undefined turns planning off. */
   planning?: Partial<PlanningTuning> | undefined;
   log: Logger;
   clock: Clock;
-  /** Times and bounds that differ from the defaults. */
+  /** Timeouts and bounds that differ from the defaults. */
   tuning?: Partial<EntryTuning>;
 }
--- a/src/entry/pressure_test.ts
+++ b/src/entry/pressure_test.ts
@@ -9,7 +9,7 @@
 const PIECES = 4000;
 const PIECE = chunk("x".repeat(4096));
 
-/** Sends as the window allows, as agents do. */
+/** Sends pieces as far as the window allows, as an agent does. */
 async function sendAll(run: FakeRun): Promise<number> {
   run.started();
   let seq = 0;
@@ -23,7 +23,7 @@
 }
 let sent = 0;
 
-test("a slow caller stops acknowledgements, and gets all in the end", async () => {
+test("a caller that stops reading pauses acknowledgements and later gets the whole answer", async () => {
   const agent = await FakeAgent.create("a0", (run) => void sendAll(run));
   const entry = await startEntry([agent], {
     windowPieces: WINDOW,
@@ -46,7 +46,7 @@
     before = sent;
     await sleep(300);
   }
-  // What the sockets' buffers take, and one window.
+  // The sockets' buffers and one window bound the pieces sent.
   assert.ok(sent < PIECES / 2, `${sent} of ${PIECES} pieces sent`);
   let text = "";
   for await (const data of answer) text += data;
@@ -55,7 +55,7 @@
   agent.close();
 });
 
-test("a planned stop fails readiness first and cuts nothing", async () => {
+test("a graceful shutdown fails readiness first and completes open requests", async () => {
   const agent = await FakeAgent.create("a0", async (run) => {
     run.started();
     for (let seq = 0; seq < 20; seq++) {
--- a/src/entry/request_headers.ts
+++ b/src/entry/request_headers.ts
@@ -1,12 +1,12 @@
-/** Headers by which callers steer a request. */
+/** Request headers that set the class, priority, deadline and idempotency key of a request. */
 import type { IncomingHttpHeaders } from "node:http";
 import { Result } from "true-myth";
 import type { PriorityName, TeamBranch } from "../config/branch.ts";
 import { Priority } from "../wire/gen/cicadahitch.ts";
-import { type Identity, ownEntry } from "./auth.ts";
+import { type Identity, ownProperty } from "./auth.ts";
 import { notRun, type RequestFailure } from "./errors.ts";
 
-/** Names of the headers. */
+/** Names of these headers. */
 export const HeaderName = {
   Class: "x-cicadahitch-class",
   Priority: "x-cicadahitch-priority",
@@ -14,13 +14,13 @@
   IdempotencyKey: "idempotency-key",
 } as const;
 
-/** How a request is to be treated. */
+/** Settings of a request, from its headers or its class. */
 export interface RequestSettings {
   className: string;
   priority: Priority;
   deadlineMs: number;
   recomputePriceMs: number;
-  /** Empty: none given. */
+  /** Empty if the caller sent none. */
   idempotencyKey: string;
 }
 
@@ -30,13 +30,14 @@
   batch: Priority.BATCH,
 };
 const MAX_DEADLINE_MS = 3_600_000;
-const IDEMPOTENCY_KEY = /^[\x21-\x7e](?:[\x20-\x7e]{0,253}[\x21-\x7e])?$/;
-const DIGITS = /^[1-9]\d{0,6}$/;
+const IDEMPOTENCY_KEY_PATTERN =
+  /^[\x21-\x7e](?:[\x20-\x7e]{0,253}[\x21-\x7e])?$/;
+const POSITIVE_INTEGER_PATTERN = /^[1-9]\d{0,6}$/;
 
 /**
  * @param headers The request's headers.
- * @param identity Whose request it is.
- * @returns How to treat it, or which header is at fault.
+ * @param identity The owner of the request.
+ * @returns The settings, or which header is invalid.
  */
 export function readSettings(
   headers: IncomingHttpHeaders,
@@ -44,26 +45,38 @@
 ): Result<RequestSettings, RequestFailure> {
   const { branch } = identity;
   const className = headerOf(headers, HeaderName.Class) ??
-    ownEntry(branch.workspaces, identity.workspace)!.defaultClass;
-  const requestClass = ownEntry(branch.classes, className);
+    ownProperty(branch.workspaces, identity.workspace)!.defaultClass;
+  const requestClass = ownProperty(branch.classes, className);
   if (!requestClass) {
-    return refuse(HeaderName.Class, `Expected one of ${classNames(branch)}`);
+    return invalidHeader(
+      HeaderName.Class,
+      `Expected one of ${classNames(branch)}`,
+    );
   }
   const priority = headerOf(headers, HeaderName.Priority) ??
     requestClass.priority;
   if (!isPriority(priority)) {
-    return refuse(HeaderName.Priority, "Expected urgent, normal or batch");
+    return invalidHeader(
+      HeaderName.Priority,
+      "Expected urgent, normal or batch",
+    );
   }
   const deadline = headerOf(headers, HeaderName.DeadlineMs) ??
     String(requestClass.deadlineMs);
-  if (!DIGITS.test(deadline) || Number(deadline) > MAX_DEADLINE_MS) {
+  if (
+    !POSITIVE_INTEGER_PATTERN.test(deadline) ||
+    Number(deadline) > MAX_DEADLINE_MS
+  ) {
     const message = `Expected a whole number from 1 to ${MAX_DEADLINE_MS}`;
-    return refuse(HeaderName.DeadlineMs, message);
+    return invalidHeader(HeaderName.DeadlineMs, message);
   }
   const idempotencyKey = headerOf(headers, HeaderName.IdempotencyKey);
-  if (idempotencyKey !== undefined && !IDEMPOTENCY_KEY.test(idempotencyKey)) {
+  if (
+    idempotencyKey !== undefined &&
+    !IDEMPOTENCY_KEY_PATTERN.test(idempotencyKey)
+  ) {
     const message = "Expected 1 to 255 printable ASCII characters";
-    return refuse(HeaderName.IdempotencyKey, message);
+    return invalidHeader(HeaderName.IdempotencyKey, message);
   }
   return Result.ok({
     className,
@@ -90,7 +103,7 @@
   return Object.keys(branch.classes).join(", ");
 }
 
-function refuse(
+function invalidHeader(
   param: string,
   message: string,
 ): Result<RequestSettings, RequestFailure> {
--- a/src/entry/requests_test.ts
+++ b/src/entry/requests_test.ts
@@ -122,7 +122,7 @@
   });
 }
 
-test("error body has the OpenAI shape", async () => {
+test("error bodies have the OpenAI format", async () => {
   const answer = await send(entry, { body: { ...CHAT, n: 0 } });
   const error = await errorOf(answer);
   assert.deepEqual(Object.keys(error), [
@@ -136,7 +136,7 @@
   assert.equal(error.param, "n");
 });
 
-test("models of the branch are listed", async () => {
+test("the model list contains the models of the branch", async () => {
   const answer = await send(entry, { path: "/v1/models", method: "GET" });
   const { data } = await answer.json() as { data: { id: string }[] };
   assert.deepEqual(data.map(({ id }) => id), ["m"]);
@@ -150,7 +150,7 @@
   assert.equal(call?.$case === "modelCall" && call.value.api, "text");
 });
 
-test("a path with a query is served like the path alone", async () => {
+test("a query string does not change the route", async () => {
   const answer = await send(entry, {
     path: "/v1/chat/completions?x=1",
     body: STREAM,
@@ -159,7 +159,7 @@
   assert.match(await answer.text(), /\[DONE\]/);
 });
 
-test("dump and metrics hold no key and no prompt", async () => {
+test("state dump and metrics contain no API key and no prompt", async () => {
   const secret = "a secret prompt";
   const messages = [{ role: "user", content: secret }];
   await (await send(entry, { body: { ...STREAM, messages } })).text();
@@ -171,7 +171,7 @@
   assert.ok(!shown.includes(KEY));
 });
 
-test("health is served", async () => {
+test("health and readiness checks succeed", async () => {
   for (const path of ["/healthz", "/readyz"]) {
     const answer = await fetch(`http://${entry.httpAddress}${path}`);
     await answer.text();
--- a/src/entry/routes.ts
+++ b/src/entry/routes.ts
@@ -1,4 +1,4 @@
-/** Which servers a request is tried at, in what order. */
+/** Routes: they select the backend servers that a request is tried on, and their order. */
 import { createHash } from "node:crypto";
 import type { Clock } from "../base/mod.ts";
 import { digestKey, shardOf } from "../journal/mod.ts";
@@ -22,7 +22,7 @@
 import type { EntryTuning } from "./tuning.ts";
 import type { VersionMemory } from "./version_memory.ts";
 
-/** What all routes need. */
+/** Options of all routes. */
 export interface RouteOptions {
   asker: Asker;
   ask: AskRequest;
@@ -36,39 +36,41 @@
   team: string;
 }
 
-/** What a model request's route needs besides. */
+/** Options of an {@link OfferRoute}. */
 export interface OfferRouteOptions extends RouteOptions {
   caller: Caller;
   placement: PlacementRequest;
   versions: VersionMemory;
-  /** Told of requests for a model that nobody has. */
+  /** Counts requests for models that no server offered to run. */
   demand: DemandMeter;
 }
 
-/** Servers that are asked for other weights. */
-const MAX_FALLBACK = 8;
+/** Maximum number of servers that are asked to run the request with another weights version. */
+const MAX_FALLBACK_SERVERS = 8;
 
-type Offered = ServerOffer<ServerMember> & {
+/** A server's offer, with the agent process that made it and the run that it was made for. */
+type ReceivedOffer = ServerOffer<ServerMember> & {
   agentIncarnation: string;
   runId: string;
 };
 
 /**
- * Asks candidates for offers and takes the best; then the next best; then asks others. Where none has
- * the weights version that the branch names, another version serves until one has loaded it.
+ * Route of a model request. Asks candidate servers for offers and returns the best offer, then the
+ * next best; when none is left, asks further candidates. If no server has the weights version that
+ * the branch names, servers with another version are used until one has loaded it.
  */
 export class OfferRoute implements Route {
   readonly refusals: Refusal[] = [];
   readonly #options: OfferRouteOptions;
   readonly #excludedIds = new Set<string>();
-  readonly #silentIds = new Set<string>();
-  readonly #offerOf = new Map<string, Offered>();
-  #offers: Offered[] = [];
-  /** Servers that have the model in other versions, or not at all. */
-  #lacking: ServerMember[] = [];
+  readonly #unresponsiveIds = new Set<string>();
+  readonly #offerByRun = new Map<string, ReceivedOffer>();
+  #offers: ReceivedOffer[] = [];
+  /** Servers that refused because the wanted weights version is not loaded there. */
+  #notLoaded: ServerMember[] = [];
   #takesAnyVersion: boolean;
   #rounds = 0;
-  #tries = 0;
+  #attempts = 0;
 
   private constructor(options: OfferRouteOptions) {
     this.#options = options;
@@ -76,8 +78,8 @@
   }
 
   /**
-   * @param options The request and who may take it.
-   * @returns A route that has asked nobody.
+   * @param options The request and the servers that may run it.
+   * @returns A route that has asked no server yet.
    */
   static create(options: OfferRouteOptions): OfferRoute {
     return new OfferRoute(options);
@@ -86,7 +88,7 @@
   async next(): Promise<Target | undefined> {
     const { caller } = this.#options;
     while (!caller.signal.aborted) {
-      if (!await this.#prepareTry()) return await this.#fallBack();
+      if (!await this.#prepareAttempt()) return await this.#askOtherVersion();
       const best = this.#takeBest();
       if (best) return best;
     }
@@ -94,7 +96,7 @@
   }
 
   placed({ runId, member }: Target): void {
-    const offered = this.#offerOf.get(runId + member.id);
+    const offered = this.#offerByRun.get(runId + member.id);
     if (!offered) return;
     this.#options.policy.learn({
       kind: "placed",
@@ -104,34 +106,40 @@
     });
   }
 
-  /** An agent that made an offer had the branch; if it lacks it now, it is another process. */
+  /**
+   * Never repeats an attempt: an agent that made an offer had the branch, so an agent that lacks it
+   * now is another process.
+   */
   again(): undefined {}
 
-  /** @returns False when no more may be tried. */
-  async #prepareTry(): Promise<boolean> {
+  /** @returns False when the retry budget or the candidates are exhausted. */
+  async #prepareAttempt(): Promise<boolean> {
     const { budget, team, tuning } = this.#options;
-    if (this.#tries++ > 0 && !budget.spend(team)) return false;
+    if (this.#attempts++ > 0 && !budget.spend(team)) return false;
     if (this.#offers.length > 0) return true;
     return this.#rounds < tuning.maxRounds && await this.#askRound();
   }
 
-  /** A version that no server has yet must not cut its model off: another one serves. */
-  async #fallBack(): Promise<Target | undefined> {
+  /**
+   * Asks servers for any weights version, so that a model stays available while no server has loaded
+   * the version that the branch names.
+   */
+  async #askOtherVersion(): Promise<Target | undefined> {
     const { versions, ask } = this.#options;
-    const lacking = this.#lacking.slice(0, MAX_FALLBACK);
+    const lacking = this.#notLoaded.slice(0, MAX_FALLBACK_SERVERS);
     if (lacking.length === 0) return undefined;
-    if (this.#takesAnyVersion) return this.#noteUnserved();
+    if (this.#takesAnyVersion) return this.#recordUnserved();
     if (this.refusals.every(isNotLoaded)) versions.noteMissing(ask);
     this.#takesAnyVersion = true;
     await this.#ask(lacking);
-    return this.#takeBest() ?? this.#noteUnserved();
+    return this.#takeBest() ?? this.#recordUnserved();
   }
 
-  #noteUnserved(): undefined {
+  #recordUnserved(): undefined {
     this.#options.demand.refused(this.#options.ask);
   }
 
-  /** @returns False when nobody is left to ask. */
+  /** @returns False when no candidate is left to ask. */
   async #askRound(): Promise<boolean> {
     const candidates = this.#candidates();
     if (candidates.length === 0) return false;
@@ -150,27 +158,27 @@
       candidates,
       { ...ask, runId, deadlineMs, holdMs, weightsVersion },
     );
-    for (const outcome of outcomes) this.#note(outcome, runId);
+    for (const outcome of outcomes) this.#recordOutcome(outcome, runId);
   }
 
   #candidates(): ServerMember[] {
     const { members, policy, pool, placement } = this.#options;
     const request = { ...placement, excludedIds: this.#excludedIds };
     const found = policy.candidates(request, members.pool(pool));
-    if (found.length > 0 || this.#silentIds.size === 0) return found;
-    // Silent ones may answer on a fresh connection.
-    for (const id of this.#silentIds) this.#excludedIds.delete(id);
-    this.#silentIds.clear();
+    if (found.length > 0 || this.#unresponsiveIds.size === 0) return found;
+    // Servers that did not answer may do so on a new connection.
+    for (const id of this.#unresponsiveIds) this.#excludedIds.delete(id);
+    this.#unresponsiveIds.clear();
     return policy.candidates(request, members.pool(pool));
   }
 
-  #note(outcome: AskOutcome, runId: string): void {
+  #recordOutcome(outcome: AskOutcome, runId: string): void {
     switch (outcome.kind) {
       case "offer": {
         const { member, offer, agentIncarnation } = outcome;
         const offered = { member, offer, agentIncarnation, runId };
         this.#offers.push(offered);
-        this.#offerOf.set(runId + member.id, offered);
+        this.#offerByRun.set(runId + member.id, offered);
         if (this.#isExact(offered)) {
           this.#options.versions.noteOffered(this.#options.ask);
         }
@@ -178,10 +186,10 @@
       }
       case "refused":
         this.refusals.push(outcome.refusal);
-        if (isNotLoaded(outcome.refusal)) this.#lacking.push(outcome.member);
+        if (isNotLoaded(outcome.refusal)) this.#notLoaded.push(outcome.member);
         return;
       case "failed":
-        this.#silentIds.add(outcome.member.id);
+        this.#unresponsiveIds.add(outcome.member.id);
     }
   }
 
@@ -189,7 +197,7 @@
     const { policy, placement } = this.#options;
     const exact = this.#offers.filter((offered) => this.#isExact(offered));
     const offers = exact.length > 0 ? exact : this.#offers;
-    const best = policy.choose(placement, offers) as Offered | undefined;
+    const best = policy.choose(placement, offers) as ReceivedOffer | undefined;
     if (!best) return undefined;
     this.#offers = this.#offers.filter((offered) => offered !== best);
     const { member, offer, agentIncarnation, runId } = best;
@@ -197,7 +205,7 @@
     return { member, holdId, weightsVersion, agentIncarnation, runId };
   }
 
-  #isExact({ offer }: Offered): boolean {
+  #isExact({ offer }: ReceivedOffer): boolean {
     return offer.weightsVersion === this.#options.ask.weightsVersion;
   }
 }
@@ -206,14 +214,15 @@
   return code === RefusalCode.MODEL_NOT_LOADED;
 }
 
-/** What a plain call's route needs besides. */
+/** Options of a {@link PlainRoute}. */
 export interface PlainRouteOptions extends RouteOptions {
   workspace: string;
   service: string;
-  /** Empty: any server will do. */
+  /** Empty if the caller sent none; any server may then run the call. */
   idempotencyKey: string;
 }
 
+/** Placement of a call without a prompt. */
 const NO_PREFIX: PlacementRequest = {
   levels: [],
   points: [],
@@ -222,23 +231,23 @@
 };
 
 /**
- * Servers of a plain service, without asking. Calls with the same key go to the owner of the key's
- * shard, whichever entry they come to.
+ * Route of a call to a plain service; servers are not asked for offers. Every entry sends calls with
+ * the same idempotency key to the same server, the owner of the key's shard.
  */
 export class PlainRoute implements Route {
   readonly refusals: Refusal[] = [];
   readonly #options: PlainRouteOptions;
   readonly #excludedIds = new Set<string>();
-  #tries = 0;
-  #isRepeated = false;
+  #attempts = 0;
+  #wasRetried = false;
 
   private constructor(options: PlainRouteOptions) {
     this.#options = options;
   }
 
   /**
-   * @param options The call and who may take it.
-   * @returns A route that has tried nobody.
+   * @param options The call and the servers that may run it.
+   * @returns A route that has tried no server yet.
    */
   static create(options: PlainRouteOptions): PlainRoute {
     return new PlainRoute(options);
@@ -247,13 +256,13 @@
   async next(): Promise<Target | undefined> {
     const { budget, team, members } = this.#options;
     for (;;) {
-      if (this.#tries > 0 && !budget.spend(team)) return undefined;
-      const member = this.#named() ?? this.#choose();
+      if (this.#attempts > 0 && !budget.spend(team)) return undefined;
+      const member = this.#redirectTarget() ?? this.#chooseServer();
       if (!member) return undefined;
       this.#excludedIds.add(member.id);
-      const runId = `${this.#options.requestId}.${++this.#tries}`;
+      const runId = `${this.#options.requestId}.${++this.#attempts}`;
       const agentIncarnation = members.incarnationOf(member.id) ||
-        await this.#introduce(member, runId);
+        await this.#fetchIncarnation(member, runId);
       if (agentIncarnation === undefined) continue;
       return { member, holdId: "", agentIncarnation, runId };
     }
@@ -262,16 +271,19 @@
   placed(): void {}
 
   again(target: Target): Target | undefined {
-    if (this.#isRepeated) return undefined;
-    this.#isRepeated = true;
-    return { ...target, runId: `${this.#options.requestId}.${++this.#tries}` };
+    if (this.#wasRetried) return undefined;
+    this.#wasRetried = true;
+    return {
+      ...target,
+      runId: `${this.#options.requestId}.${++this.#attempts}`,
+    };
   }
 
   /**
-   * Asks an agent that this entry hasn't heard of. Without its incarnation, nothing that it says of a
-   * lost call could be relied on.
+   * Asks an agent that has not answered this entry before for its incarnation. Without it, the entry
+   * could not rely on the agent's later answers about a lost call: they may come from a new process.
    */
-  async #introduce(
+  async #fetchIncarnation(
     member: ServerMember,
     runId: string,
   ): Promise<string | undefined> {
@@ -282,8 +294,8 @@
     return undefined;
   }
 
-  /** The server that the last refusal named. */
-  #named(): ServerMember | undefined {
+  /** @returns The server that the last refusal named, unless it was tried already. */
+  #redirectTarget(): ServerMember | undefined {
     const { members, pool } = this.#options;
     const address = this.refusals.at(-1)?.tryAddress;
     if (!address) return undefined;
@@ -292,7 +304,8 @@
     );
   }
 
-  #choose(): ServerMember | undefined {
+  /** @returns The next server: by policy, or by the shard of the idempotency key if there is one. */
+  #chooseServer(): ServerMember | undefined {
     const { members, policy, pool, idempotencyKey } = this.#options;
     const table = members.pool(pool);
     if (idempotencyKey === "") {
@@ -300,12 +313,13 @@
       return policy.candidates(request, table)[0];
     }
     const count = this.#excludedIds.size + 1;
-    const rows = topRows(table.idHashes, this.#ownerKey(), { count });
+    const rows = topRows(table.idHashes, this.#shardHash(), { count });
     return rows.map((row) => table.members[row]!)
       .find(({ id }) => !this.#excludedIds.has(id));
   }
 
-  #ownerKey(): bigint {
+  /** @returns Hash of the idempotency key's shard, by which rendezvous hashing finds its owner. */
+  #shardHash(): bigint {
     const { team, workspace, service, idempotencyKey } = this.#options;
     const scope = { team, workspace, service, idempotencyKey };
     const shard = shardOf(digestKey(scope));
--- a/src/entry/service_handler.ts
+++ b/src/entry/service_handler.ts
@@ -10,21 +10,22 @@
 import type { RequestFailure } from "./errors.ts";
 import { type Exchange, readBody } from "./exchange.ts";
 import { admit, type HandlerDeps, identify } from "./handler_deps.ts";
-import { conclude } from "./model_handler.ts";
+import { finishAnswer } from "./model_handler.ts";
 import { HeaderName, readSettings } from "./request_headers.ts";
 import { PlainRoute } from "./routes.ts";
 import { Rerun } from "./run_request.ts";
 import { serviceHeaders } from "./service_headers.ts";
 import {
-  fingerprintOf,
   readServiceTarget,
+  requestFingerprint,
   type ServiceTarget,
 } from "./service_request.ts";
 import { ServiceSink } from "./service_sink.ts";
 
-/** Pieces of a service's answer are larger than tokens. */
+/** Window of unacknowledged pieces: small, as pieces of a service's answer are larger than tokens. */
 const WINDOW_PIECES = 16;
 
+/** A call that was authenticated and validated. */
 interface CheckedCall {
   identity: Identity;
   target: ServiceTarget;
@@ -33,15 +34,17 @@
 }
 
 /**
- * @param deps What handlers work with.
- * @param exchange The request.
- * @returns What the caller was told, if it was not served.
+ * Serves a call to a plain service: validates it, checks the team's limits and runs it on a server.
+ *
+ * @param deps Dependencies of the request handlers.
+ * @param exchange The request and its response.
+ * @returns The failure that was sent to the caller; undefined if the request was served.
  */
 export async function serveService(
   deps: HandlerDeps,
   exchange: Exchange,
 ): Promise<RequestFailure | undefined> {
-  const checked = await check(deps, exchange);
+  const checked = await checkCall(deps, exchange);
   if (checked.isErr) {
     writeFailure(exchange.response, checked.error);
     return checked.error;
@@ -53,13 +56,13 @@
     return admission.error;
   }
   try {
-    return await run(deps, exchange, checked.value);
+    return await dispatchCall(deps, exchange, checked.value);
   } finally {
     admission.value.settle(0);
   }
 }
 
-async function check(
+async function checkCall(
   deps: HandlerDeps,
   exchange: Exchange,
 ): Promise<Result<CheckedCall, RequestFailure>> {
@@ -77,10 +80,10 @@
   if (settings.isErr) return Result.err(settings.error);
   const { className, priority, idempotencyKey } = settings.value;
   record.className = className;
-  const isTimed = request.headers[HeaderName.DeadlineMs] !== undefined;
+  const hasDeadline = request.headers[HeaderName.DeadlineMs] !== undefined;
   const { timeoutMs } = target.settings;
   caller.setDeadline(
-    isTimed ? Math.min(settings.value.deadlineMs, timeoutMs) : timeoutMs,
+    hasDeadline ? Math.min(settings.value.deadlineMs, timeoutMs) : timeoutMs,
   );
   const body = await readBody(request, branch.limits.maxBodyBytes);
   return body.map((bytes) => ({
@@ -95,12 +98,12 @@
       body: bytes,
       idempotencyKey,
       atMostOnce: !target.isRepeatable,
-      fingerprint: fingerprintOf(method, target.path, bytes),
+      fingerprint: requestFingerprint(method, target.path, bytes),
     },
   }));
 }
 
-async function run(
+async function dispatchCall(
   deps: HandlerDeps,
   exchange: Exchange,
   checked: CheckedCall,
@@ -109,7 +112,7 @@
   const { identity, target, call } = checked;
   const { team, workspace, branch } = identity;
   const sink = ServiceSink.create(response, caller.signal);
-  const ask = askOf(deps, checked);
+  const ask = buildAskRequest(deps, checked);
   const ended = await deps.dispatcher.run({
     requestId: record.requestId,
     ask,
@@ -133,10 +136,10 @@
     onStarted: () => record.startedMs ??= deps.clock.nowMs(),
     onFirstPiece: () => record.firstPieceMs ??= deps.clock.nowMs(),
   }, record);
-  return conclude(exchange, sink, ended);
+  return finishAnswer(exchange, sink, ended);
 }
 
-function askOf(deps: HandlerDeps, checked: CheckedCall): AskRequest {
+function buildAskRequest(deps: HandlerDeps, checked: CheckedCall): AskRequest {
   const { identity, priority } = checked;
   return {
     runId: "",
--- a/src/entry/service_headers.ts
+++ b/src/entry/service_headers.ts
@@ -1,4 +1,4 @@
-/** Headers between callers and plain services. */
+/** Filters the headers that are passed between callers and plain services. */
 import type { IncomingMessage } from "node:http";
 import type { Header } from "../wire/gen/cicadahitch.ts";
 
@@ -13,7 +13,7 @@
   "transfer-encoding",
   "upgrade",
 ]);
-/** Ours, or made anew for the call to the service. */
+/** Headers for the entry itself, or set anew for the call to the service. */
 const NOT_FORWARDED = new Set([
   "authorization",
   "content-length",
@@ -22,7 +22,7 @@
 ]);
 const OWN_PREFIX = "x-cicadahitch-";
 
-/** Whose call it is. */
+/** The owner of a call. */
 export interface CallOwner {
   team: string;
   workspace: string;
@@ -30,8 +30,8 @@
 
 /**
  * @param request The caller's request.
- * @param owner Named to the service in place of the caller's key.
- * @returns The headers that the service gets.
+ * @param owner Sent to the service in place of the caller's key.
+ * @returns The headers of the call to the service.
  */
 export function serviceHeaders(
   request: IncomingMessage,
@@ -54,19 +54,19 @@
 }
 
 /**
- * @param headers Headers of one hop.
- * @returns Those that are meant for the other end.
+ * @param headers Headers as received from one hop.
+ * @returns The end-to-end headers, without hop-by-hop headers and those that `connection` lists.
  */
 export function endToEndHeaders(headers: Header[]): Header[] {
-  const named = new Set<string>();
+  const connectionOptions = new Set<string>();
   for (const { name, value } of headers) {
     if (name.toLowerCase() !== "connection") continue;
     for (const option of value.split(",")) {
-      named.add(option.trim().toLowerCase());
+      connectionOptions.add(option.trim().toLowerCase());
     }
   }
   return headers.filter(({ name }) => {
     const lower = name.toLowerCase();
-    return !HOP_BY_HOP.has(lower) && !named.has(lower);
+    return !HOP_BY_HOP.has(lower) && !connectionOptions.has(lower);
   });
 }
--- a/src/entry/service_sink.ts
+++ b/src/entry/service_sink.ts
@@ -1,4 +1,4 @@
-/** The answer of a plain service, passed through. */
+/** Passes the answer of a plain service through to the caller. */
 import type { ServerResponse } from "node:http";
 import type { RunHead } from "../wire/gen/cicadahitch.ts";
 import {
@@ -9,9 +9,10 @@
 import type { RequestFailure } from "./errors.ts";
 import { endToEndHeaders } from "./service_headers.ts";
 
+/** Status of an answer without a head. */
 const BAD_GATEWAY = 502;
 
-/** Passes status, headers and body through as they come. */
+/** Sends status, headers and body of a service's answer to the caller as they arrive. */
 export class ServiceSink implements AnswerSink {
   readonly #response: ServerResponse;
   readonly #signal: AbortSignal;
@@ -24,8 +25,8 @@
   }
 
   /**
-   * @param response The answer.
-   * @param signal Ends waits for a slow caller.
+   * @param response The response to the caller.
+   * @param signal Ends the wait for a slow caller.
    * @returns A sink that has sent nothing.
    */
   static create(response: ServerResponse, signal: AbortSignal): ServiceSink {
@@ -45,13 +46,13 @@
   }
 
   pieces(data: Buffer[]): Promise<void> | undefined {
-    this.#commit();
+    this.#sendHead();
     const body = data.length === 1 ? data[0]! : Buffer.concat(data);
     return writeWithPressure(this.#response, body, this.#signal);
   }
 
   finish(): undefined {
-    this.#commit();
+    this.#sendHead();
     this.#response.end();
   }
 
@@ -60,7 +61,7 @@
     else writeFailure(this.#response, failure);
   }
 
-  #commit(): void {
+  #sendHead(): void {
     if (this.#isCommitted) return;
     this.#isCommitted = true;
     const { status = BAD_GATEWAY, headers = [] } = this.#head ?? {};
--- a/src/entry/services_test.ts
+++ b/src/entry/services_test.ts
@@ -37,12 +37,12 @@
 
 function callsOf(agents: FakeAgent[]) {
   return agents.flatMap(({ starts }) => starts).map(({ call }) => {
-    if (call?.$case !== "plainCall") throw new TypeError("No plain call");
+    if (call?.$case !== "plainCall") throw new TypeError("Not a plain call");
     return call.value;
   });
 }
 
-test("method, path, body, status and headers pass through", async () => {
+test("method, path, body, status and end-to-end headers are passed through", async () => {
   const { entry, agents, close } = await startBooking([BOOKED]);
   const answer = await send(entry, {
     ...BOOK,
@@ -67,7 +67,7 @@
   await close();
 });
 
-test("only listed calls count as repeatable", async () => {
+test("only calls that the branch lists are repeatable", async () => {
   const { entry, agents, close } = await startBooking([BOOKED]);
   const paths = ["/slots", "/slots/1?x=1", "/slotsx", "/slots/%2e%2e/book"];
   for (const path of paths) {
@@ -79,7 +79,7 @@
   await close();
 });
 
-test("calls with one key meet at one agent", async () => {
+test("calls with the same idempotency key go to the same agent", async () => {
   const { entry, agents, close } = await startBooking(
     [BOOKED, BOOKED, BOOKED, BOOKED],
   );
@@ -92,7 +92,7 @@
   await close();
 });
 
-test("a call that may have run is not sent on", async () => {
+test("a call that may have run is not sent to another agent", async () => {
   const unclear: Script = (run) => {
     run.started();
     run.end(0, { outcome: RunOutcome.UNKNOWN });
@@ -105,7 +105,7 @@
   await close();
 });
 
-test("a refused call is sent on, to the agent that is named", async () => {
+test("a refused call is sent to the agent that the refusal names", async () => {
   const { entry, agents, close } = await startBooking([BOOKED, BOOKED, BOOKED]);
   let refused = 0;
   for (const [index, agent] of agents.entries()) {
@@ -126,7 +126,7 @@
   await close();
 });
 
-test("an agent without the branch is given it and tried again", async () => {
+test("an agent without the branch gets the branch and the call again", async () => {
   let count = 0;
   const { entry, agents, close } = await startBooking([(run, connection) => {
     if (count++ > 0) return BOOKED(run, connection);
--- a/src/entry/shared_limits_test.ts
+++ b/src/entry/shared_limits_test.ts
@@ -17,7 +17,7 @@
 const entries: Entry[] = [];
 let open = () => {};
 const gate = new Promise<void>((resolve) => open = resolve);
-/** Runs that the agent serves now, and the most there were. */
+/** Runs in flight at the agent, and their highest number so far. */
 let serving = 0;
 let peak = 0;
 let answered = 0;
@@ -38,7 +38,7 @@
   await list.close();
 });
 
-test("two entries keep one team's limit together", async () => {
+test("two entries together enforce a team's limit", async () => {
   for (const id of ENTRY_IDS) entries.push(await startListed(id));
   list.set([row("a0", "agent", agent.address, "engines")]);
   list.set(
@@ -56,7 +56,7 @@
     for (let at = 0; at < ROUND; at++) {
       for (const entry of entries) answers.push(sendLong(entry));
     }
-    // No new round before each of these is served or refused, however slow the machine.
+    // The next round starts only when each of these is served or refused, however long that takes.
     await until(() => serving + answered >= answers.length);
     await systemClock.sleep(ROUND_MS);
   }
@@ -106,7 +106,7 @@
   return { id, role, zone: "a", address, pool, state: "live" };
 }
 
-/** Its deadline lies beyond any run of this test. */
+/** Sends a request whose deadline can't expire during the test. */
 async function sendLong(entry: Entry): Promise<Response> {
   const headers = { "x-cicadahitch-deadline-ms": HOUR_MS };
   const answer = await send(entry, { headers });
--- a/src/entry/state_dump.ts
+++ b/src/entry/state_dump.ts
@@ -1,22 +1,22 @@
-/** The state of an entry as JSON, for operators. It holds no prompt, no answer and no key. */
+/** State dump of an entry for operators. It contains no prompt, no answer and no API key. */
 import type { PlannerState } from "../planner/mod.ts";
 import type { EntryParts } from "./entry_parts.ts";
 import type { RequestRecord } from "./exchange.ts";
 
-/** What a dump shows besides the parts. */
+/** State of an entry that is not in its {@link EntryParts}. */
 export interface EntryDumpOptions {
   httpAddress: string;
   adminAddress: string;
-  /** Requests that are being served. */
+  /** Requests in flight. */
   records: ReadonlySet<RequestRecord>;
 }
 
 const MAX_REQUESTS_SHOWN = 200;
 
 /**
- * @param parts An entry's parts.
- * @param shown Addresses and requests.
- * @returns Its state, ready for `JSON.stringify`.
+ * @param parts Parts of the entry.
+ * @param shown Addresses and requests in flight.
+ * @returns The state; can be passed to `JSON.stringify`.
  */
 export function describeEntry(parts: EntryParts, shown: EntryDumpOptions) {
   const { options, members, follower, shares } = parts;
@@ -39,11 +39,11 @@
   };
 }
 
-/** JSON has no numbers as large as a fencing number. */
-function describePlanner({ lease, ...known }: PlannerState) {
-  if (!lease) return { ...known, lease };
+/** Converts the fencing number to a string: it is a bigint, which JSON can't represent. */
+function describePlanner({ lease, ...state }: PlannerState) {
+  if (!lease) return { ...state, lease };
   const fencingNumber = String(lease.fencingNumber);
-  return { ...known, lease: { ...lease, fencingNumber } };
+  return { ...state, lease: { ...lease, fencingNumber } };
 }
 
 function describeRequests(records: ReadonlySet<RequestRecord>, nowMs: number) {
