--- a/src/limits/_division.ts
+++ b/src/limits/_division.ts
@@ -1,29 +1,29 @@
-/** The arithmetic of shares. */
+/** Computes how a team's limits are divided into shares for the entries. */
 
-/** A team's limits, or an entry's part of them. */
+/** A team's limits, or the share of them that one entry may use. */
 export interface Limits {
   maxInFlight: number;
   tokensPerSecond: number;
 }
 
-/** Part of a limit that is spread evenly and needs no message. */
+/** Part of a limit that is divided evenly between all entries and needs no report. */
 const FLOOR_SHARE = 0.2;
-/** An entry gets no more than this multiple of what it wants, so that something stays at hand. */
-const HEADROOM = 2;
-/** A share is not cut for less than this part of it, so that shares don't swing with each report. */
-const CUT_AT = 0.2;
+/** Caps a share at this multiple of the demand, which leaves capacity for later demands. */
+const HEADROOM_FACTOR = 2;
+/** Smaller reductions, as a part of the share, are skipped so that shares don't fluctuate. */
+const MIN_CUT_SHARE = 0.2;
 
-/** What one division is made from; all of one kind, requests or tokens per second. */
-export interface DivisionParts {
+/** Input of one division; all amounts are requests in flight, or all are tokens per second. */
+export interface DivisionInput {
   limit: number;
-  /** What an entry without a share may use. */
+  /** Amount that an entry without a share may use. */
   floor: number;
   /** Entries that have not reported. */
   silentCount: number;
-  /** Entries that report, this one included. */
+  /** Entries that report, including the one that gets this share. */
   reporterCount: number;
   wanted: number;
-  /** The share that the entry has now. */
+  /** Share that the entry holds now. */
   held: number;
   wantedByOthers: number;
   heldByOthers: number;
@@ -31,63 +31,66 @@
 
 /**
  * @param limits A team's limits.
- * @param entryCount Live entries.
- * @returns What an entry may use without asking; at least one request, so that any entry serves any
- * team at once.
+ * @param entryCount Entries that are running.
+ * @returns The floor: the amount that an entry may use without a share. It is at least one request, so
+ * that every entry can serve every team at once.
  */
 export function floorShare(limits: Limits, entryCount: number): Limits {
-  const part = FLOOR_SHARE / Math.max(1, entryCount);
+  const fraction = FLOOR_SHARE / Math.max(1, entryCount);
   return {
-    maxInFlight: Math.max(1, Math.floor(limits.maxInFlight * part)),
-    tokensPerSecond: Math.max(1, Math.floor(limits.tokensPerSecond * part)),
+    maxInFlight: Math.max(1, Math.floor(limits.maxInFlight * fraction)),
+    tokensPerSecond: Math.max(1, Math.floor(limits.tokensPerSecond * fraction)),
   };
 }
 
 /**
  * @param limits A team's limits.
- * @param entryCount Live entries.
- * @returns The same part for each entry.
+ * @param entryCount Entries that are running.
+ * @returns An equal part for each entry, rounded up.
  */
 export function evenShare(limits: Limits, entryCount: number): Limits {
-  const part = 1 / Math.max(1, entryCount);
+  const fraction = 1 / Math.max(1, entryCount);
   return {
-    maxInFlight: Math.ceil(limits.maxInFlight * part),
-    tokensPerSecond: Math.ceil(limits.tokensPerSecond * part),
+    maxInFlight: Math.ceil(limits.maxInFlight * fraction),
+    tokensPerSecond: Math.ceil(limits.tokensPerSecond * fraction),
   };
 }
 
 /**
- * @param parts What is divided.
- * @returns The share aimed at, with some headroom but no more; a fraction.
+ * @param input Limit and demands.
+ * @returns The share that an entry should get, before rounding: its fair share, up to its demand times
+ * {@link HEADROOM_FACTOR}.
  */
-export function targetShare(parts: DivisionParts): number {
-  const { wanted, floor, held } = parts;
+export function targetShare(input: DivisionInput): number {
+  const { wanted, floor, held } = input;
   if (wanted <= 0) return 0;
-  const enough = Math.max(floor, wanted * HEADROOM);
-  const target = Math.max(1, Math.min(fairShare(parts), enough));
-  return target < held && target >= held * (1 - CUT_AT) ? held : target;
+  const sufficient = Math.max(floor, wanted * HEADROOM_FACTOR);
+  const target = Math.max(1, Math.min(fairShare(input), sufficient));
+  return target < held && target >= held * (1 - MIN_CUT_SHARE) ? held : target;
 }
 
 /**
- * @param target The share aimed at.
- * @param parts What is divided.
- * @returns As much of it as nobody else may be using, in whole numbers.
+ * @param target The share that the entry should get.
+ * @param input Limit and demands.
+ * @returns The part of the target that no other entry may still be using, as an integer.
  */
-export function grantableShare(target: number, parts: DivisionParts): number {
-  const free = divisible(parts) - parts.heldByOthers;
-  return Math.max(0, Math.floor(Math.min(Math.ceil(target), free)));
+export function grantableShare(target: number, input: DivisionInput): number {
+  const available = distributableLimit(input) - input.heldByOthers;
+  return Math.max(0, Math.floor(Math.min(Math.ceil(target), available)));
 }
 
-/** What is wanted and an even part of the surplus, or in proportion when there is none. */
-function fairShare(parts: DivisionParts): number {
-  const { wanted, wantedByOthers, reporterCount } = parts;
+/** The demand plus an even part of the surplus; without a surplus, in proportion to the demand. */
+function fairShare(input: DivisionInput): number {
+  const { wanted, wantedByOthers, reporterCount } = input;
   const total = wanted + wantedByOthers;
-  const surplus = divisible(parts) - total;
+  const surplus = distributableLimit(input) - total;
   if (surplus >= 0) return wanted + surplus / reporterCount;
-  return divisible(parts) * wanted / total;
+  return distributableLimit(input) * wanted / total;
 }
 
-/** What is left when silent entries keep their floors; never less than 80%. */
-function divisible({ limit, floor, silentCount }: DivisionParts): number {
+/** The limit less the floors of entries that have not reported; at least 80% of the limit. */
+function distributableLimit(
+  { limit, floor, silentCount }: DivisionInput,
+): number {
   return limit - Math.min(limit * FLOOR_SHARE, floor * silentCount);
 }
--- a/src/limits/_fleet.ts
+++ b/src/limits/_fleet.ts
@@ -1,4 +1,4 @@
-/** Many limiters in virtual time, for measurements and tests. */
+/** Simulates a fleet of team limiters in virtual time, for measurements and tests. */
 import { seededRandom } from "../base/random.ts";
 import { Result } from "true-myth";
 import type { Clock } from "../base/mod.ts";
@@ -8,7 +8,7 @@
 import { ShareLedger } from "./share_ledger.ts";
 import { type Admission, TeamLimiter } from "./team_limiter.ts";
 
-/** The one team of the fleet. */
+/** The only team in the simulation. */
 export const TEAM = "team-a";
 const TOKENS_EXPECTED = 200;
 const TICKS_PER_EXCHANGE = 4;
@@ -22,36 +22,36 @@
   meanDurationMs: number;
 }
 
-interface Run {
+interface RunningRequest {
   admission: Admission;
-  endsMs: number;
+  endsAtMs: number;
 }
 
 /** One entry of the fleet. */
 export interface FleetEntry {
   id: string;
-  alive: boolean;
-  /** Entries on different sides can't reach each other. */
-  side: number;
+  isAlive: boolean;
+  /** Entries in different partitions can't reach each other. */
+  partition: number;
   /** Ids in this entry's list of instances. */
-  known: string[];
-  knownChangedMs: number;
+  knownIds: string[];
+  knownIdsChangedMs: number;
   limiter: TeamLimiter;
   ledger: ShareLedger;
   exchange: ShareExchange;
-  runs: Run[];
+  runs: RunningRequest[];
   messages: number;
   bytes: number;
 }
 
-/** What one tick came to. */
+/** Totals of one tick over all entries. */
 export interface FleetTick {
   inFlight: number;
   tokensAdmitted: number;
   refused: number;
 }
 
-/** Entries with a limiter, a ledger and an exchange each. */
+/** A simulated fleet; each entry has a limiter, a ledger and an exchange. */
 export class Fleet {
   readonly entries: FleetEntry[] = [];
   readonly #options: FleetOptions;
@@ -69,23 +69,23 @@
       sleep: () => Promise.resolve(),
     };
     for (let index = 0; index < options.entryCount; index++) this.addEntry();
-    this.setLists(() => true, 0);
+    this.setEntryLists(() => true, 0);
   }
 
   /**
-   * @param options Sizes.
-   * @returns A fleet without load.
+   * @param options Sizes, limits and seed.
+   * @returns A fleet without requests.
    */
   static create(options: FleetOptions): Fleet {
     return new Fleet(options);
   }
 
-  /** @returns A new entry that knows itself only, until the lists are set. */
+  /** @returns A new entry that lists only itself until `setEntryLists` is called. */
   addEntry(): FleetEntry {
     const id = `entry-${this.entries.length}`;
     const { limits } = this.#options;
     const limitsOf = () => limits;
-    const entryCount = () => entry.known.length;
+    const entryCount = () => entry.knownIds.length;
     const clock = this.#clock;
     const random = this.#random;
     const limiter = TeamLimiter.create({ clock, random, limitsOf, entryCount });
@@ -93,19 +93,19 @@
       clock,
       limitsOf,
       entryCount,
-      entriesChangedMs: () => entry.knownChangedMs,
+      entriesChangedMs: () => entry.knownIdsChangedMs,
     });
     const exchange = ShareExchange.create(limiter, {
-      listEntries: () => entry.known,
+      listEntries: () => entry.knownIds,
       exchange: (to, demands) =>
         Promise.resolve(this.#deliver(entry, to, demands)),
     }, { clock });
     const entry: FleetEntry = {
       id,
-      alive: true,
-      side: 0,
-      known: [id],
-      knownChangedMs: this.#nowMs,
+      isAlive: true,
+      partition: 0,
+      knownIds: [id],
+      knownIdsChangedMs: this.#nowMs,
       limiter,
       ledger,
       exchange,
@@ -118,35 +118,35 @@
   }
 
   /**
-   * Brings the lists of instances of all live entries up to date.
+   * Updates the list of instances at each entry.
    *
-   * @param sees Whether an entry lists another.
-   * @param changedMs When they changed; now when left out.
+   * @param isListed Whether the first entry lists the second.
+   * @param changedMs When the lists changed; defaults to the current time.
    */
-  setLists(
-    sees: (entry: FleetEntry, other: FleetEntry) => boolean,
+  setEntryLists(
+    isListed: (entry: FleetEntry, other: FleetEntry) => boolean,
     changedMs = this.#nowMs,
   ): void {
     for (const entry of this.entries) {
-      const known = this.entries.filter((other) =>
-        other.alive && sees(entry, other)
+      const listed = this.entries.filter((other) =>
+        other.isAlive && isListed(entry, other)
       );
-      entry.known = known.map(({ id }) => id);
-      entry.knownChangedMs = changedMs;
+      entry.knownIds = listed.map(({ id }) => id);
+      entry.knownIdsChangedMs = changedMs;
     }
   }
 
-  /** Ends an entry; its requests end with it. */
+  /** Stops an entry and drops its requests. */
   kill(entry: FleetEntry): void {
-    entry.alive = false;
+    entry.isAlive = false;
     entry.runs = [];
   }
 
   /**
-   * Moves time by one tick.
+   * Advances the virtual time by one tick.
    *
-   * @param perSecond Requests that arrive at each entry.
-   * @returns What came of it.
+   * @param perSecond Requests per second that arrive at an entry.
+   * @returns The totals of the tick.
    */
   async tick(perSecond: (entry: FleetEntry) => number): Promise<FleetTick> {
     const { tickMs } = this.#options;
@@ -154,10 +154,10 @@
     this.#ticks++;
     const result = { inFlight: 0, tokensAdmitted: 0, refused: 0 };
     for (const [index, entry] of this.entries.entries()) {
-      if (!entry.alive) continue;
-      this.#endRuns(entry);
+      if (!entry.isAlive) continue;
+      this.#settleFinished(entry);
       const arrivals = this.#poisson(perSecond(entry) * tickMs / 1000);
-      for (let next = 0; next < arrivals; next++) this.#arrive(entry, result);
+      for (let next = 0; next < arrivals; next++) this.#admit(entry, result);
       result.inFlight += entry.runs.length;
       if ((this.#ticks + index) % TICKS_PER_EXCHANGE !== 0) continue;
       await entry.exchange.reportDue();
@@ -165,15 +165,15 @@
     return result;
   }
 
-  #endRuns(entry: FleetEntry): void {
-    entry.runs = entry.runs.filter(({ admission, endsMs }) => {
-      if (endsMs > this.#nowMs) return true;
+  #settleFinished(entry: FleetEntry): void {
+    entry.runs = entry.runs.filter(({ admission, endsAtMs }) => {
+      if (endsAtMs > this.#nowMs) return true;
       admission.settle(TOKENS_EXPECTED * 2 * this.#random());
       return false;
     });
   }
 
-  #arrive(entry: FleetEntry, result: FleetTick): void {
+  #admit(entry: FleetEntry, result: FleetTick): void {
     const verdict = entry.limiter.tryAdmit(TEAM, TOKENS_EXPECTED);
     if (verdict.kind === "refused") {
       result.refused++;
@@ -183,49 +183,56 @@
     const durationMs = -Math.log(1 - this.#random()) *
       this.#options.meanDurationMs;
     const { admission } = verdict;
-    entry.runs.push({ admission, endsMs: this.#nowMs + durationMs });
+    entry.runs.push({ admission, endsAtMs: this.#nowMs + durationMs });
   }
 
   #deliver(
     from: FleetEntry,
     to: string,
     demands: Parameters<ShareLedger["answer"]>[1],
-  ): ReturnType<typeof reachable> {
+  ): ReturnType<typeof sharesResult> {
     const target = this.entries.find(({ id }) => id === to);
-    if (!target?.alive || target.side !== from.side) {
-      return unreachable();
+    if (!target?.isAlive || target.partition !== from.partition) {
+      return unreachableResult();
     }
     const shares = target.ledger.answer(from.id, demands);
     if (target !== from) {
-      const bytes = sizeOf({ demands, shares: [] }) +
-        sizeOf({ demands: [], shares });
-      for (const side of [from, target]) {
-        side.messages++;
-        side.bytes += bytes;
+      const bytes = encodedSize({ demands, shares: [] }) +
+        encodedSize({ demands: [], shares });
+      for (const entry of [from, target]) {
+        entry.messages++;
+        entry.bytes += bytes;
       }
     }
-    return reachable(shares);
+    return sharesResult(shares);
   }
 
   #poisson(mean: number): number {
     const limit = Math.exp(-Math.min(mean, 500));
     let count = 0;
-    for (let left = this.#random(); left > limit; left *= this.#random()) {
+    for (
+      let product = this.#random();
+      product > limit;
+      product *= this.#random()
+    ) {
       count++;
     }
     return count;
   }
 }
 
-function reachable(shares: ReturnType<ShareLedger["answer"]>) {
+function sharesResult(shares: ReturnType<ShareLedger["answer"]>) {
   return Result.ok<typeof shares, ShareFailure>(shares);
 }
 
-function unreachable(): ReturnType<typeof reachable> {
-  return Result.err({ kind: "unreachable", message: "On the other side" });
+function unreachableResult(): ReturnType<typeof sharesResult> {
+  return Result.err({
+    kind: "unreachable",
+    message: "The entry is down or in another partition",
+  });
 }
 
-function sizeOf(limits: NonNullable<VersionDigest["limits"]>): number {
+function encodedSize(limits: NonNullable<VersionDigest["limits"]>): number {
   const digest = VersionDigest.create({
     processId: "entry-000",
     address: "10.0.0.100:7000",
--- a/src/limits/_measure.ts
+++ b/src/limits/_measure.ts
@@ -1,6 +1,6 @@
 /**
- * Measures how far a fleet of limiters is over or under a team's limits, in virtual time:
- * `node --import tsx src/limits/_measure.ts`. Prints JSON, one line a case.
+ * Measures how far a simulated fleet of limiters exceeds or underuses a team's limits. Run
+ * `node --import tsx src/limits/_measure.ts`; it prints one JSON line per case.
  */
 import type { Limits } from "./_division.ts";
 import {
@@ -11,7 +11,7 @@
 } from "./_scenarios.ts";
 
 const SEEDS = [1, 2, 3, 4, 5];
-const AMPLE = 1_000_000_000;
+const UNLIMITED_TOKENS = 1_000_000_000;
 const SIZES = [
   { entryCount: 3, maxInFlight: 60 },
   { entryCount: 30, maxInFlight: 300 },
@@ -20,13 +20,13 @@
 ];
 
 for (const { entryCount, maxInFlight } of SIZES) {
-  const limits = { maxInFlight, tokensPerSecond: AMPLE };
+  const limits = { maxInFlight, tokensPerSecond: UNLIMITED_TOKENS };
   for (const scenario of Object.values(Scenario)) {
     await printCase("in_flight", { scenario, entryCount, limits });
   }
 }
 for (const { entryCount, maxInFlight } of SIZES) {
-  // A request takes 200 tokens and a second, so that the bound on those in flight is never met.
+  // A request takes 200 tokens and 1 s on average, so the limit on requests in flight isn't reached.
   const tokensPerSecond = maxInFlight * 200;
   const limits = { maxInFlight: maxInFlight * 4, tokensPerSecond };
   for (const scenario of [Scenario.Even, Scenario.Skewed]) {
--- a/src/limits/_pace.ts
+++ b/src/limits/_pace.ts
@@ -1,25 +1,25 @@
-/** How often entries report, so that a coordinator's traffic stays within its budget. */
+/** Report intervals and share lifetimes, which bound the traffic of a coordinator. */
 
-/** Reports that a coordinator takes each second, for all its teams. */
-const REPORTS_PER_SECOND = 30;
+/** Target rate of reports at a coordinator; exceeded only once intervals reach the maximum. */
+const MAX_REPORTS_PER_SECOND = 30;
 const MIN_INTERVAL_MS = 1000;
 const MAX_INTERVAL_MS = 20_000;
-/** Reports that may be lost before a share lapses. */
+/** Lifetime of a share in report intervals, so that a lost report doesn't end the share. */
 const INTERVALS_PER_TTL = 3;
 
 /**
- * @param reporters Entries that report, counted once for each team.
- * @returns Time between two reports of one entry.
+ * @param reporterCount Entries that report, counted once for each team.
+ * @returns Time between two reports of one entry for one team.
  */
-export function reportIntervalMs(reporters: number): number {
-  const ms = reporters * 1000 / REPORTS_PER_SECOND;
+export function reportIntervalMs(reporterCount: number): number {
+  const ms = reporterCount * 1000 / MAX_REPORTS_PER_SECOND;
   return Math.round(Math.min(MAX_INTERVAL_MS, Math.max(MIN_INTERVAL_MS, ms)));
 }
 
 /**
- * @param reporters Entries that report, counted once for each team.
- * @returns Time for which a share holds.
+ * @param reporterCount Entries that report, counted once for each team.
+ * @returns Lifetime of a share.
  */
-export function shareTtlMs(reporters: number): number {
-  return reportIntervalMs(reporters) * INTERVALS_PER_TTL;
+export function shareTtlMs(reporterCount: number): number {
+  return reportIntervalMs(reporterCount) * INTERVALS_PER_TTL;
 }
--- a/src/limits/_team_use.ts
+++ b/src/limits/_team_use.ts
@@ -1,33 +1,33 @@
-/** What one team uses at one entry, and the share it may use. */
+/** Tracks what one team uses at one entry and the share that it may use. */
 import type { Clock } from "../base/mod.ts";
 import type { TeamDemand, TeamShare } from "../wire/gen/cicadahitch.ts";
 import type { Limits } from "./_division.ts";
 import { TokenBucket } from "./token_bucket.ts";
 
-/** Seconds of a share's rate that may be used at once. */
+/** Token bucket size, in seconds of the share's token rate. */
 const BURST_SECONDS = 1;
 const MIN_RETRY_MS = 100;
 const MAX_RETRY_MS = 30_000;
-/** Width of the jitter, as a part of the time worked out. */
-const RETRY_SPREAD = 0.5;
-/** Weight of the newest request in the mean time that requests take. */
+/** Largest jitter added to a retry time, as a part of it. */
+const RETRY_JITTER = 0.5;
+/** Weight of the newest request in the moving average of request durations. */
 const DURATION_WEIGHT = 0.1;
-/** Part of the demand reported last that still counts, so that a quiet moment costs no share. */
+/** Part of the last reported demand that still counts, so that a short pause keeps the share. */
 const DEMAND_DECAY = 0.5;
-const FIRST_DURATION_MS = 1000;
-/** A report without an answer is made again after this. */
+const INITIAL_DURATION_MS = 1000;
+/** A report that got no answer is repeated after this time. */
 const REPORT_TIMEOUT_MS = 3000;
 
-/** What a {@link TeamUse} is made from. */
-export interface TeamUseOptions {
+/** Settings of a {@link TeamUsage}. */
+export interface TeamUsageOptions {
   clock: Clock;
   random: () => number;
   limits: Limits;
   floor: Limits;
 }
 
-/** State of one team at one entry, for dumps. */
-export interface TeamUseState {
+/** State of one team at one entry, for state dumps. */
+export interface TeamUsageState {
   team: string;
   inFlight: number;
   maxInFlight: number;
@@ -37,11 +37,11 @@
   refused: number;
 }
 
-interface HeldShare extends Limits {
+interface ActiveShare extends Limits {
   validUntilMs: number;
 }
 
-/** What a request came to. */
+/** Cost and duration of a request that ended. */
 export interface Settlement {
   tokensExpected: number;
   tokensUsed: number;
@@ -49,7 +49,7 @@
 }
 
 /** Counts since the last report. */
-interface Period {
+interface ReportPeriod {
   startedMs: number;
   peakInFlight: number;
   refused: number;
@@ -57,29 +57,29 @@
   refusedTokens: number;
 }
 
-/** Use of one team. */
-export class TeamUse {
+/** Requests in flight, tokens and share of one team at one entry. */
+export class TeamUsage {
   readonly #clock: Clock;
   readonly #random: () => number;
   readonly #bucket: TokenBucket;
   #limits: Limits;
   #floor: Limits;
-  #share: HeldShare | undefined;
-  /** A share that lapsed since the last report. */
-  #lapsed: Limits | undefined;
+  #share: ActiveShare | undefined;
+  /** A share that expired since the last report. */
+  #expiredShare: Limits | undefined;
   #inFlight = 0;
   #refused = 0;
-  #meanDurationMs = FIRST_DURATION_MS;
-  #period: Period;
+  #meanDurationMs = INITIAL_DURATION_MS;
+  #period: ReportPeriod;
   #nextReportMs = 0;
   #lastReportMs = -Infinity;
   #lastWantedInFlight = 0;
-  /** True: the last report asked for more than it got, so that asking sooner is of no use. */
-  #wasShort = false;
-  /** True: the last report gave the share back, so that its answer brings none. */
-  #gaveBack = false;
+  /** Requests were refused before the last report too, so an earlier next report would not help. */
+  #isCapped = false;
+  /** The last report returned the share, so its answer grants none. */
+  #returnedShare = false;
 
-  private constructor(options: TeamUseOptions) {
+  private constructor(options: TeamUsageOptions) {
     const { clock, random, limits, floor } = options;
     this.#clock = clock;
     this.#random = random;
@@ -91,27 +91,27 @@
     this.#bucket = TokenBucket.create({ clock, perSecond, burst });
   }
 
-  /** @returns Use of a team that has no request yet. */
-  static create(options: TeamUseOptions): TeamUse {
-    return new TeamUse(options);
+  /** @returns The usage of a team without any requests. */
+  static create(options: TeamUsageOptions): TeamUsage {
+    return new TeamUsage(options);
   }
 
-  /** True while a share of the coordinator is in force. */
+  /** Whether a share from the coordinator is valid now. */
   get hasShare(): boolean {
-    return this.#heldShare() !== undefined;
+    return this.#activeShare() !== undefined;
   }
 
-  /** Follows a change of the settings or of the number of entries. */
+  /** Applies new limits, and a new floor when the number of entries changes. */
   setLimits(limits: Limits, floor: Limits): void {
     this.#limits = limits;
     this.#floor = floor;
     this.#resizeBucket();
   }
 
-  /** @returns Which limit stands against one more request. */
-  shortOf(tokens: number): "in_flight" | "tokens" | undefined {
-    if (this.#inFlight >= this.#cap().maxInFlight) return "in_flight";
-    return this.#bucket.msUntil(this.#needed(tokens)) > 0
+  /** @returns The limit that one more request would exceed, if any. */
+  exceededLimit(tokens: number): "in_flight" | "tokens" | undefined {
+    if (this.#inFlight >= this.#currentLimits().maxInFlight) return "in_flight";
+    return this.#bucket.msUntil(this.#requiredTokens(tokens)) > 0
       ? "tokens"
       : undefined;
   }
@@ -124,55 +124,63 @@
     this.#period.admittedTokens += tokens;
   }
 
-  /** @returns When a place or the tokens should be there, spread so that callers come apart. */
+  /**
+   * Counts a refused request.
+   *
+   * @returns Estimated time until it can be admitted, with jitter to spread the retries of callers.
+   */
   refuse(reason: "in_flight" | "tokens", tokens: number): number {
     this.#refused++;
     this.#period.refused++;
     this.#period.refusedTokens += tokens;
-    const places = Math.max(1, this.#cap().maxInFlight);
+    const slots = Math.max(1, this.#currentLimits().maxInFlight);
     const waitMs = reason === "in_flight"
-      ? this.#meanDurationMs * this.#period.refused / places
-      : this.#bucket.msUntil(this.#needed(tokens));
-    const boundMs = Math.min(MAX_RETRY_MS, Math.max(MIN_RETRY_MS, waitMs));
-    return Math.ceil(boundMs * (1 + RETRY_SPREAD * this.#random()));
+      ? this.#meanDurationMs * this.#period.refused / slots
+      : this.#bucket.msUntil(this.#requiredTokens(tokens));
+    const clampedMs = Math.min(MAX_RETRY_MS, Math.max(MIN_RETRY_MS, waitMs));
+    return Math.ceil(clampedMs * (1 + RETRY_JITTER * this.#random()));
   }
 
   settle({ tokensExpected, tokensUsed, durationMs }: Settlement): void {
     this.#inFlight--;
     this.#bucket.take(tokensUsed - tokensExpected);
     this.#period.admittedTokens += tokensUsed - tokensExpected;
-    const change = durationMs - this.#meanDurationMs;
-    this.#meanDurationMs += change * DURATION_WEIGHT;
+    const deviationMs = durationMs - this.#meanDurationMs;
+    this.#meanDurationMs += deviationMs * DURATION_WEIGHT;
   }
 
-  /** @returns Whether this entry uses that part of its floor, or has refused. */
-  nearFloor(part: number): boolean {
+  /** @returns Whether this entry uses at least that part of its floor or has refused a request. */
+  isNearFloor(fraction: number): boolean {
     const { refused, peakInFlight } = this.#period;
     if (refused > 0) return true;
     const { maxInFlight, tokensPerSecond } = this.#floor;
-    return peakInFlight >= maxInFlight * part ||
-      this.#wantedTokensPerSecond() >= tokensPerSecond * part;
+    return peakInFlight >= maxInFlight * fraction ||
+      this.#wantedTokensPerSecond() >= tokensPerSecond * fraction;
   }
 
   /** @returns When the next report is due. */
   reportDueMs(minGapMs: number): number {
-    if (this.#period.refused === 0 || this.#wasShort) return this.#nextReportMs;
+    if (this.#period.refused === 0 || this.#isCapped) return this.#nextReportMs;
     return Math.min(this.#nextReportMs, this.#lastReportMs + minGapMs);
   }
 
-  /** @returns Whether nothing is left to remember. */
-  isForgettable(): boolean {
+  /** @returns Whether the team has no share, no recent requests and a full bucket. */
+  isIdle(): boolean {
     const { peakInFlight, refused } = this.#period;
     return !this.hasShare && peakInFlight === 0 && refused === 0 &&
       this.#bucket.tokens >= this.#floor.tokensPerSecond * BURST_SECONDS;
   }
 
-  /** @returns The demand to report, and starts a new period. */
+  /**
+   * Starts a new report period.
+   *
+   * @returns The demand of the past period.
+   */
   report(team: string): TeamDemand {
-    const share = this.#heldShare();
+    const share = this.#activeShare();
     const { refused } = this.#period;
-    const faded = Math.floor(this.#lastWantedInFlight * DEMAND_DECAY);
-    const wantedInFlight = Math.max(faded, this.#wantedInFlight());
+    const decayedInFlight = Math.floor(this.#lastWantedInFlight * DEMAND_DECAY);
+    const wantedInFlight = Math.max(decayedInFlight, this.#wantedInFlight());
     this.#lastWantedInFlight = wantedInFlight;
     const demand = {
       team,
@@ -186,22 +194,22 @@
       shareTokensPerSecond: share?.tokensPerSecond ?? 0,
       hasShare: share !== undefined,
     };
-    this.#lapsed = undefined;
+    this.#expiredShare = undefined;
     const nowMs = this.#clock.nowMs();
     this.#lastReportMs = nowMs;
     this.#nextReportMs = nowMs + REPORT_TIMEOUT_MS;
     this.#period = startPeriod(nowMs, this.#inFlight);
-    this.#wasShort = refused > 0;
-    this.#gaveBack = demand.wantedInFlight === 0;
-    if (this.#gaveBack) this.#dropShare();
+    this.#isCapped = refused > 0;
+    this.#returnedShare = demand.wantedInFlight === 0;
+    if (this.#returnedShare) this.#dropShare();
     return demand;
   }
 
-  takeShare(share: TeamShare, sentAtMs: number): void {
-    // A late answer to an earlier report: the coordinator counts with a later one.
+  applyShare(share: TeamShare, sentAtMs: number): void {
+    // Ignores a late answer to an earlier report: the coordinator may have recorded the newer one.
     if (sentAtMs < this.#lastReportMs) return;
     this.#nextReportMs = sentAtMs + share.nextReportMs * this.#jitter();
-    if (this.#gaveBack) return;
+    if (this.#returnedShare) return;
     this.#share = {
       maxInFlight: share.inFlight,
       tokensPerSecond: share.tokensPerSecond,
@@ -210,14 +218,14 @@
     this.#resizeBucket();
   }
 
-  reportAgainIn(afterMs: number): void {
+  scheduleReport(afterMs: number): void {
     this.#nextReportMs = this.#clock.nowMs() + afterMs * this.#jitter();
   }
 
-  /** @returns The state, for dumps. */
-  state(team: string): TeamUseState {
-    const { maxInFlight, tokensPerSecond } = this.#cap();
-    const validUntilMs = this.#heldShare()?.validUntilMs ?? 0;
+  /** @returns The state, for state dumps. */
+  state(team: string): TeamUsageState {
+    const { maxInFlight, tokensPerSecond } = this.#currentLimits();
+    const validUntilMs = this.#activeShare()?.validUntilMs ?? 0;
     return {
       team,
       inFlight: this.#inFlight,
@@ -229,22 +237,22 @@
     };
   }
 
-  #cap(): Limits {
-    return this.#heldShare() ?? this.#lapsedCap() ?? this.#floor;
+  #currentLimits(): Limits {
+    return this.#activeShare() ?? this.#expiredShareLimits() ?? this.#floor;
   }
 
-  #heldShare(): HeldShare | undefined {
+  #activeShare(): ActiveShare | undefined {
     if (this.#share && this.#share.validUntilMs <= this.#clock.nowMs()) {
-      this.#lapsed = this.#share;
+      this.#expiredShare = this.#share;
       this.#dropShare();
     }
     return this.#share;
   }
 
-  /** Until the next report a lapsed share smaller than the floor still binds. */
-  #lapsedCap(): Limits | undefined {
-    if (!this.#lapsed) return undefined;
-    const { maxInFlight, tokensPerSecond } = this.#lapsed;
+  /** Until the next report, an expired share that is smaller than the floor still applies. */
+  #expiredShareLimits(): Limits | undefined {
+    if (!this.#expiredShare) return undefined;
+    const { maxInFlight, tokensPerSecond } = this.#expiredShare;
     return {
       maxInFlight: Math.min(maxInFlight, this.#floor.maxInFlight),
       tokensPerSecond: Math.min(tokensPerSecond, this.#floor.tokensPerSecond),
@@ -257,21 +265,24 @@
   }
 
   #resizeBucket(): void {
-    const { tokensPerSecond } = this.#cap();
+    const { tokensPerSecond } = this.#currentLimits();
     this.#bucket.resize(tokensPerSecond, tokensPerSecond * BURST_SECONDS);
   }
 
-  /** A request larger than the bucket passes when it is full, and leaves a debt. */
-  #needed(tokens: number): number {
-    return Math.min(tokens, this.#cap().tokensPerSecond * BURST_SECONDS);
+  /** Caps at the bucket size: a full bucket admits a larger request, and keeps a debt. */
+  #requiredTokens(tokens: number): number {
+    return Math.min(
+      tokens,
+      this.#currentLimits().tokensPerSecond * BURST_SECONDS,
+    );
   }
 
-  /** The peak, and what of the refused would be in flight besides. */
+  /** Peak of requests in flight plus the refused ones that would be in flight at the same time. */
   #wantedInFlight(): number {
     const { startedMs, peakInFlight, refused } = this.#period;
     const periodMs = Math.max(1, this.#clock.nowMs() - startedMs);
-    const part = Math.min(1, this.#meanDurationMs / periodMs);
-    return peakInFlight + Math.ceil(refused * part);
+    const fraction = Math.min(1, this.#meanDurationMs / periodMs);
+    return peakInFlight + Math.ceil(refused * fraction);
   }
 
   #wantedTokensPerSecond(): number {
@@ -285,7 +296,7 @@
   }
 }
 
-function startPeriod(startedMs: number, inFlight: number): Period {
+function startPeriod(startedMs: number, inFlight: number): ReportPeriod {
   return {
     startedMs,
     peakInFlight: inFlight,
--- a/src/limits/shared_buckets.ts
+++ b/src/limits/shared_buckets.ts
@@ -1,4 +1,4 @@
-/** The shared buckets of all workspaces at one process, and what processes tell each other of them. */
+/** The shared buckets of all workspaces at one process, and the reports that processes exchange. */
 import type { Clock } from "../base/mod.ts";
 import {
   type BucketMembers,
@@ -6,47 +6,47 @@
   SharedBucket,
 } from "./shared_bucket.ts";
 
-/** What a process tells of one bucket: its name, the total taken there, and its level. */
+/** One bucket in a report: its name, the total that the process has taken, and the level. */
 export type BucketRow = [string, number, number];
 
-/** Whether a request may go on. */
+/** Whether a request is admitted. */
 export type BucketVerdict =
   | { kind: "admitted" }
-  /** Not run; there is room for it then. */
+  /** The request was not run; the tokens should be available after this time. */
   | { kind: "refused"; retryAfterMs: number };
 
-/** Each change is told so often, as datagrams may be lost. */
-const TELLINGS = 3;
-/** Rows in one datagram; the others wait for the next. */
-const MAX_ROWS = 40;
-/** Those of them that are no news. */
-const MAX_RETOLD = 4;
-/** Processes are counted this often; it is asked for with each request and datagram. */
-const COUNT_MS = 50;
-/** A silent process keeps its part of each rate for this long. */
-const FORGET_MS = 20_000;
-/** A process that started this much before another one has seen more. */
-const OLDER_BY_MS = 1000;
-/** Added to the time at which there is room, by chance, so that refused callers come apart. */
-const RETRY_SPREAD_MS = 500;
-
-/** What {@link SharedBuckets} work with. */
+/** Number of times that each change is sent, since datagrams may be lost. */
+const SENDS_PER_CHANGE = 3;
+/** Bounds the rows of one datagram; the others wait for the next. */
+const MAX_ROWS_PER_DATAGRAM = 40;
+/** Bounds the rows of one datagram whose changes were already sent {@link SENDS_PER_CHANGE} times. */
+const MAX_UNCHANGED_ROWS = 4;
+/** Lifetime of the cached member count, which every request and datagram reads. */
+const MEMBER_COUNT_TTL_MS = 50;
+/** A silent process keeps its part of each rate for this long, then it is removed. */
+const SILENT_MEMBER_TTL_MS = 20_000;
+/** A process counts as older if its wall-clock start time is more than this earlier. */
+const OLDER_MARGIN_MS = 1000;
+/** Largest random delay added to a retry time, so that refused callers don't retry together. */
+const RETRY_JITTER_MS = 500;
+
+/** Settings of {@link SharedBuckets}. */
 export interface SharedBucketsOptions {
   clock: Clock;
-  /** 0 to 1. */
+  /** Returns a number from 0 to 1. */
   random: () => number;
-  /** Processes that may live, this one included. */
+  /** Processes that may be running, including this one. */
   memberCount(): number;
 }
 
-/** What another process tells. */
-export interface BucketNews {
-  /** When it started, since 1970, by its own clock. */
+/** Report of another process. */
+export interface MemberReport {
+  /** When the process started, in ms since 1970 by its own clock. */
   startedAtMs: number;
   rows: readonly BucketRow[];
 }
 
-/** State of a bucket, for dumps. */
+/** State of a bucket, for state dumps. */
 export interface BucketState extends RateLimit {
   name: string;
   level: number;
@@ -54,22 +54,22 @@
   refused: number;
 }
 
-interface Tracked {
+interface TrackedBucket {
   bucket: SharedBucket;
-  tellingsLeft: number;
+  sendsLeft: number;
   refused: number;
 }
 
-/** Buckets by name. */
+/** Shared buckets by name. */
 export class SharedBuckets {
   readonly #options: SharedBucketsOptions;
   readonly #startedAtMs: number;
-  readonly #tracked = new Map<string, Tracked>();
-  readonly #heardAtMs = new Map<string, number>();
-  readonly #startsAtMs = new Map<string, number>();
+  readonly #tracked = new Map<string, TrackedBucket>();
+  readonly #lastHeardAtMs = new Map<string, number>();
+  readonly #memberStartedAtMs = new Map<string, number>();
   readonly #members: BucketMembers;
-  #counted = 1;
-  #countedAtMs = -Infinity;
+  #cachedCount = 1;
+  #cachedCountAtMs = -Infinity;
 
   private constructor(options: SharedBucketsOptions) {
     this.#options = options;
@@ -79,24 +79,24 @@
       get count() {
         return count();
       },
-      heardAtMs: this.#heardAtMs,
+      lastHeardAtMs: this.#lastHeardAtMs,
     };
   }
 
   /**
-   * @param options Clock and processes.
-   * @returns No buckets.
+   * @param options Clock, randomness and processes.
+   * @returns An empty set of buckets.
    */
   static create(options: SharedBucketsOptions): SharedBuckets {
     return new SharedBuckets(options);
   }
 
-  /** When this process started, since 1970. */
+  /** When this process started, in ms since 1970. */
   get startedAtMs(): number {
     return this.#startedAtMs;
   }
 
-  /** @param limits Limits in force from now on, by name; other names have none. */
+  /** @param limits The new limits by name; buckets of other names are removed. */
   setLimits(limits: ReadonlyMap<string, RateLimit>): void {
     const nowMs = this.#options.clock.nowMs();
     for (const name of this.#tracked.keys()) {
@@ -110,9 +110,9 @@
   }
 
   /**
-   * @param name Whose bucket; one without a limit admits all.
-   * @param count What the request takes.
-   * @returns Whether it may go on; it has then taken it.
+   * @param name Name of the bucket; a name without a limit admits all requests.
+   * @param count Tokens that the request needs.
+   * @returns Whether the request is admitted; the tokens have then been taken.
    */
   tryTake(name: string, count: number): BucketVerdict {
     const tracked = this.#tracked.get(name);
@@ -120,47 +120,47 @@
     const { clock, random } = this.#options;
     const nowMs = clock.nowMs();
     if (tracked.bucket.tryTake(count, nowMs)) {
-      tracked.tellingsLeft = TELLINGS;
+      tracked.sendsLeft = SENDS_PER_CHANGE;
       return { kind: "admitted" };
     }
     tracked.refused++;
-    const roomInMs = tracked.bucket.book(count, nowMs);
-    const retryAfterMs = roomInMs + RETRY_SPREAD_MS * random();
+    const availableInMs = tracked.bucket.reserveRetry(count, nowMs);
+    const retryAfterMs = availableInMs + RETRY_JITTER_MS * random();
     return { kind: "refused", retryAfterMs };
   }
 
   /**
-   * @param name Whose bucket.
-   * @param count What is taken, whatever is left; negative: what is given back.
+   * @param name Name of the bucket.
+   * @param count Tokens to take regardless of the level; a negative count returns tokens.
    */
   take(name: string, count: number): void {
     const tracked = this.#tracked.get(name);
     if (!tracked) return;
     tracked.bucket.take(count, this.#options.clock.nowMs());
-    tracked.tellingsLeft = TELLINGS;
+    tracked.sendsLeft = SENDS_PER_CHANGE;
   }
 
-  /** Whether something was taken that others were not told often enough. */
+  /** Whether a change was sent fewer than {@link SENDS_PER_CHANGE} times. */
   get hasNews(): boolean {
-    for (const { tellingsLeft } of this.#tracked.values()) {
-      if (tellingsLeft > 0) return true;
+    for (const { sendsLeft } of this.#tracked.values()) {
+      if (sendsLeft > 0) return true;
     }
     return false;
   }
 
-  /** @returns What is told next: news, and some of what was told before, for those that are new. */
+  /** @returns Rows of the next report: changes, and some unchanged buckets for new processes. */
   takeRows(): BucketRow[] {
     const nowMs = this.#options.clock.nowMs();
     const rows: BucketRow[] = [];
-    let retold = 0;
+    let unchangedCount = 0;
     for (const [name, tracked] of [...this.#tracked]) {
-      if (rows.length === MAX_ROWS) break;
-      const { bucket, tellingsLeft } = tracked;
-      if (tellingsLeft === 0 && retold++ >= MAX_RETOLD) continue;
+      if (rows.length === MAX_ROWS_PER_DATAGRAM) break;
+      const { bucket, sendsLeft } = tracked;
+      if (sendsLeft === 0 && unchangedCount++ >= MAX_UNCHANGED_ROWS) continue;
       rows.push([name, bucket.total, Math.round(bucket.level(nowMs))]);
-      bucket.told();
-      tracked.tellingsLeft = Math.max(0, tellingsLeft - 1);
-      // Those that are left out come first next time.
+      bucket.markReported();
+      tracked.sendsLeft = Math.max(0, sendsLeft - 1);
+      // Moves the bucket to the end, so that buckets left out come first in the next report.
       this.#tracked.delete(name);
       this.#tracked.set(name, tracked);
     }
@@ -169,27 +169,30 @@
 
   /**
    * @param address Another process.
-   * @param news What it tells.
+   * @param report Its report; ignored if it is from before a restart of that process.
    */
-  hear(address: string, { startedAtMs, rows }: BucketNews): void {
+  hear(address: string, { startedAtMs, rows }: MemberReport): void {
     const nowMs = this.#options.clock.nowMs();
-    const before = this.#startsAtMs.get(address);
-    if (before !== undefined && startedAtMs < before) return;
-    const isReborn = before !== undefined && startedAtMs > before;
-    const isOlder = startedAtMs + OLDER_BY_MS < this.#startedAtMs;
-    this.#startsAtMs.set(address, startedAtMs);
-    this.#heardAtMs.set(address, nowMs);
-    const told = new Map(
+    const previousStartedAtMs = this.#memberStartedAtMs.get(address);
+    if (
+      previousStartedAtMs !== undefined && startedAtMs < previousStartedAtMs
+    ) return;
+    const hasRestarted = previousStartedAtMs !== undefined &&
+      startedAtMs > previousStartedAtMs;
+    const isOlder = startedAtMs + OLDER_MARGIN_MS < this.#startedAtMs;
+    this.#memberStartedAtMs.set(address, startedAtMs);
+    this.#lastHeardAtMs.set(address, nowMs);
+    const reports = new Map(
       rows.map(([name, total, level]) => [name, { total, level }]),
     );
     for (const [name, { bucket }] of this.#tracked) {
-      if (isReborn) bucket.reborn(address);
-      bucket.hear(address, told.get(name), { nowMs, isOlder });
+      if (hasRestarted) bucket.resetMember(address);
+      bucket.applyReport(address, reports.get(name), { nowMs, isOlder });
     }
-    this.#forgetSilent(nowMs);
+    this.#forgetSilentMembers(nowMs);
   }
 
-  /** @returns The state of each bucket, for dumps. */
+  /** @returns The state of each bucket, for state dumps. */
   state(): BucketState[] {
     const nowMs = this.#options.clock.nowMs();
     return [...this.#tracked].map(([name, { bucket, refused }]) => ({
@@ -204,23 +207,23 @@
   #memberCount(): number {
     const { clock, memberCount } = this.#options;
     const nowMs = clock.nowMs();
-    if (nowMs - this.#countedAtMs >= COUNT_MS) {
-      this.#countedAtMs = nowMs;
-      this.#counted = memberCount();
+    if (nowMs - this.#cachedCountAtMs >= MEMBER_COUNT_TTL_MS) {
+      this.#cachedCountAtMs = nowMs;
+      this.#cachedCount = memberCount();
     }
-    return this.#counted;
+    return this.#cachedCount;
   }
 
   #track(name: string, limit: RateLimit, nowMs: number): void {
     const members = this.#members;
     const bucket = SharedBucket.create({ limit, members, nowMs });
-    this.#tracked.set(name, { bucket, tellingsLeft: 0, refused: 0 });
+    this.#tracked.set(name, { bucket, sendsLeft: 0, refused: 0 });
   }
 
-  #forgetSilent(nowMs: number): void {
-    for (const [address, heardAtMs] of this.#heardAtMs) {
-      if (nowMs - heardAtMs <= FORGET_MS) continue;
-      this.#heardAtMs.delete(address);
+  #forgetSilentMembers(nowMs: number): void {
+    for (const [address, heardAtMs] of this.#lastHeardAtMs) {
+      if (nowMs - heardAtMs <= SILENT_MEMBER_TTL_MS) continue;
+      this.#lastHeardAtMs.delete(address);
       for (const { bucket } of this.#tracked.values()) bucket.forget(address);
     }
   }
--- a/src/limits/team_limiter.ts
+++ b/src/limits/team_limiter.ts
@@ -1,41 +1,41 @@
 /**
- * A team's limits at one entry. Decides at once from the share at hand; shares come from the team's
- * coordinator between requests, never with them.
+ * Enforces team limits at one entry. Each decision uses the share that the entry holds, without a
+ * network call; the team's coordinator sends new shares in the background.
  */
 import type { Clock } from "../base/mod.ts";
 import type { TeamDemand, TeamShare } from "../wire/gen/cicadahitch.ts";
 import { floorShare, type Limits } from "./_division.ts";
-import { TeamUse, type TeamUseState } from "./_team_use.ts";
+import { TeamUsage, type TeamUsageState } from "./_team_use.ts";
 
-/** Part of the floor from which an entry asks for a share. */
-const NEAR_FLOOR = 0.75;
-/** A refusal brings the next report forward, but not closer than this to the last one. */
+/** An entry requests a share once it uses this part of its floor. */
+const FLOOR_REPORT_SHARE = 0.75;
+/** Minimum time between two reports when a refusal brings the next one forward. */
 const MIN_REPORT_GAP_MS = 1000;
 
 /** Settings of a {@link TeamLimiter}. */
 export interface TeamLimiterOptions {
   clock: Clock;
-  /** 0 to 1. */
+  /** Returns a number from 0 to 1. */
   random: () => number;
-  /** Limits in force; undefined for an unknown team. */
+  /** Current limits; undefined for an unknown team. */
   limitsOf: (team: string) => Limits | undefined;
-  /** Entries known to live, this one included. */
+  /** Entries known to be running, including this one. */
   entryCount: () => number;
 }
 
-/** Whether a request may go on. */
+/** Whether a request is admitted. */
 export type AdmitVerdict =
   | { kind: "admitted"; admission: Admission }
-  /** Not run; the caller may come back then. */
+  /** The request was not run; the caller may retry after this time. */
   | { kind: "refused"; retryAfterMs: number; reason: RefusalReason };
 
 /** Which limit was reached. */
 export type RefusalReason = "in_flight" | "tokens" | "unknown_team";
 
-/** A request that was admitted; end it with exactly one `settle`, whatever became of it. */
+/** An admitted request. Call `settle` once when it ends, whether it succeeded or failed. */
 export interface Admission {
   /**
-   * @param tokensUsed Tokens that the request took in the end.
+   * @param tokensUsed Tokens that the request consumed.
    */
   settle(tokensUsed: number): void;
 }
@@ -43,7 +43,7 @@
 /** Admits requests of all teams at one entry. */
 export class TeamLimiter {
   readonly #options: TeamLimiterOptions;
-  readonly #uses = new Map<string, TeamUse>();
+  readonly #usages = new Map<string, TeamUsage>();
 
   private constructor(options: TeamLimiterOptions) {
     this.#options = options;
@@ -51,7 +51,7 @@
 
   /**
    * @param options Clock, limits and entries.
-   * @returns A limiter that nobody uses.
+   * @returns A limiter without any requests.
    */
   static create(options: TeamLimiterOptions): TeamLimiter {
     return new TeamLimiter(options);
@@ -59,88 +59,89 @@
 
   /**
    * @param team The team.
-   * @param tokensExpected Tokens of prompt and answer, as far as can be told.
-   * @returns The admission, or when to come back.
+   * @param tokensExpected Estimated tokens of prompt and answer.
+   * @returns The admission, or the time to wait before a retry.
    */
   tryAdmit(team: string, tokensExpected: number): AdmitVerdict {
     const limits = this.#options.limitsOf(team);
     if (!limits) {
       return { kind: "refused", retryAfterMs: 0, reason: "unknown_team" };
     }
-    const use = this.#useOf(team, limits);
-    const reason = use.shortOf(tokensExpected);
+    const usage = this.#usageOf(team, limits);
+    const reason = usage.exceededLimit(tokensExpected);
     if (reason) {
-      const retryAfterMs = use.refuse(reason, tokensExpected);
+      const retryAfterMs = usage.refuse(reason, tokensExpected);
       return { kind: "refused", retryAfterMs, reason };
     }
-    use.admit(tokensExpected);
-    const admission = this.#admissionOf(use, tokensExpected);
+    usage.admit(tokensExpected);
+    const admission = this.#createAdmission(usage, tokensExpected);
     return { kind: "admitted", admission };
   }
 
   /**
-   * What is to be reported now. Teams that stay below their floor cost no message.
+   * Collects the demands that are due. Teams well below their floor report nothing.
    *
-   * @returns Demands of the teams that are due.
+   * @returns One demand for each team whose report is due.
    */
   dueDemands(): TeamDemand[] {
     const nowMs = this.#options.clock.nowMs();
     const due: TeamDemand[] = [];
-    for (const [team, use] of this.#uses) {
-      if (this.#limitsGone(team) || use.isForgettable()) {
-        this.#uses.delete(team);
+    for (const [team, usage] of this.#usages) {
+      if (this.#hasNoLimits(team) || usage.isIdle()) {
+        this.#usages.delete(team);
         continue;
       }
-      const needsShare = use.hasShare || use.nearFloor(NEAR_FLOOR);
-      if (!needsShare || nowMs < use.reportDueMs(MIN_REPORT_GAP_MS)) continue;
-      due.push(use.report(team));
+      const needsShare = usage.hasShare ||
+        usage.isNearFloor(FLOOR_REPORT_SHARE);
+      if (!needsShare || nowMs < usage.reportDueMs(MIN_REPORT_GAP_MS)) continue;
+      due.push(usage.report(team));
     }
     return due;
   }
 
   /**
-   * Takes a share into force.
+   * Applies a new share.
    *
    * @param share The coordinator's answer.
-   * @param sentAtMs When the demand was sent; the share's time counts from there.
+   * @param sentAtMs When the demand was sent; the lifetime of the share starts then.
    */
-  takeShare(share: TeamShare, sentAtMs: number): void {
-    this.#uses.get(share.team)?.takeShare(share, sentAtMs);
+  applyShare(share: TeamShare, sentAtMs: number): void {
+    this.#usages.get(share.team)?.applyShare(share, sentAtMs);
   }
 
   /**
-   * Makes a report that got no answer due again soon.
+   * Schedules another report after one that got no answer.
    *
    * @param team The team.
-   * @param afterMs When.
+   * @param afterMs Mean delay before the next report, which jitter varies.
    */
   reportFailed(team: string, afterMs: number): void {
-    this.#uses.get(team)?.reportAgainIn(afterMs);
+    this.#usages.get(team)?.scheduleReport(afterMs);
   }
 
-  /** @returns The state of each team in use, for dumps. */
-  state(): TeamUseState[] {
-    return [...this.#uses].map(([team, use]) => use.state(team));
+  /** @returns The state of each team with recent use, for state dumps. */
+  state(): TeamUsageState[] {
+    return [...this.#usages].map(([team, usage]) => usage.state(team));
   }
 
-  #limitsGone(team: string): boolean {
+  #hasNoLimits(team: string): boolean {
     return this.#options.limitsOf(team) === undefined;
   }
 
-  #useOf(team: string, limits: Limits): TeamUse {
+  #usageOf(team: string, limits: Limits): TeamUsage {
     const { clock, random, entryCount } = this.#options;
     const floor = floorShare(limits, entryCount());
-    const known = this.#uses.get(team);
+    const known = this.#usages.get(team);
     if (known) {
       known.setLimits(limits, floor);
       return known;
     }
-    const use = TeamUse.create({ clock, random, limits, floor });
-    this.#uses.set(team, use);
-    return use;
+    const usage = TeamUsage.create({ clock, random, limits, floor });
+    this.#usages.set(team, usage);
+    return usage;
   }
 
-  #admissionOf(use: TeamUse, tokensExpected: number): Admission {
+  #createAdmission(usage: TeamUsage, tokensExpected: number): Admission {
     const { clock } = this.#options;
     const admittedMs = clock.nowMs();
     let isOpen = true;
@@ -149,7 +150,7 @@
         if (!isOpen) return;
         isOpen = false;
         const durationMs = clock.nowMs() - admittedMs;
-        use.settle({ tokensExpected, tokensUsed, durationMs });
+        usage.settle({ tokensExpected, tokensUsed, durationMs });
       },
     };
   }
