--- a/src/platform/decode.ts
+++ b/src/platform/decode.ts
@@ -1,4 +1,4 @@
-/** Decodes what lies in the platform's store into the router's types. */
+/** Decodes keys and values of the platform's store into the router's types. */
 import { Result } from "true-myth";
 import {
   type BackendServer,
@@ -18,14 +18,14 @@
 import { readServer } from "./decode_server.ts";
 import { CONFIG_KEY, SERVERS_PREFIX, WEIGHTS_PREFIX } from "./names.ts";
 import {
-  amount,
   asObject,
-  type Json,
+  type JsonObject,
   list,
   nonEmptyText,
+  nonNegativeNumber,
   number,
-  optionalAmount,
   optionalList,
+  optionalNonNegativeNumber,
   optionalNumber,
   parseObject,
   ShapeError,
@@ -33,38 +33,40 @@
   wholeNumber,
 } from "./shape.ts";
 
-/** What one key of the store tells. */
-export type StoreFact =
+/** Decoded content of one key of the store. */
+export type DecodedValue =
   | { kind: "config"; config: RoutingConfig }
   | { kind: "server"; server: BackendServer }
   | { kind: "weights"; wanted: WantedWeights }
-  /** A key that the router doesn't read, its own ones included. */
+  /** A key that is not decoded here, such as the router's own keys. */
   | { kind: "other" };
 
-/** What a deleted key told. */
-export type RemovedFact =
+/** What a deleted key stood for. */
+export type DecodedDeletion =
   | { kind: "server"; serverId: string }
   | { kind: "other" };
 
-/** A value that doesn't have the published form. */
+/** A value that doesn't match the platform's published format. */
 export interface MalformedValue {
   kind: "malformed";
   key: string;
-  /** What is wrong, without the value itself. */
+  /** Describes the error without quoting the value, which may hold API keys. */
   reason: string;
 }
 
 /**
- * @param key The store's key.
- * @param value Its value.
- * @returns What it tells, or what is wrong with it.
+ * Decodes the value of a key.
+ *
+ * @param key The key in the store.
+ * @param value The stored value.
+ * @returns The decoded value, or why it could not be decoded.
  */
 export function decodeFact(
   key: string,
   value: Uint8Array,
-): Result<StoreFact, MalformedValue> {
+): Result<DecodedValue, MalformedValue> {
   try {
-    return Result.ok(readFact(key, value));
+    return Result.ok(readValue(key, value));
   } catch (error) {
     const reason = error instanceof Error ? error.message : "Unreadable";
     return Result.err({ kind: "malformed", key, reason });
@@ -72,22 +74,24 @@
 }
 
 /**
- * @param key A key that was deleted.
- * @returns What it told.
+ * Decodes the deletion of a key.
+ *
+ * @param key The deleted key.
+ * @returns Which server it registered, if it was a registration.
  */
-export function decodeRemoval(key: string): RemovedFact {
+export function decodeRemoval(key: string): DecodedDeletion {
   if (!key.startsWith(SERVERS_PREFIX)) return { kind: "other" };
   return { kind: "server", serverId: key.slice(SERVERS_PREFIX.length) };
 }
 
-function readFact(key: string, value: Uint8Array): StoreFact {
+function readValue(key: string, value: Uint8Array): DecodedValue {
   if (key === CONFIG_KEY) return { kind: "config", config: readConfig(value) };
   if (key.startsWith(WEIGHTS_PREFIX)) {
-    return { kind: "weights", wanted: readWanted(value) };
+    return { kind: "weights", wanted: readWantedWeights(value) };
   }
   if (!key.startsWith(SERVERS_PREFIX)) return { kind: "other" };
-  const id = key.slice(SERVERS_PREFIX.length);
-  return { kind: "server", server: readServer(id, value) };
+  const serverId = key.slice(SERVERS_PREFIX.length);
+  return { kind: "server", server: readServer(serverId, value) };
 }
 
 function readConfig(value: Uint8Array): RoutingConfig {
@@ -119,8 +123,8 @@
   };
 }
 
-/** A route names either one service or a split over several. */
-function readShares(route: Json): ServiceShare[] {
+/** A route has either a single service or a traffic split over several. */
+function readShares(route: JsonObject): ServiceShare[] {
   const split = optionalList(route, "traffic_split");
   if (split.length === 0) {
     return [{ service: text(route, "service"), weight: 1 }];
@@ -140,7 +144,7 @@
     case "streaming":
       return RequestKind.stream;
     default:
-      throw new ShapeError(`Kind of a route: ${kind}`);
+      throw new ShapeError(`Unknown kind of route: ${kind}`);
   }
 }
 
@@ -155,7 +159,7 @@
   };
 }
 
-function readCacheStore(service: Json): CacheStore | undefined {
+function readCacheStore(service: JsonObject): CacheStore | undefined {
   if (service["kv_store_addr"] === undefined) return undefined;
   return {
     address: text(service, "kv_store_addr"),
@@ -175,16 +179,16 @@
   };
 }
 
-function readLimits(limits: Json): ClientLimits {
+function readLimits(limits: JsonObject): ClientLimits {
   return {
-    headerBytes: amount(limits, "max_header_bytes"),
-    bodyBytes: amount(limits, "max_body_bytes"),
-    headerTimeoutMs: amount(limits, "header_timeout_ms"),
-    idleTimeoutMs: amount(limits, "idle_timeout_ms"),
+    headerBytes: nonNegativeNumber(limits, "max_header_bytes"),
+    bodyBytes: nonNegativeNumber(limits, "max_body_bytes"),
+    headerTimeoutMs: nonNegativeNumber(limits, "header_timeout_ms"),
+    idleTimeoutMs: nonNegativeNumber(limits, "idle_timeout_ms"),
   };
 }
 
-/** The platform's tenant is our workspace. */
+/** The platform calls a workspace a tenant. */
 function readWorkspace(value: unknown): Workspace {
   const tenant = asObject(value, "tenants");
   return {
@@ -196,25 +200,25 @@
   };
 }
 
-/** A rate of 0, or none, is no limit. */
-function readQuota(tenant: Json): WorkspaceQuota | undefined {
-  const perSecond = optionalAmount(tenant, "rate_per_s") ?? 0;
+/** A missing rate, or a rate of 0, means no limit. */
+function readQuota(tenant: JsonObject): WorkspaceQuota | undefined {
+  const perSecond = optionalNonNegativeNumber(tenant, "rate_per_s") ?? 0;
   if (perSecond === 0) return undefined;
   return {
     unit: tenant["unit"] === "token_count"
       ? QuotaUnit.tokens
       : QuotaUnit.requests,
     perSecond,
-    burst: optionalAmount(tenant, "burst") ?? perSecond,
-    plainTokens: optionalAmount(tenant, "plain_tokens") ?? 1,
+    burst: optionalNonNegativeNumber(tenant, "burst") ?? perSecond,
+    plainTokens: optionalNonNegativeNumber(tenant, "plain_tokens") ?? 1,
   };
 }
 
-/** `version` here counts weights; the configuration's own `version` is another count. */
-function readWanted(value: Uint8Array): WantedWeights {
-  const wanted = parseObject(value);
+/** `version` is the version of the weights, not that of the configuration. */
+function readWantedWeights(value: Uint8Array): WantedWeights {
+  const weights = parseObject(value);
   return {
-    model: nonEmptyText(wanted, "model"),
-    version: wholeNumber(wanted, "version"),
+    model: nonEmptyText(weights, "model"),
+    version: wholeNumber(weights, "version"),
   };
 }
--- a/src/platform/decode_server.ts
+++ b/src/platform/decode_server.ts
@@ -1,8 +1,8 @@
-/** Decodes what a backend server says of itself: its registration and its report. */
+/** Decodes the registrations and load reports of backend servers. */
 import type { BackendServer, ServerReport } from "../router/model.ts";
 import {
   asObject,
-  type Json,
+  type JsonObject,
   nonEmptyText,
   number,
   optionalList,
@@ -14,42 +14,44 @@
   wholeNumber,
 } from "./shape.ts";
 
-/** Ids are sent in a header: visible ASCII alone. */
-const ID_PATTERN = /^[\x21-\x7e]+$/;
+/** Server ids are sent in a header, so only visible ASCII characters are allowed. */
+const VISIBLE_ASCII = /^[\x21-\x7e]+$/;
 
 /**
- * Reads a registration. Others than the servers may write some, so that all fields are checked,
- * also those that nothing here uses: a value that is wrong in one field is no server's.
+ * Decodes a registration. Other writers than the backend servers may write one, so all fields are
+ * checked, including unused ones: a value with any invalid field is not a server's registration.
  *
  * @param id The server's id.
- * @param value The registration as stored.
+ * @param value The stored registration.
  * @returns The server.
+ * @throws {ShapeError} If the id or a field is invalid.
  */
 export function readServer(id: string, value: Uint8Array): BackendServer {
-  if (!ID_PATTERN.test(id)) throw new ShapeError("No id");
-  const entry = parseObject(value);
-  checkUnusedFields(entry);
+  if (!VISIBLE_ASCII.test(id)) throw new ShapeError("Invalid server id");
+  const registration = parseObject(value);
+  checkUnusedFields(registration);
   return {
     id,
-    bornAtMs: readStart(entry),
-    service: nonEmptyText(entry, "service"),
-    address: socketAddress(entry, "address"),
-    zone: nonEmptyText(entry, "zone"),
-    draining: readDraining(entry),
-    slots: readSlots(entry),
-    weights: readWeights(entry),
+    bornAtMs: readStartTime(registration),
+    service: nonEmptyText(registration, "service"),
+    address: socketAddress(registration, "address"),
+    zone: nonEmptyText(registration, "zone"),
+    draining: readDraining(registration),
+    slots: readSlots(registration),
+    weights: readWeights(registration),
   };
 }
 
 /**
- * Reads a report.
+ * Decodes a load report.
  *
- * @param body The report as sent.
- * @returns The server's account of its load.
+ * @param body The report as sent by the server.
+ * @returns The reported load and weights.
+ * @throws {ShapeError} If a field is invalid.
  */
-export function readReport(body: Json): ServerReport {
+export function readReport(body: JsonObject): ServerReport {
   return {
-    bornAtMs: readStart(body),
+    bornAtMs: readStartTime(body),
     weights: readWeights(body),
     busy: body["busy"] === true,
     orderSequence: wholeNumber(body, "sequence"),
@@ -58,43 +60,43 @@
   };
 }
 
-/** A server that doesn't say when it started may have started at any time. */
-function readStart(said: Json): number | undefined {
-  return optionalWholeNumber(said, "born");
+/** Start time of the server; undefined if the server doesn't report it. */
+function readStartTime(source: JsonObject): number | undefined {
+  return optionalWholeNumber(source, "born");
 }
 
-function readDraining(entry: Json): boolean {
-  const state = text(entry, "state");
+function readDraining(registration: JsonObject): boolean {
+  const state = text(registration, "state");
   switch (state) {
     case "ready":
       return false;
     case "draining":
       return true;
     default:
-      throw new ShapeError("Unknown state");
+      throw new ShapeError("Unknown state of a server");
   }
 }
 
-function readSlots(entry: Json): number {
-  const slots = wholeNumber(entry, "slots");
-  if (slots === 0) throw new ShapeError("No slots");
+function readSlots(registration: JsonObject): number {
+  const slots = wholeNumber(registration, "slots");
+  if (slots === 0) throw new ShapeError("Server has 0 slots");
   return slots;
 }
 
-/** Version of the weights by model; a plain server has none. */
-function readWeights(said: Json): ReadonlyMap<string, number> {
+/** Versions of the loaded weights by model; empty for a server without models. */
+function readWeights(source: JsonObject): ReadonlyMap<string, number> {
   const weights = new Map<string, number>();
-  for (const row of optionalList(said, "models")) {
-    const model = asObject(row, "models");
+  for (const item of optionalList(source, "models")) {
+    const model = asObject(item, "models");
     optionalList(model, "adapters");
     weights.set(nonEmptyText(model, "name"), wholeNumber(model, "version"));
   }
   return weights;
 }
 
-function checkUnusedFields(entry: Json): void {
-  optionalWholeNumber(entry, "sequence");
-  if (entry["version"] !== undefined) text(entry, "version");
-  if (entry["cold_left_ms"] !== undefined) number(entry, "cold_left_ms");
-  if (entry["stage"] !== undefined) text(entry, "stage");
+function checkUnusedFields(fields: JsonObject): void {
+  optionalWholeNumber(fields, "sequence");
+  if (fields["version"] !== undefined) text(fields, "version");
+  if (fields["cold_left_ms"] !== undefined) number(fields, "cold_left_ms");
+  if (fields["stage"] !== undefined) text(fields, "stage");
 }
--- a/src/platform/decode_test.ts
+++ b/src/platform/decode_test.ts
@@ -10,9 +10,9 @@
   return Buffer.from(JSON.stringify(value));
 }
 
-test("route with a split has all its services, one without has its own", () => {
+test("route has the services of its traffic split, or its single service", () => {
   const base = { name: "r", host: "A.example", prefix: "/", timeout_ms: 1 };
-  const fact = decodeFact(
+  const decoded = decodeFact(
     "op/config",
     bytes({
       version: 3,
@@ -33,8 +33,8 @@
       },
     }),
   );
-  assert.ok(fact.isOk && fact.value.kind === "config");
-  const { routes, workspaces } = fact.value.config;
+  assert.ok(decoded.isOk && decoded.value.kind === "config");
+  const { routes, workspaces } = decoded.value.config;
   assert.deepEqual(routes.map(({ shares }) => shares), [
     [{ service: "one", weight: 1 }],
     [{ service: "a", weight: 9 }],
@@ -44,7 +44,7 @@
 });
 
 function quotaOf(fields: object) {
-  const fact = decodeFact(
+  const decoded = decodeFact(
     "op/config",
     bytes({
       version: 1,
@@ -59,10 +59,10 @@
       tenants: [{ name: "w", api_keys: [], ...fields }],
     }),
   );
-  if (fact.isErr) return fact.error.reason;
-  assert.equal(fact.value.kind, "config");
-  return fact.value.kind === "config"
-    ? fact.value.config.workspaces[0]?.quota
+  if (decoded.isErr) return decoded.error.reason;
+  assert.equal(decoded.value.kind, "config");
+  return decoded.value.kind === "config"
+    ? decoded.value.config.workspaces[0]?.quota
     : undefined;
 }
 
@@ -71,7 +71,7 @@
   assert.equal(quotaOf({ rate_per_s: 0, burst: 5 }), undefined);
 });
 
-test("workspace's limit is counted in tokens or in requests", () => {
+test("workspace's quota is counted in tokens or in requests", () => {
   const rates = { rate_per_s: 5, burst: 7 };
   assert.deepEqual(
     quotaOf({ ...rates, unit: "token_count", plain_tokens: 200 }),
@@ -85,22 +85,22 @@
   });
 });
 
-test("limit of another form is named", () => {
-  assert.equal(quotaOf({ rate_per_s: "9" }), "No number: rate_per_s");
-  assert.equal(quotaOf({ rate_per_s: 9, burst: -1 }), "Below 0: burst");
+test("quota with an invalid field is refused with the field's name", () => {
+  assert.equal(quotaOf({ rate_per_s: "9" }), "Not a number: rate_per_s");
+  assert.equal(quotaOf({ rate_per_s: 9, burst: -1 }), "Negative number: burst");
 });
 
-test("value of another form is told with its key", () => {
+test("error for an invalid value has its key", () => {
   for (const key of ["op/config", "op/version/m", "servers/i-1"]) {
     for (const value of ["", "[]", "{}", "null", '{"version":"x"}']) {
-      const fact = decodeFact(key, Buffer.from(value));
-      assert.ok(fact.isErr, `${key}: ${value}`);
-      assert.equal(fact.error.key, key);
+      const decoded = decodeFact(key, Buffer.from(value));
+      assert.ok(decoded.isErr, `${key}: ${value}`);
+      assert.equal(decoded.error.key, key);
     }
   }
 });
 
-test("any bytes give a fact or a typed error", () => {
+test("any bytes are decoded or give a typed error", () => {
   const keys = fc.oneof(
     fc.constantFrom("op/config", "servers/i", "op/version/m", "x"),
     fc.string({ unit: "binary" }).map((id) => `servers/${id}`),
@@ -111,14 +111,14 @@
   );
   fc.assert(
     fc.property(keys, values, (key, value) => {
-      const fact = decodeFact(key, value);
-      return fact.isOk || fact.error.kind === "malformed";
+      const decoded = decodeFact(key, value);
+      return decoded.isOk || decoded.error.kind === "malformed";
     }),
     { seed: SEED, numRuns: 1000 },
   );
 });
 
-test("registration with any field of any kind gives a callable server or none", () => {
+test("registration with arbitrary field values gives a valid server or an error", () => {
   const fields = fc.dictionary(
     fc.constantFrom(...Object.keys({ ...REGISTRATION, ...ENGINE, born: 0 })),
     fc.jsonValue(),
@@ -127,10 +127,10 @@
   fc.assert(
     fc.property(fields, (others) => {
       const value = bytes({ ...REGISTRATION, ...ENGINE, ...others });
-      const fact = decodeFact("servers/i-1", value);
-      if (fact.isErr) return;
-      assert.ok(fact.value.kind === "server");
-      const { service, address, zone, slots } = fact.value.server;
+      const decoded = decodeFact("servers/i-1", value);
+      if (decoded.isErr) return;
+      assert.ok(decoded.value.kind === "server");
+      const { service, address, zone, slots } = decoded.value.server;
       assert.ok(service && zone && Number.isInteger(slots) && slots > 0);
       assert.equal(new URL(`http://${address}`).hostname, "10.128.0.9");
     }),
@@ -138,7 +138,7 @@
   );
 });
 
-/** A plain server's registration, as the platform's pages show it. */
+/** Registration of a plain server, as in the platform's documentation. */
 const REGISTRATION = {
   service: "plain",
   address: "10.128.0.9:8080",
@@ -150,19 +150,19 @@
   sequence: 4,
 };
 
-/** What an engine's registration says beside. */
+/** Additional fields in the registration of a model engine. */
 const ENGINE = {
   stage: "colocated",
   models: [{ name: "m", version: 1, adapters: [] }],
 };
 
-function isProper(fields: object, id = "i-1"): boolean {
+function isValid(fields: object, id = "i-1"): boolean {
   const value = bytes({ ...REGISTRATION, ...fields });
   return decodeFact(`servers/${id}`, value).isOk;
 }
 
-test("proper registrations name their server", () => {
-  const proper = [
+test("valid registrations are accepted", () => {
+  const valid = [
     {},
     ENGINE,
     { state: "draining" },
@@ -171,24 +171,24 @@
     { version: undefined, cold_left_ms: undefined, sequence: undefined },
     { cold_left_ms: 12.5, a_later_field: {} },
   ];
-  for (const fields of proper) {
-    assert.ok(isProper(fields), JSON.stringify(fields));
+  for (const fields of valid) {
+    assert.ok(isValid(fields), JSON.stringify(fields));
   }
 });
 
 /*
- * Others than the servers write registrations, too. One in a state that the router doesn't know was
- * taken for a ready server's, and one whose address is no address was called.
+ * Other writers than the servers may write registrations. Guards against treating a registration
+ * with an unknown state as a ready server, and against connecting to an invalid address.
  */
-test("registration with a field missing or of another type names no server", () => {
+test("registration with a missing or invalid field is refused", () => {
   for (const name of ["service", "address", "zone", "slots", "state"]) {
-    assert.ok(!isProper({ [name]: undefined }), `No ${name}`);
+    assert.ok(!isValid({ [name]: undefined }), `No ${name}`);
     for (const value of [null, "", {}, [], true, -1, "x"]) {
       const isName = value === "x" && (name === "service" || name === "zone");
-      if (!isName) assert.ok(!isProper({ [name]: value }), `${name} ${value}`);
+      if (!isName) assert.ok(!isValid({ [name]: value }), `${name} ${value}`);
     }
   }
-  const others = [
+  const invalid = [
     { state: "starting" },
     { slots: 0 },
     { slots: 1.5 },
@@ -208,12 +208,12 @@
     { models: [{ name: "m", version: 1.5 }] },
     { models: [{ name: 1, version: 1 }] },
   ];
-  for (const fields of others) {
-    assert.ok(!isProper(fields), JSON.stringify(fields));
+  for (const fields of invalid) {
+    assert.ok(!isValid(fields), JSON.stringify(fields));
   }
 });
 
-test("address that can't be called names no server", () => {
+test("registration with an invalid address is refused", () => {
   const addresses = [
     "10.0.0.1",
     "10.0.0.1:",
@@ -230,39 +230,39 @@
     "[::1]:80",
   ];
   for (const address of addresses) {
-    assert.ok(!isProper({ address }), address);
+    assert.ok(!isValid({ address }), address);
   }
 });
 
-test("id that can't stand in a header names no server", () => {
+test("registration with an id that is not allowed in a header is refused", () => {
   for (const id of ["", "a b", "a\nb", "a\r\nx: 1", "é", "\0"]) {
-    assert.ok(!isProper({}, id), JSON.stringify(id));
+    assert.ok(!isValid({}, id), JSON.stringify(id));
   }
 });
 
-test("start of a server is read, and unknown where none is given", () => {
+test("start time of a server is read, and is undefined if missing", () => {
   for (const born of [1_764_000_000_000, 0, undefined]) {
     const value = bytes({ ...REGISTRATION, born });
-    const fact = decodeFact("servers/i-1", value);
-    assert.ok(fact.isOk && fact.value.kind === "server");
-    assert.equal(fact.value.server.bornAtMs, born);
+    const decoded = decodeFact("servers/i-1", value);
+    assert.ok(decoded.isOk && decoded.value.kind === "server");
+    assert.equal(decoded.value.server.bornAtMs, born);
   }
 });
 
-test("named weights have a whole number as their version", () => {
+test("version of wanted weights must be a non-negative integer", () => {
   for (const version of ["2", 2.5, -1, null]) {
-    const fact = decodeFact("op/version/m", bytes({ model: "m", version }));
-    assert.ok(fact.isErr, `${version}`);
+    const decoded = decodeFact("op/version/m", bytes({ model: "m", version }));
+    assert.ok(decoded.isErr, `${version}`);
   }
 });
 
-test("reason tells nothing of the value", () => {
-  const fact = decodeFact("op/config", Buffer.from("key-of-w"));
-  assert.ok(fact.isErr);
-  assert.doesNotMatch(fact.error.reason, /key-of/);
+test("reason of a decoding error doesn't quote the value", () => {
+  const decoded = decodeFact("op/config", Buffer.from("key-of-w"));
+  assert.ok(decoded.isErr);
+  assert.doesNotMatch(decoded.error.reason, /key-of/);
 });
 
-test("prompt's parts are read in order", () => {
+test("prompt parts are read in order", () => {
   const facts = readRequest({
     method: "POST",
     url: "/a",
@@ -283,8 +283,8 @@
   ]);
 });
 
-test("client can't set what only the router may set", () => {
-  const forged = [
+test("client's headers that only the router may set are dropped", () => {
+  const reserved = [
     "hold",
     "pin-ms",
     "kv-backup",
@@ -298,7 +298,7 @@
     "request-priority",
     "authorization",
   ];
-  const raw = forged.flatMap((name) => [name.toUpperCase(), "forged"]);
+  const raw = reserved.flatMap((name) => [name.toUpperCase(), "forged"]);
   const facts = { deadlineMs: 10.9, serverId: "i-1" };
   assert.deepEqual(forwardHeaders(raw, facts), [
     "deadline-ms",
@@ -308,13 +308,13 @@
   ]);
 });
 
-test("only a server's own word says that a request did not run", () => {
+test("only an explicit statement of the server means that a request did not run", () => {
   assert.equal(readAnswer(503, {}).notRun, false);
   assert.equal(readAnswer(503, { "not-executed": "1" }).notRun, true);
   assert.equal(readAnswer(421, {}).notRun, true);
 });
 
-test("answer without length or chunks is not framed", () => {
+test("answer without content length or chunked encoding is not framed", () => {
   assert.equal(readAnswer(200, {}).framed, false);
   assert.equal(readAnswer(200, { "content-length": "0" }).framed, true);
   assert.equal(
--- a/src/platform/headers.ts
+++ b/src/platform/headers.ts
@@ -1,4 +1,4 @@
-/** Translates headers: the client's request, the request to a backend server, and its answer. */
+/** Translates headers of client requests, forwarded requests and backend servers' answers. */
 import type { IncomingHttpHeaders } from "node:http";
 import type {
   AnswerFacts,
@@ -9,7 +9,7 @@
 } from "../router/model.ts";
 import { Header, KEY_SCHEME } from "./names.ts";
 
-/** Headers that concern one connection only. */
+/** Hop-by-hop headers, which are not forwarded. */
 const HOP_BY_HOP = new Set([
   "connection",
   "keep-alive",
@@ -23,7 +23,7 @@
   "expect",
 ]);
 
-/** Headers that only the router may set on a request; a client's own are dropped. */
+/** Request headers that only the router may set; they are dropped if a client sends them. */
 const ROUTER_ONLY = new Set<string>([
   Header.deadline,
   Header.workspace,
@@ -40,7 +40,7 @@
   Header.authorization,
 ]);
 
-/** The parts of a client's request that are read here. */
+/** The parts of a client request that {@link readRequest} needs. */
 export interface ClientRequest {
   method?: string;
   url?: string;
@@ -48,108 +48,120 @@
 }
 
 /**
- * @param request A client's request.
- * @returns What it asks for.
+ * Reads the head of a client request.
+ *
+ * @param request A client request.
+ * @returns Its target, deadline, key and prompt.
  */
 export function readRequest(request: ClientRequest): RequestFacts {
   const { headers } = request;
   return {
-    requestId: single(headers, Header.requestId) ?? "",
+    requestId: firstValue(headers, Header.requestId) ?? "",
     host: (headers.host ?? "").replace(/:\d+$/, "").toLowerCase(),
     target: request.url ?? "/",
     method: request.method ?? "GET",
-    deadlineMs: positive(single(headers, Header.deadline)),
-    key: readKey(single(headers, Header.authorization)),
-    lastEventId: single(headers, Header.lastEventId),
+    deadlineMs: parseNonNegative(firstValue(headers, Header.deadline)),
+    key: readKey(firstValue(headers, Header.authorization)),
+    lastEventId: firstValue(headers, Header.lastEventId),
     prompt: readPrompt(headers),
   };
 }
 
 /**
- * @param rawHeaders The client's headers, names and values in turn.
- * @param facts What the router adds.
- * @returns The headers of the request to a server, in the same form; without a body's length.
+ * Builds the headers of a request to a backend server.
+ *
+ * @param rawHeaders The client's headers, alternating names and values.
+ * @param facts Values of the headers that the router adds.
+ * @returns The headers to send, alternating names and values, without `content-length`.
  */
 export function forwardHeaders(
   rawHeaders: readonly string[],
   facts: ForwardFacts,
 ): string[] {
-  const dropped = connectionOptions(rawHeaders);
+  const connectionHeaders = connectionOptions(rawHeaders);
   const headers: string[] = [];
   for (let i = 0; i + 1 < rawHeaders.length; i += 2) {
     const name = rawHeaders[i]!.toLowerCase();
     if (HOP_BY_HOP.has(name) || ROUTER_ONLY.has(name)) continue;
-    if (name === "content-length" || dropped.has(name)) continue;
+    if (name === "content-length" || connectionHeaders.has(name)) continue;
     if (name === Header.lastEventId && facts.lastEventId !== undefined) {
       continue;
     }
     headers.push(rawHeaders[i]!, rawHeaders[i + 1]!);
   }
-  addFacts(headers, facts);
+  addRouterHeaders(headers, facts);
   return headers;
 }
 
 /**
- * @param status The answer's status.
- * @param headers Its headers, names in lower case.
- * @returns What its head says.
+ * Reads the head of a backend server's answer.
+ *
+ * @param status The HTTP status.
+ * @param headers The headers, names in lower case.
+ * @returns The decoded head.
  */
 export function readAnswer(
   status: number,
   headers: IncomingHttpHeaders,
 ): AnswerFacts {
-  const encoding = single(headers, "content-encoding");
+  const encoding = firstValue(headers, "content-encoding");
   return {
     status,
-    // 421 is a promise of its own: another server has the address, or other weights are loaded.
+    // Status 421 also guarantees this: another server has the address or loaded other weights.
     notRun: headers[Header.notRun] !== undefined || status === 421,
-    requestId: single(headers, Header.requestId),
+    requestId: firstValue(headers, Header.requestId),
     signed: headers[Header.signature] !== undefined,
     encoded: encoding !== undefined && encoding !== "identity",
     framed: status === 204 || status === 304 ||
       headers["content-length"] !== undefined ||
-      // Any other coding ends with the connection.
+      // With any other transfer coding, the end of the connection ends the body.
       /(^|,)\s*chunked\s*$/i.test(headers["transfer-encoding"] ?? ""),
-    serverId: single(headers, Header.serverId),
-    weightsVersion: positive(single(headers, Header.weightsVersion)),
-    leaving: single(headers, Header.leaving) === "1",
-    retryAfterMs: inMs(positive(single(headers, Header.retryAfter))),
+    serverId: firstValue(headers, Header.serverId),
+    weightsVersion: parseNonNegative(
+      firstValue(headers, Header.weightsVersion),
+    ),
+    leaving: firstValue(headers, Header.leaving) === "1",
+    retryAfterMs: secondsToMs(
+      parseNonNegative(firstValue(headers, Header.retryAfter)),
+    ),
   };
 }
 
 /**
- * @param headers A server's headers, names in lower case.
- * @returns Those that the client gets, names and values in turn; without the body's length.
+ * Selects the headers of a backend server's answer that are passed on to the client.
+ *
+ * @param headers The server's headers, names in lower case.
+ * @returns The headers to send, alternating names and values, without `content-length`.
  */
 export function answerHeaders(headers: IncomingHttpHeaders): string[] {
   const kept: string[] = [];
   for (const [name, value] of Object.entries(headers)) {
     if (value === undefined || HOP_BY_HOP.has(name)) continue;
     if (name === "content-length") continue;
-    for (const one of Array.isArray(value) ? value : [value]) {
-      kept.push(name, one);
+    for (const item of Array.isArray(value) ? value : [value]) {
+      kept.push(name, item);
     }
   }
   return kept;
 }
 
 /**
- * @param retryAfterMs When the client may come back.
- * @returns The headers that say so.
+ * @param retryAfterMs Time after which the client may retry.
+ * @returns The `retry-after` header, in seconds with decimals.
  */
 export function retryHeaders(retryAfterMs: number): string[] {
   return [Header.retryAfter, (retryAfterMs / 1000).toFixed(3)];
 }
 
 /**
- * @param requestId The client's id of its attempt.
- * @returns The headers that name it in an answer of the router's own.
+ * @param requestId The client's id of its attempt; empty if it sent none.
+ * @returns The header that repeats the id in an answer that the router itself generates.
  */
 export function echoHeaders(requestId: string): string[] {
   return requestId === "" ? [] : [Header.requestId, requestId];
 }
 
-function addFacts(headers: string[], facts: ForwardFacts): void {
+function addRouterHeaders(headers: string[], facts: ForwardFacts): void {
   headers.push(
     Header.deadline,
     String(Math.max(1, Math.floor(facts.deadlineMs))),
@@ -182,7 +194,7 @@
   }
 }
 
-/** Headers that `Connection` names concern this connection only. */
+/** Names of the headers that `Connection` lists as hop-by-hop. */
 function connectionOptions(rawHeaders: readonly string[]): Set<string> {
   const names = new Set<string>();
   for (let i = 0; i + 1 < rawHeaders.length; i += 2) {
@@ -201,25 +213,30 @@
 }
 
 function readPrompt(headers: IncomingHttpHeaders): PromptFacts | undefined {
-  const model = single(headers, Header.model);
+  const model = firstValue(headers, Header.model);
   if (model === undefined) return undefined;
-  // Two counts: tokens of the prompt, and generated tokens at most.
-  const counts = (single(headers, Header.tokenCounts) ?? "").split(",");
-  const parts = readParts(single(headers, Header.promptParts));
-  const promptTokens = positive(counts[0]) ??
+  // Two comma-separated counts: prompt tokens, and the maximum of generated tokens.
+  const counts = (firstValue(headers, Header.tokenCounts) ?? "").split(",");
+  const parts = readParts(firstValue(headers, Header.promptParts));
+  const promptTokens = parseNonNegative(counts[0]) ??
     parts.reduce((sum, part) => sum + part.tokens, 0);
-  return { model, promptTokens, outputTokens: positive(counts[1]) ?? 0, parts };
+  return {
+    model,
+    promptTokens,
+    outputTokens: parseNonNegative(counts[1]) ?? 0,
+    parts,
+  };
 }
 
 function readParts(value: string | undefined): PromptPart[] {
   if (!value) return [];
   return value.split(",").map((item) => {
     const [id = "", tokens] = item.trim().split(":");
-    return { id, tokens: positive(tokens) ?? 0 };
+    return { id, tokens: parseNonNegative(tokens) ?? 0 };
   });
 }
 
-function single(
+function firstValue(
   headers: IncomingHttpHeaders,
   name: string,
 ): string | undefined {
@@ -227,11 +244,11 @@
   return Array.isArray(value) ? value[0] : value;
 }
 
-function inMs(seconds: number | undefined): number | undefined {
+function secondsToMs(seconds: number | undefined): number | undefined {
   return seconds === undefined ? undefined : seconds * 1000;
 }
 
-function positive(value: string | undefined): number | undefined {
+function parseNonNegative(value: string | undefined): number | undefined {
   if (value === undefined || value.trim() === "") return undefined;
   const parsed = Number(value);
   return Number.isFinite(parsed) && parsed >= 0 ? parsed : undefined;
--- a/src/platform/headers_test.ts
+++ b/src/platform/headers_test.ts
@@ -3,7 +3,7 @@
 import { readAnswer } from "./headers.ts";
 import { Header } from "./names.ts";
 
-test("answer tells that its server leaves only by the word for it", () => {
+test("only the value 1 of the header announces that a server is leaving", () => {
   const isLeaving = (value?: string) =>
     readAnswer(200, { [Header.leaving]: value }).leaving;
   assert.equal(isLeaving("1"), true);
@@ -12,11 +12,11 @@
   }
 });
 
-test("pause that a server wants is read in ms, and not at all if malformed", () => {
-  const pauseMs = (value?: string) =>
+test("retry delay is converted to ms, and ignored if malformed", () => {
+  const retryAfterMs = (value?: string) =>
     readAnswer(503, { [Header.retryAfter]: value }).retryAfterMs;
-  assert.equal(pauseMs("2.5"), 2500);
-  assert.equal(pauseMs("0"), 0);
+  assert.equal(retryAfterMs("2.5"), 2500);
+  assert.equal(retryAfterMs("0"), 0);
   const malformed = [
     undefined,
     "",
@@ -25,5 +25,5 @@
     "Infinity",
     "Thu, 03 Dec 2026 08:00:00 GMT",
   ];
-  for (const value of malformed) assert.equal(pauseMs(value), undefined);
+  for (const value of malformed) assert.equal(retryAfterMs(value), undefined);
 });
--- a/src/platform/http_call.ts
+++ b/src/platform/http_call.ts
@@ -1,37 +1,40 @@
-/** One HTTP call with a JSON body, bounded in time, over connections that are kept. */
+/** HTTP calls with JSON bodies and timeouts over pooled connections. */
 import { Result } from "true-myth";
 import { Pool } from "undici";
 
-/** Why a call gave no answer. */
+/** Why a call failed. */
 export type CallFailure =
-  /** No connection could be made; nothing was sent. */
+  /** The connection failed; nothing was sent. */
   | { kind: "unreachable"; message: string }
-  /** It was sent, and no whole answer came. */
+  /** The request may have been sent, but no complete answer arrived. */
   | { kind: "no_answer"; message: string }
-  /** An answer came that isn't what the protocol says. */
+  /** The answer violates the protocol. */
   | { kind: "malformed"; message: string };
 
-/** An answer whose body is JSON, or empty. */
+/** An answer with a JSON body; `body` is `{}` if the answer's body was empty. */
 export interface CallAnswer {
   status: number;
   body: Record<string, unknown>;
 }
 
-/** What is called. */
+/** One HTTP request and its timeout. */
 export interface Call {
   method: "GET" | "POST" | "DELETE";
   path: string;
   headers?: Record<string, string>;
   body?: unknown;
-  /** Longest time without a byte of the answer; a large one over a slow link takes longer in all. */
+  /**
+   * Idle timeout: longest time without a byte of the answer. A large answer over a slow link may
+   * take longer in total.
+   */
   callMs: number;
   signal?: AbortSignal;
 }
 
-/** No call lasts longer than this multiple of the time that it may be silent. */
-const LONGEST_FACTOR = 4;
+/** Bounds the total duration of a call, as a multiple of its idle timeout. */
+const TOTAL_TIMEOUT_FACTOR = 4;
 
-/** Connections to one address. */
+/** Sends calls to one address over a connection pool. */
 export class HttpCaller {
   readonly #pool: Pool;
 
@@ -46,24 +49,25 @@
 
   /**
    * @param address `ip:port`.
-   * @param connectMs Time for a new connection.
-   * @returns A caller without connections yet.
+   * @param connectMs Connect timeout.
+   * @returns A caller that connects on the first call.
    */
   static create(address: string, connectMs: number): HttpCaller {
     return new HttpCaller(address, connectMs);
   }
 
   /**
-   * A call that runs out of time ends its connection, which may have gone silent.
+   * Sends a request and reads the whole answer. A call that times out closes its connection,
+   * because the peer may have stopped responding.
    *
-   * @param call What to call.
-   * @returns The answer, whatever its status.
+   * @param call The request.
+   * @returns The answer, with any status, or why the call failed.
    */
   async send(call: Call): Promise<Result<CallAnswer, CallFailure>> {
-    const stop = new AbortController();
-    const onAbort = () => stop.abort();
-    const silence = setTimeout(onAbort, call.callMs);
-    const timer = setTimeout(onAbort, call.callMs * LONGEST_FACTOR);
+    const controller = new AbortController();
+    const onAbort = () => controller.abort();
+    const idleTimer = setTimeout(onAbort, call.callMs);
+    const totalTimer = setTimeout(onAbort, call.callMs * TOTAL_TIMEOUT_FACTOR);
     call.signal?.addEventListener("abort", onAbort, { once: true });
     try {
       const { statusCode, body } = await this.#pool.request({
@@ -71,24 +75,24 @@
         path: call.path,
         headers: { ...call.headers, ...contentType(call.body) },
         body: call.body === undefined ? null : JSON.stringify(call.body),
-        signal: stop.signal,
+        signal: controller.signal,
       });
       const chunks: Buffer[] = [];
       for await (const chunk of body) {
-        silence.refresh();
+        idleTimer.refresh();
         chunks.push(chunk);
       }
-      return parse(statusCode, Buffer.concat(chunks).toString());
+      return parseAnswer(statusCode, Buffer.concat(chunks).toString());
     } catch (error) {
-      return Result.err(describe(error));
+      return Result.err(toCallFailure(error));
     } finally {
-      clearTimeout(silence);
-      clearTimeout(timer);
+      clearTimeout(idleTimer);
+      clearTimeout(totalTimer);
       call.signal?.removeEventListener("abort", onAbort);
     }
   }
 
-  /** Ends all connections. */
+  /** Closes all connections; calls in flight fail. */
   close(): Promise<void> {
     return this.#pool.destroy();
   }
@@ -98,7 +102,10 @@
   return body === undefined ? {} : { "content-type": "application/json" };
 }
 
-function parse(status: number, text: string): Result<CallAnswer, CallFailure> {
+function parseAnswer(
+  status: number,
+  text: string,
+): Result<CallAnswer, CallFailure> {
   if (text === "") return Result.ok({ status, body: {} });
   try {
     const body: unknown = JSON.parse(text);
@@ -106,13 +113,16 @@
       return Result.ok({ status, body: body as Record<string, unknown> });
     }
   } catch {
-    // Told below: a refusal's body need not be JSON, that of a success must be.
+    // Handled below: only an answer with status 200 must have a JSON body.
   }
   if (status !== 200) return Result.ok({ status, body: {} });
-  return Result.err({ kind: "malformed", message: "Answer is no JSON object" });
+  return Result.err({
+    kind: "malformed",
+    message: "Answer is not a JSON object",
+  });
 }
 
-/** Codes of connections that were never made, so that nothing was sent. */
+/** Error codes of failed connection attempts, after which nothing was sent. */
 const UNREACHABLE = new Set([
   "ECONNREFUSED",
   "EHOSTUNREACH",
@@ -120,7 +130,7 @@
   "UND_ERR_CONNECT_TIMEOUT",
 ]);
 
-function describe(error: unknown): CallFailure {
+function toCallFailure(error: unknown): CallFailure {
   const code = (error as { code?: string }).code ?? "";
   const message = error instanceof Error ? error.message : String(error);
   const kind = UNREACHABLE.has(code) ? "unreachable" : "no_answer";
--- a/src/platform/http_call_test.ts
+++ b/src/platform/http_call_test.ts
@@ -8,8 +8,8 @@
 const CALL_MS = 1500;
 const PIECES = ['{"text":"', "a", "b", "c", "d", "e", '"}'];
 
-/** A caller of a server that answers in pieces, with a pause before each. */
-async function callerOf(
+/** Returns a caller of a server that pauses after each piece of its answer. */
+async function openCaller(
   t: TestContext,
   pauseMs: number,
 ): Promise<HttpCaller> {
@@ -31,9 +31,10 @@
   return caller;
 }
 
-// Over a full link a large answer was begun anew each time, and never came whole.
-test("answer that comes slowly is read to its end", async (t) => {
-  const caller = await callerOf(t, CALL_MS / 5);
+// Guards against a timeout on the whole call: over a saturated link, each attempt at a large answer
+// timed out and started over, so the answer never completed.
+test("slow answer is read to its end", async (t) => {
+  const caller = await openCaller(t, CALL_MS / 5);
   const answer = await caller.send({
     method: "GET",
     path: "/",
@@ -43,8 +44,8 @@
   assert.deepEqual(answer.value.body, { text: "abcde" });
 });
 
-test("answer that falls silent is given up", async (t) => {
-  const caller = await callerOf(t, CALL_MS * 20);
+test("answer that stalls fails after the idle timeout", async (t) => {
+  const caller = await openCaller(t, CALL_MS * 20);
   const answer = await caller.send({
     method: "GET",
     path: "/",
--- a/src/platform/mod.ts
+++ b/src/platform/mod.ts
@@ -1,10 +1,10 @@
-/** The users' platform: names, formats and calls. Nothing here decides anything. */
+/** Names, formats and calls of the users' platform, without any routing logic. */
 export {
+  type DecodedDeletion as RemovedFact,
+  type DecodedValue as StoreFact,
   decodeFact,
   decodeRemoval,
   type MalformedValue,
-  type RemovedFact,
-  type StoreFact,
 } from "./decode.ts";
 export {
   answerHeaders,
--- a/src/platform/names.ts
+++ b/src/platform/names.ts
@@ -1,9 +1,9 @@
 /**
- * The platform's own names, in one place: headers in lower case, paths of calls, and the prefixes
- * of its keys. Nothing outside this folder uses them.
+ * Names that the platform defines: headers in lower case, paths of calls, store keys and fields.
+ * Only this folder uses them, so that the rest of the code doesn't depend on the platform.
  */
 
-/** Headers between clients, the router and backend servers. */
+/** Headers of requests and answers between clients, the router and backend servers. */
 export const Header = {
   requestId: "attempt-id",
   deadline: "deadline-ms",
@@ -50,12 +50,12 @@
   dropCopy: "/v1/kv-handle/",
 } as const;
 
-/** Path at which the balancer asks whether an entry takes connections. */
+/** Path of the load balancer's readiness checks on an entry. */
 export const READINESS_PATH = "/v1/readiness";
 
-/** Key of the operator's configuration. */
+/** Key of the routing configuration that the operator writes. */
 export const CONFIG_KEY = "op/config";
-/** Prefix of the keys that name wanted weights. */
+/** Prefix of the keys in which the operator sets the wanted weights of each model. */
 export const WEIGHTS_PREFIX = "op/version/";
 /** Prefix of the keys under which backend servers register. */
 export const SERVERS_PREFIX = "servers/";
@@ -63,7 +63,9 @@
 /** Scheme of the authorization header. */
 export const KEY_SCHEME = "Bearer ";
 
-/** Names of fields that only the platform uses, in bodies of calls and values of the store. */
+/**
+ * JSON fields of the platform's calls and stored values that code outside this folder must not use.
+ */
 export const FIELD_NAMES = [
   "allow_anonymous",
   "allow_resume",
--- a/src/platform/names_test.ts
+++ b/src/platform/names_test.ts
@@ -13,9 +13,9 @@
   WEIGHTS_PREFIX,
 } from "./names.ts";
 
-/** Sources, also where the tests run from their build. */
+/** Source folder, also when the compiled tests run. */
 const SOURCES = fileURLToPath(new URL("../../src/", import.meta.url));
-/** Headers that HTTP itself defines, or words of common use. */
+/** Names that HTTP defines or that are common words, so other code may use them. */
 const COMMON = new Set<string>([
   Header.authorization,
   Header.hold,
@@ -43,13 +43,13 @@
   ];
 }
 
-/** The name as a whole: a longer name of the product's own may contain it. */
+/** Matches the whole name only, since longer names of this project may contain it. */
 function pattern(name: string): RegExp {
   const isHeader = name.includes("-") && !name.includes("/");
   return new RegExp(`(?<![\\w-])${name}(?![\\w-])`, isHeader ? "i" : "");
 }
 
-test("no name of the platform's stands outside its folder", () => {
+test("no name of the platform is used outside its folder", () => {
   const paths = sources();
   assert.ok(paths.length > 100);
   const names = wireNames();
--- a/src/platform/server_calls.ts
+++ b/src/platform/server_calls.ts
@@ -1,4 +1,4 @@
-/** Calls to a backend server besides clients' requests: its report, and orders to it. */
+/** Control calls to backend servers: load reports, weight changes and moves of runs. */
 import { Result } from "true-myth";
 import type { ServerAddress, ServerReport } from "../router/model.ts";
 import { readReport } from "./decode_server.ts";
@@ -9,41 +9,41 @@
 export interface WeightsOrder {
   model: string;
   version: number;
-  /** What becomes of requests that run. */
+  /** What happens to running requests. */
   runs: "finish" | "cut" | "continue";
-  /** Process that gives the order. */
+  /** Id of the process that sends the order. */
   holderId: string;
   fencingNumber: bigint;
-  /** Orders that the server had accepted when it was decided; it refuses if there are more. */
+  /** Orders that the server had accepted when this one was decided; it refuses if it has more. */
   orderSequence: number;
 }
 
-/** What a server said to an order. */
+/** A server's answer to an order. */
 export type OrderAnswer =
   | { kind: "accepted" }
-  /** It has these weights already. */
+  /** The server has loaded these weights already. */
   | { kind: "holds" }
-  /** Another order is in progress, or was accepted since. */
+  /** Another order is in progress, or was accepted after this one was decided. */
   | { kind: "conflict" }
-  /** A higher fencing number has been seen. */
+  /** The server has seen a higher fencing number. */
   | { kind: "fenced" }
-  /** Another server has the address. */
+  /** Another server has this address. */
   | { kind: "wrong_server" }
   | { kind: "refused"; status: number };
 
-/** The platform's word for what becomes of requests that run. */
-const RUNS_WORD = {
+/** Values of the platform's `mode` field. */
+const RUN_MODES = {
   finish: "wait",
   cut: "truncate",
   continue: "retain",
 } as const;
 
 /**
- * Asks a server for its report.
+ * Fetches a server's load report.
  *
- * @param server Whom to ask.
- * @param callMs Time for the connection, and for the call.
- * @returns What it says of itself.
+ * @param server The server to ask.
+ * @param callMs Timeout of connecting, and idle timeout of the call.
+ * @returns The report, or why the call failed.
  */
 export async function fetchReport(
   server: ServerAddress,
@@ -69,12 +69,12 @@
 }
 
 /**
- * Gives an order once.
+ * Sends an order once, without retries.
  *
- * @param server Whom to give it.
- * @param order What to do.
- * @param callMs Time for the connection, and for the call.
- * @returns Its answer. Without one, the order may be carried out, also later.
+ * @param server The server that receives the order.
+ * @param order The weights to load.
+ * @param options Timeout of connecting, and idle timeout of the call.
+ * @returns The server's answer. After a failure, the order may still be executed, even later.
  */
 export async function sendOrder(
   server: ServerAddress,
@@ -90,7 +90,7 @@
       op: "version",
       model: order.model,
       version: order.version,
-      mode: RUNS_WORD[order.runs],
+      mode: RUN_MODES[order.runs],
       holder: order.holderId,
       fencing_token: Number(order.fencingNumber),
       expected: order.orderSequence,
@@ -101,35 +101,35 @@
   return answer.map(({ status }) => readOrderAnswer(status));
 }
 
-/** A run that is to go on at another server. */
-export interface RunMoveCall {
+/** Moves a run to another server. */
+export interface RunMoveOrder {
   /** The client's id of its attempt. */
   requestId: string;
-  /** `ip:port` of the server to which its memory is copied. */
+  /** `ip:port` of the server to which the run's memory is copied. */
   targetAddress: string;
 }
 
-/** What a server said to a call to move a run. */
+/** A server's answer to a call that moves a run. */
 export type MoveAnswer =
-  /** The run has stopped, and its memory is there. */
+  /** The run has stopped, and its memory was copied to the target. */
   | { kind: "copied"; copyId: string }
-  /** The run has stopped, and the target has no room or is not reached. */
+  /** The run has stopped, but the target has no free memory or is unreachable. */
   | { kind: "stopped" }
-  /** No such run, or it is being moved. */
+  /** There is no such run, or it is already being moved. */
   | { kind: "not_running" }
   | { kind: "refused"; status: number };
 
 /**
  * Copies a run's memory to another server, and stops the run.
  *
- * @param server The server that runs it.
- * @param move What goes where.
- * @param options Time for the connection, and for the call.
- * @returns Its answer. Without one, the run may have stopped.
+ * @param server The server that executes the run.
+ * @param move The run and its target.
+ * @param options Timeout of connecting, and idle timeout of the call.
+ * @returns The server's answer. After a failure, the run may have stopped.
  */
 export async function moveRun(
   server: ServerAddress,
-  { requestId, targetAddress }: RunMoveCall,
+  { requestId, targetAddress }: RunMoveOrder,
   { callMs }: { callMs: number },
 ): Promise<Result<MoveAnswer, CallFailure>> {
   const caller = HttpCaller.create(server.address, callMs);
@@ -145,12 +145,12 @@
 }
 
 /**
- * Frees the memory of a run that is not to go on, at both servers.
+ * Frees the memory of a moved run that won't be resumed, on both servers.
  *
- * @param server The server that it ran on.
- * @param copyId The copy's id.
- * @param options Time for the connection, and for the call.
- * @returns Whether the server answered.
+ * @param server The server that executed the run.
+ * @param copyId The id of the copy.
+ * @param options Timeout of connecting, and idle timeout of the call.
+ * @returns The HTTP status of the answer, or why the call failed.
  */
 export async function dropCopy(
   server: ServerAddress,
--- a/src/platform/store.ts
+++ b/src/platform/store.ts
@@ -1,4 +1,4 @@
-/** The platform's store, as a {@link KeyValueStore}: HTTP with JSON bodies, watches as long polls. */
+/** {@link KeyValueStore} client of the platform's store: HTTP with JSON bodies and long polling. */
 import { Result } from "true-myth";
 import { findCommitRefusal } from "../store/commit_limits.ts";
 import type {
@@ -35,34 +35,34 @@
   /** `ip:port`. */
   address: string;
   connectMs: number;
-  /** Time for each call but a watch. */
+  /** Idle timeout of every call, except for polls that wait for an event. */
   callMs: number;
-  /** Longest time that a watch waits for an event. */
+  /** How long the store may hold a poll of a watch until an event occurs. */
   watchWaitMs: number;
-  /** Time beyond `watchWaitMs` after which a watch counts as silent. */
+  /** Time beyond `watchWaitMs` after which an unanswered poll of a watch times out. */
   watchSlackMs: number;
-  /** An item of a list or watch can't be read; the others of the answer are taken. */
+  /** Called for each unreadable item of a list or watch; the answer's other items are used. */
   onUnreadable?(item: UnreadableItem): void;
 }
 
-/** Wait of a watch's first call. */
-const FIRST_WAIT_MS = 0;
+/** How long the first poll of a watch waits for an event. */
+const FIRST_POLL_WAIT_MS = 0;
 
-/** Conditions and changes of one commit, as the platform's pages say. */
-const MAX_ENTRIES = 32;
+/** The platform's documented limit on the sum of conditions and writes in one commit. */
+const MAX_COMMIT_ENTRIES = 32;
 
-/** One call of a watch. */
+/** One long poll of a watch. */
 interface Poll {
   prefix: string;
-  /** Revision behind which events are asked for. */
+  /** Only events after this revision are returned. */
   after: bigint;
-  /** Longest wait for an event. */
+  /** How long the store may wait for an event before it answers. */
   waitMs: number;
   callMs: number;
   signal: AbortSignal;
 }
 
-/** A client of the platform's store. */
+/** Client of the platform's store. */
 export class PlatformStore implements KeyValueStore {
   readonly #caller: HttpCaller;
   readonly #options: PlatformStoreOptions;
@@ -74,14 +74,14 @@
   }
 
   /**
-   * @param options Address and times.
-   * @returns A client without connections yet.
+   * @param options Address, timeouts and callbacks.
+   * @returns A client that connects on the first call.
    */
   static create(options: PlatformStoreOptions): PlatformStore {
     return new PlatformStore(options);
   }
 
-  /** Calls sent so far, watches included. */
+  /** Number of calls sent so far, including the polls of watches. */
   get calls(): number {
     return this.#calls;
   }
@@ -93,20 +93,20 @@
     const answer = await this.#read(path);
     if (answer.isErr) return Result.err(answer.error);
     if (answer.value.status === 404) return Result.ok(undefined);
-    return guarded(() => readEntry(answer.value.body));
+    return tryParse(() => readEntry(answer.value.body));
   }
 
   async list(prefix: string): Promise<Result<Listing, StoreFailure>> {
     const entries: KeyValueEntry[] = [];
     let after = "";
-    // Pages are no snapshot: a watch from the first page's revision brings what changed meanwhile.
+    // The pages are no snapshot: a watch from the first page's revision delivers later changes.
     let revision: bigint | undefined;
     while (true) {
       const answer = await this.#read(rangePath(prefix, after));
       if (answer.isErr) return Result.err(answer.error);
-      const page = guarded(() => readPage(answer.value.body));
+      const page = tryParse(() => readPage(answer.value.body));
       if (page.isErr) return Result.err(page.error);
-      this.#tellUnreadable(page.value.unreadable);
+      this.#reportUnreadable(page.value.unreadable);
       revision ??= page.value.revision;
       entries.push(...page.value.entries);
       if (page.value.nextAfter === undefined) break;
@@ -123,8 +123,8 @@
     if (refusal) return Result.err({ kind: "unavailable", message: refusal });
     const expanded = await this.#expandRanges(writes);
     if (expanded.isErr) return Result.err(expanded.error);
-    if (expect.length + expanded.value.length > MAX_ENTRIES) {
-      const message = `More than ${MAX_ENTRIES} entries in one commit`;
+    if (expect.length + expanded.value.length > MAX_COMMIT_ENTRIES) {
+      const message = `More than ${MAX_COMMIT_ENTRIES} entries in one commit`;
       return Result.err({ kind: "unavailable", message });
     }
     const answer = await this.#send({
@@ -136,13 +136,13 @@
     if (answer.isErr) return Result.err(writeFailure(answer.error));
     const { status, body } = answer.value;
     if (status === 200) {
-      return guarded(() => ({
+      return tryParse(() => ({
         kind: "committed",
         revision: revisionOf(body, "revision"),
       }));
     }
-    if (status === 412) return guarded(() => readConflict(body));
-    return Result.err(refused(status));
+    if (status === 412) return tryParse(() => readConflict(body));
+    return Result.err(refusalFailure(status));
   }
 
   async *watch(
@@ -151,20 +151,20 @@
     signal: AbortSignal,
   ): AsyncIterable<Result<WatchStep, StoreFailure>> {
     const { callMs, watchWaitMs, watchSlackMs } = this.#options;
-    const longMs = watchWaitMs + watchSlackMs;
+    const longPollMs = watchWaitMs + watchSlackMs;
     let after = fromRevision - 1n;
-    // The first call doesn't wait: a caller whose connection was lost learns soon that it is back.
-    let times = { waitMs: FIRST_WAIT_MS, callMs };
+    // The first poll returns at once, so a caller that lost its connection soon sees it restored.
+    let timing = { waitMs: FIRST_POLL_WAIT_MS, callMs };
     while (!signal.aborted) {
-      const answer = await this.#poll({ prefix, after, ...times, signal });
-      times = { waitMs: watchWaitMs, callMs: longMs };
+      const answer = await this.#poll({ prefix, after, ...timing, signal });
+      timing = { waitMs: watchWaitMs, callMs: longPollMs };
       if (signal.aborted) return;
       if (answer.isErr) {
         yield Result.err(answer.error);
         return;
       }
       const { steps, unreadable, revision } = answer.value;
-      this.#tellUnreadable(unreadable);
+      this.#reportUnreadable(unreadable);
       for (const step of steps) yield Result.ok(step);
       if (revision > after) after = revision;
       yield Result.ok({ kind: "progress", revision: after });
@@ -180,8 +180,8 @@
     });
     if (answer.isErr) return Result.err(writeFailure(answer.error));
     const { status, body } = answer.value;
-    if (status !== 200) return Result.err(refused(status));
-    return guarded(() => ({
+    if (status !== 200) return Result.err(refusalFailure(status));
+    return tryParse(() => ({
       leaseId: revisionOf(body, "lease"),
       ttlMs: Number(body["ttl_ms"]),
     }));
@@ -198,8 +198,8 @@
     if (answer.isErr) return Result.err(writeFailure(answer.error));
     const { status, body } = answer.value;
     if (status === 404) return Result.ok({ leaseId, ttlMs: 0 });
-    if (status !== 200) return Result.err(refused(status));
-    return guarded(() => ({ leaseId, ttlMs: Number(body["ttl_ms"]) }));
+    if (status !== 200) return Result.err(refusalFailure(status));
+    return tryParse(() => ({ leaseId, ttlMs: Number(body["ttl_ms"]) }));
   }
 
   async revokeLease(leaseId: bigint): Promise<Result<void, StoreFailure>> {
@@ -212,11 +212,11 @@
     const { status } = answer.value;
     return status < 300 || status === 404
       ? Result.ok(undefined)
-      : Result.err(refused(status));
+      : Result.err(refusalFailure(status));
   }
 
   close(): void {
-    // Nothing waits for the connections' end: calls under way have failed by then.
+    // Not awaited: calls in flight fail, and nothing depends on the connections being closed.
     void this.#caller.close();
   }
 
@@ -239,8 +239,8 @@
     if (status === 410) {
       return Result.err({ kind: "compacted", oldestRevision: after + 1n });
     }
-    if (status !== 200) return Result.err(refused(status));
-    return guarded(() => readWatch(body));
+    if (status !== 200) return Result.err(refusalFailure(status));
+    return tryParse(() => readWatch(body));
   }
 
   async #read(path: string): Promise<Result<CallAnswer, StoreFailure>> {
@@ -250,10 +250,10 @@
     const { status } = answer.value;
     return status === 200 || status === 404
       ? Result.ok(answer.value)
-      : Result.err(refused(status));
+      : Result.err(refusalFailure(status));
   }
 
-  #tellUnreadable(unreadable: UnreadableItem[]): void {
+  #reportUnreadable(unreadable: UnreadableItem[]): void {
     for (const item of unreadable) this.#options.onUnreadable?.(item);
   }
 
@@ -262,7 +262,7 @@
     return this.#caller.send(call);
   }
 
-  /** The platform deletes single keys only. */
+  /** Replaces range deletions by single ones, since the platform can only delete single keys. */
   async #expandRanges(
     writes: Write[],
   ): Promise<Result<Exclude<Write, { kind: "delete_range" }>[], StoreFailure>> {
@@ -289,18 +289,18 @@
   return `${StorePath.range}?${query}`;
 }
 
-/** An answer of another form counts as none: of a write, the effect is unknown then. */
-function guarded<T>(read: () => T): Result<T, StoreFailure> {
+/** Parses an answer. A malformed one counts as missing, so a write's effect is unknown. */
+function tryParse<T>(parse: () => T): Result<T, StoreFailure> {
   try {
-    return Result.ok(read());
+    return Result.ok(parse());
   } catch (error) {
     const message = error instanceof Error ? error.message : String(error);
     return Result.err({ kind: "effect_unknown", message });
   }
 }
 
-/** The store vouches that a call it refuses has done nothing. */
-function refused(status: number): StoreFailure {
+/** The store guarantees that a refused call had no effect. */
+function refusalFailure(status: number): StoreFailure {
   return { kind: "unavailable", message: `Refused with status ${status}` };
 }
 
--- a/src/platform/store_bodies.ts
+++ b/src/platform/store_bodies.ts
@@ -1,6 +1,6 @@
 /**
- * Bodies of the store's calls and answers. Readers throw a TypeError where a field of the answer
- * itself is missing.
+ * Encodes and decodes JSON bodies of the platform store's calls and answers. Decoding throws a
+ * TypeError if a field of the answer itself is missing or invalid.
  */
 import type {
   CommitOutcome,
@@ -9,14 +9,14 @@
   WatchStep,
   Write,
 } from "../store/store.ts";
-import type { Json } from "./shape.ts";
+import type { JsonObject } from "./shape.ts";
 
-/** @returns Body of a commit. */
+/** @returns The request body of a commit. */
 export function commitBody(
   expect: Expectation[],
   writes: Exclude<Write, { kind: "delete_range" }>[],
-): Json {
-  const puts: Json[] = [];
+): JsonObject {
+  const puts: JsonObject[] = [];
   const deletes: string[] = [];
   for (const write of writes) {
     if (write.kind === "delete") {
@@ -39,23 +39,23 @@
   };
 }
 
-/** An item that came and can't be read, or can't be read whole. */
+/** An item of an answer that could not be decoded, or only in part. */
 export interface UnreadableItem {
-  /** Left out where it has none. */
+  /** Undefined if the item has no readable key. */
   key?: string;
   reason: string;
 }
 
-/** One page of a range. */
+/** One page of a range listing. */
 export interface Page {
   entries: KeyValueEntry[];
   unreadable: UnreadableItem[];
   revision: bigint;
-  /** Key after which the next page begins; left out: this is the last one. */
+  /** Key after which the next page starts; undefined on the last page. */
   nextAfter?: string;
 }
 
-/** One answer of a watch. */
+/** Answer to one poll of a watch. */
 export interface WatchAnswer {
   steps: WatchStep[];
   unreadable: UnreadableItem[];
@@ -63,17 +63,17 @@
 }
 
 /**
- * Reads a page. An item that can't be read leaves the others as they are.
+ * Decodes a page. Items that can't be decoded are reported and don't affect the others.
  *
- * @param body The answer.
- * @returns One page of a range.
+ * @param body The body of the answer.
+ * @returns The page's entries and unreadable items.
  */
-export function readPage(body: Json): Page {
+export function readPage(body: JsonObject): Page {
   const entries: KeyValueEntry[] = [];
   const unreadable: UnreadableItem[] = [];
-  const rows = items(body, "items");
+  const rows = listField(body, "items");
   for (const row of rows) {
-    const entry = readItem(row, unreadable);
+    const entry = readListedEntry(row, unreadable);
     if (entry) entries.push(entry);
   }
   return {
@@ -85,27 +85,28 @@
 }
 
 /**
- * Reads the events of a watch. One that can't be read leaves the others as they are.
+ * Decodes the events of a watch. Events that can't be decoded are reported and don't affect the
+ * others.
  *
- * @param body The answer.
- * @returns What it brings.
+ * @param body The body of the answer.
+ * @returns The events and unreadable items.
  */
-export function readWatch(body: Json): WatchAnswer {
+export function readWatch(body: JsonObject): WatchAnswer {
   const steps: WatchStep[] = [];
   const unreadable: UnreadableItem[] = [];
-  for (const event of items(body, "events")) {
-    const step = readStep(event, unreadable);
+  for (const event of listField(body, "events")) {
+    const step = readWatchStep(event, unreadable);
     if (step) steps.push(step);
   }
   return { steps, unreadable, revision: revisionOf(body, "current_rev") };
 }
 
-/** @returns What a commit that was refused says of the keys it expected. */
-export function readConflict(body: Json): CommitOutcome {
-  const current = items(body, "items")
-    // A key that doesn't exist is listed without a value.
+/** @returns The conflict that the body of a refused commit describes. */
+export function readConflict(body: JsonObject): CommitOutcome {
+  const current = listField(body, "items")
+    // Expected keys that don't exist are listed without a value.
     .filter((item) => isObject(item) && typeof item["value"] === "string")
-    .map((item) => readEntry(item as Json));
+    .map((item) => readEntry(item as JsonObject));
   const revision = body["current_rev"] === undefined
     ? current.reduce(
       (max, { modRevision }) => modRevision > max ? modRevision : max,
@@ -116,13 +117,13 @@
 }
 
 /**
- * Reads an item. The bytes of its value are its writer's: where they can't be read, the key is there
- * all the same, with an empty value.
+ * Decodes an item. Any client may have written the value, so an undecodable value is replaced by an
+ * empty one: the key exists all the same.
  *
- * @param item The item.
- * @returns Its key and value.
+ * @param item The item as sent.
+ * @returns The entry.
  */
-export function readEntry(item: Json): KeyValueEntry {
+export function readEntry(item: JsonObject): KeyValueEntry {
   return {
     key: keyOf(item),
     value: readValue(item["value"]) ?? new Uint8Array(),
@@ -131,47 +132,47 @@
   };
 }
 
-/** @returns A field that is a revision. */
-export function revisionOf(body: Json, name: string): bigint {
+/** @returns The value of a field with a revision or another integer. */
+export function revisionOf(body: JsonObject, name: string): bigint {
   const value = body[name];
   if (typeof value === "number" && Number.isSafeInteger(value)) {
     return BigInt(value);
   }
-  throw new TypeError(`No whole number: ${name}`);
+  throw new TypeError(`Not an integer: ${name}`);
 }
 
-function readStep(
+function readWatchStep(
   event: unknown,
   unreadable: UnreadableItem[],
 ): WatchStep | undefined {
   if (!isObject(event) || event["deleted"] !== true) {
-    const entry = readItem(event, unreadable);
+    const entry = readListedEntry(event, unreadable);
     return entry && { kind: "put", entry };
   }
-  return attempt(event, unreadable, () => ({
+  return tryRead(event, unreadable, () => ({
     kind: "delete",
     key: keyOf(event),
     revision: revisionOf(event, "revision"),
   }));
 }
 
-function readItem(
+function readListedEntry(
   item: unknown,
   unreadable: UnreadableItem[],
 ): KeyValueEntry | undefined {
   if (!isObject(item)) {
-    unreadable.push({ reason: "No object" });
+    unreadable.push({ reason: "Not an object" });
     return undefined;
   }
-  const entry = attempt(item, unreadable, () => readEntry(item));
+  const entry = tryRead(item, unreadable, () => readEntry(item));
   if (entry && readValue(item["value"]) === undefined) {
-    unreadable.push({ key: entry.key, reason: "Value is no base64 text" });
+    unreadable.push({ key: entry.key, reason: "Value is not a base64 string" });
   }
   return entry;
 }
 
-function attempt<T>(
-  item: Json,
+function tryRead<T>(
+  item: JsonObject,
   unreadable: UnreadableItem[],
   read: () => T,
 ): T | undefined {
@@ -185,7 +186,7 @@
   }
 }
 
-/** The next page begins after this one's last key, also where that item can't be read. */
+/** The next page starts after this page's last key, even if that item can't be decoded. */
 function lastKeyOf(rows: unknown[]): string {
   const last = rows.findLast((row) =>
     isObject(row) && typeof row["key"] === "string"
@@ -193,25 +194,25 @@
   return keyOf(isObject(last) ? last : {});
 }
 
-function keyOf(item: Json): string {
+function keyOf(item: JsonObject): string {
   const key = item["key"];
   if (typeof key === "string") return key;
-  throw new TypeError("Item without key");
+  throw new TypeError("Item has no key");
 }
 
-/** Standard base64 with padding; the decoder alone would skip what it doesn't know. */
+/** Decodes padded base64, strictly: Node's decoder alone would skip invalid characters. */
 function readValue(value: unknown): Uint8Array | undefined {
   if (typeof value !== "string") return undefined;
   const bytes = Buffer.from(value, "base64");
   return bytes.toString("base64") === value ? bytes : undefined;
 }
 
-function items(body: Json, name: string): unknown[] {
+function listField(body: JsonObject, name: string): unknown[] {
   const value = body[name];
   if (Array.isArray(value)) return value;
-  throw new TypeError(`No list: ${name}`);
+  throw new TypeError(`Not an array: ${name}`);
 }
 
-function isObject(value: unknown): value is Json {
+function isObject(value: unknown): value is JsonObject {
   return typeof value === "object" && value !== null && !Array.isArray(value);
 }
--- a/src/platform/store_bodies_test.ts
+++ b/src/platform/store_bodies_test.ts
@@ -5,7 +5,7 @@
 
 const SEED = 20_261_203;
 
-const PROPER = {
+const VALID_ITEM = {
   key: "servers/i-1",
   value: Buffer.from("{}").toString("base64"),
   revision: 7,
@@ -18,36 +18,36 @@
   return page.entries.map(({ key }) => key);
 }
 
-test("item that can't be read leaves the others of its page", () => {
-  for (const other of [null, 1, "x", [], {}, { ...PROPER, key: 1 }]) {
-    assert.deepEqual(keysOf([other, PROPER, other]), [PROPER.key]);
+test("unreadable item doesn't affect the other items of its page", () => {
+  for (const other of [null, 1, "x", [], {}, { ...VALID_ITEM, key: 1 }]) {
+    assert.deepEqual(keysOf([other, VALID_ITEM, other]), [VALID_ITEM.key]);
   }
 });
 
-test("item whose value can't be read is there, without a value", () => {
+test("item with an unreadable value is listed with an empty value", () => {
   for (
     const value of [undefined, null, 7, {}, "%%%%", "e30", "e30==", "=e30"]
   ) {
-    const other = { ...PROPER, key: "servers/i-2", value };
-    const items = [other, PROPER];
+    const other = { ...VALID_ITEM, key: "servers/i-2", value };
+    const items = [other, VALID_ITEM];
     const page = readPage({ items, current_rev: 9, more_pages: false });
-    const [unreadable, proper] = page.entries;
+    const [unreadable, valid] = page.entries;
     assert.equal(unreadable?.key, "servers/i-2", `${value}`);
     assert.equal(unreadable.value.length, 0, `${value}`);
-    assert.equal(proper?.key, PROPER.key);
+    assert.equal(valid?.key, VALID_ITEM.key);
   }
 });
 
-test("items of any kind leave the proper ones beside them", () => {
+test("items with arbitrary content don't affect the valid ones", () => {
   const item = fc.oneof(
     fc.jsonValue(),
-    fc.dictionary(fc.constantFrom(...Object.keys(PROPER)), fc.jsonValue())
-      .map((fields): unknown => ({ ...PROPER, key: "x", ...fields })),
+    fc.dictionary(fc.constantFrom(...Object.keys(VALID_ITEM)), fc.jsonValue())
+      .map((fields): unknown => ({ ...VALID_ITEM, key: "x", ...fields })),
   );
   fc.assert(
     fc.property(fc.array(item), fc.array(item), (before, after) => {
-      const keys = keysOf([...before, PROPER, ...after]);
-      assert.ok(keys.includes(PROPER.key));
+      const keys = keysOf([...before, VALID_ITEM, ...after]);
+      assert.ok(keys.includes(VALID_ITEM.key));
     }),
     { seed: SEED, numRuns: 500 },
   );
--- a/src/platform/store_test.ts
+++ b/src/platform/store_test.ts
@@ -5,23 +5,23 @@
 import { PlatformStore } from "./store.ts";
 
 const CALL_MS = 100;
-const SHORT_MS = 50;
-/** Longer than a test may take. */
+const ANSWER_MS = 50;
+/** Longer than any test runs. */
 const WAIT_MS = 25_000_000;
 
-interface Watched {
+interface WatchSetup {
   store: PlatformStore;
   server: StandinPlatformStore;
-  link: TcpRelay;
+  relay: TcpRelay;
   steps: ReturnType<PlatformStore["watch"]>;
 }
 
-/** A watch from the first revision on, over a link; the test's end ends it. */
-async function watch(t: TestContext, callMs: number): Promise<Watched> {
+/** Starts a watch from the first revision through a TCP relay; it ends with the test. */
+async function startWatch(t: TestContext, callMs: number): Promise<WatchSetup> {
   const server = await StandinPlatformStore.create();
-  const link = await TcpRelay.create({ targetAddress: server.address });
+  const relay = await TcpRelay.create({ targetAddress: server.address });
   const store = PlatformStore.create({
-    address: link.address,
+    address: relay.address,
     connectMs: callMs,
     callMs,
     watchWaitMs: WAIT_MS,
@@ -31,14 +31,14 @@
   t.after(async () => {
     stop.abort();
     store.close();
-    await link.close();
+    await relay.close();
     await server.close();
   });
-  return { store, server, link, steps: store.watch("", 1n, stop.signal) };
+  return { store, server, relay, steps: store.watch("", 1n, stop.signal) };
 }
 
-test("watch is answered at once when it begins, and waits for events from then on", async (t) => {
-  const { steps, store, server } = await watch(t, WAIT_MS);
+test("first poll of a watch is answered at once, later ones wait for events", async (t) => {
+  const { steps, store, server } = await startWatch(t, WAIT_MS);
   const answers = steps[Symbol.asyncIterator]();
   const first = await answers.next();
   assert.ok(first.value.isOk);
@@ -46,8 +46,8 @@
   const second = answers.next();
   const { counters } = server.store;
   while (counters.watches < 2) await sleep(1);
-  // A call that doesn't wait has its answer by then.
-  await sleep(SHORT_MS);
+  // A poll that doesn't wait would be answered before this delay ends.
+  await sleep(ANSWER_MS);
   await server.put("key", 1);
   const event = await second;
   assert.ok(event.value.isOk);
@@ -55,9 +55,9 @@
   assert.equal(store.calls, 2);
 });
 
-test("watch of a silent store ends after the time of one call", async (t) => {
-  const { steps, link } = await watch(t, CALL_MS);
-  link.silent();
+test("watch of an unresponsive store ends after the call timeout", async (t) => {
+  const { steps, relay } = await startWatch(t, CALL_MS);
+  relay.silent();
   for await (const step of steps) {
     assert.ok(step.isErr);
     assert.equal(step.error.kind, "unavailable");
--- a/src/store/_etcd_channel.ts
+++ b/src/store/_etcd_channel.ts
@@ -1,4 +1,4 @@
-/** One gRPC channel to the key-value service; it is replaced when its connection goes silent. */
+/** gRPC channel to the key-value service, replaced when its connection stops responding. */
 import {
   Channel,
   type ChannelCredentials,
@@ -6,7 +6,7 @@
 } from "@grpc/grpc-js";
 import { KVClient, LeaseClient, WatchClient } from "../wire/gen/etcd.ts";
 
-/** Bounds how long a silent connection can linger after it was replaced. */
+/** Keepalive pings bound how long an unresponsive connection stays open after its replacement. */
 const KEEPALIVE_MS = 5000;
 const KEEPALIVE_TIMEOUT_MS = 2000;
 const MIN_BACKOFF_MS = 50;
@@ -25,13 +25,13 @@
   "grpc.max_reconnect_backoff_ms": MAX_BACKOFF_MS,
 };
 
-/** The clients of one channel. */
+/** A gRPC channel and the clients that use it. */
 export class EtcdChannel {
   readonly kv: KVClient;
   readonly lease: LeaseClient;
   readonly watch: WatchClient;
-  /** When something last came from the other end. */
-  heardMs = 0;
+  /** Time at which the service last sent a message or an error. */
+  lastReceivedMs = 0;
   readonly #channel: Channel;
 
   private constructor(address: string, credentials: ChannelCredentials) {
@@ -44,36 +44,39 @@
 
   /**
    * @param address `ip:port` of the service.
-   * @param credentials How the connection is secured.
-   * @returns A channel that connects when it is first used.
+   * @param credentials Credentials of the connection.
+   * @returns A channel that connects on first use.
    */
   static create(address: string, credentials: ChannelCredentials): EtcdChannel {
     return new EtcdChannel(address, credentials);
   }
 
   /**
-   * Connects where needed, so that a call that fails here was certainly never sent.
+   * Connects if necessary. If this fails, the caller's request was certainly not sent.
    *
-   * @param deadlineMs When to give up, in wall-clock ms.
-   * @returns True when the channel is connected.
+   * @param deadlineMs Time to give up, in wall-clock ms.
+   * @returns Whether the channel is connected.
    */
   async connect(deadlineMs: number): Promise<boolean> {
     let state = this.#channel.getConnectivityState(true);
     while (state !== connectivityState.READY) {
-      const refused = state === connectivityState.TRANSIENT_FAILURE;
-      if (refused || state === connectivityState.SHUTDOWN) return false;
-      if (!await this.#changed(state, deadlineMs)) return false;
+      const hasFailed = state === connectivityState.TRANSIENT_FAILURE;
+      if (hasFailed || state === connectivityState.SHUTDOWN) return false;
+      if (!await this.#waitForChange(state, deadlineMs)) return false;
       state = this.#channel.getConnectivityState(true);
     }
     return true;
   }
 
-  /** Lets calls in flight end, and takes no more. */
+  /** Rejects new calls; calls in flight may complete. */
   close(): void {
     this.#channel.close();
   }
 
-  #changed(state: connectivityState, deadlineMs: number): Promise<boolean> {
+  #waitForChange(
+    state: connectivityState,
+    deadlineMs: number,
+  ): Promise<boolean> {
     return new Promise((resolve) => {
       this.#channel.watchConnectivityState(
         state,
--- a/src/store/_etcd_codec.ts
+++ b/src/store/_etcd_codec.ts
@@ -1,4 +1,4 @@
-/** Translation between the store's interface and etcd's messages. */
+/** Converts between the types of the store interface and etcd's messages. */
 import { type ServiceError, status } from "@grpc/grpc-js";
 import {
   type Compare,
@@ -22,11 +22,14 @@
 
 const EMPTY = Buffer.alloc(0);
 
-/** etcd's refusal of a call that it has not taken up; gRPC itself also uses the status. */
+/**
+ * Message with which etcd refuses a call before processing it. The message is needed to tell, since
+ * gRPC itself uses the same status for other errors.
+ */
 const TOO_MANY_REQUESTS = "etcdserver: too many requests";
 
-/** Statuses with which a write is certain to have had no effect. */
-const REFUSALS: ReadonlySet<number> = new Set([
+/** Status codes that guarantee that a write had no effect. */
+const NO_EFFECT_STATUSES: ReadonlySet<number> = new Set([
   status.INVALID_ARGUMENT,
   status.NOT_FOUND,
   status.FAILED_PRECONDITION,
@@ -36,8 +39,8 @@
 ]);
 
 /**
- * @param kv etcd's form of an entry.
- * @returns The store's form.
+ * @param kv An entry as an etcd message.
+ * @returns The entry as a type of the store interface.
  */
 export function toEntry(kv: KeyValue): KeyValueEntry {
   return {
@@ -49,8 +52,8 @@
 }
 
 /**
- * @param event etcd's form of a change.
- * @returns The store's form.
+ * @param event A watch event as an etcd message.
+ * @returns The event as a type of the store interface.
  */
 export function toWatchStep(event: Event): WatchStep {
   const kv = event.kv!;
@@ -61,9 +64,9 @@
 }
 
 /**
- * @param expect Conditions.
- * @param writes Changes.
- * @returns etcd's form; where a condition fails, it answers with the expected keys.
+ * @param expect Conditions of the commit.
+ * @param writes Writes of the commit.
+ * @returns A transaction that returns the entries of the expected keys if a condition fails.
  */
 export function toTxnRequest(
   expect: Expectation[],
@@ -78,8 +81,8 @@
 }
 
 /**
- * @param response etcd's answer to a commit.
- * @returns The store's form.
+ * @param response etcd's response to a transaction.
+ * @returns The outcome of the commit.
  */
 export function toCommitOutcome(response: TxnResponse): CommitOutcome {
   const revision = response.header?.revision ?? 0n;
@@ -91,25 +94,25 @@
 }
 
 /**
- * @param error Status of a failed read.
- * @returns The failure.
+ * @param error gRPC error of a read.
+ * @returns The failure, which is always `unavailable`.
  */
 export function toReadFailure(error: ServiceError): StoreFailure {
   return { kind: "unavailable", message: describe(error) };
 }
 
 /**
- * @param error Status of a failed write that was sent.
- * @returns The failure; unless etcd refused the write, its effect is unknown.
+ * @param error gRPC error of a write that was sent.
+ * @returns The failure; the effect is unknown unless etcd refused the write.
  */
 export function toWriteFailure(error: ServiceError): StoreFailure {
   const message = describe(error);
-  if (isRefusal(error)) return { kind: "unavailable", message };
+  if (hasNoEffect(error)) return { kind: "unavailable", message };
   return { kind: "effect_unknown", message };
 }
 
-function isRefusal(error: ServiceError): boolean {
-  if (REFUSALS.has(error.code)) return true;
+function hasNoEffect(error: ServiceError): boolean {
+  if (NO_EFFECT_STATUSES.has(error.code)) return true;
   return error.code === status.RESOURCE_EXHAUSTED &&
     error.details.startsWith(TOO_MANY_REQUESTS);
 }
--- a/src/store/_etcd_watch.ts
+++ b/src/store/_etcd_watch.ts
@@ -1,24 +1,24 @@
-/** One watch over its own stream. */
+/** Runs one etcd watch over its own gRPC stream. */
 import type { ClientDuplexStream } from "@grpc/grpc-js";
 import { err, ok, type Result } from "true-myth/result";
 import type { WatchRequest, WatchResponse } from "../wire/gen/etcd.ts";
 import { toWatchStep } from "./_etcd_codec.ts";
 import type { StoreFailure, WatchStep } from "./store.ts";
 
-/** What a watch follows, and how it notices silence. */
+/** Range, start revision and timeouts of a watch. */
 export interface EtcdWatchOptions {
   key: Buffer;
   rangeEnd: Buffer;
   fromRevision: bigint;
-  /** How often the service is asked to confirm that nothing is missing. */
+  /** Interval of progress requests, which make the service confirm the latest revision. */
   progressMs: number;
-  /** Without any message for this long, the connection counts as lost. */
-  silenceMs: number;
+  /** The connection counts as lost after this time without a message. */
+  idleTimeoutMs: number;
   signal: AbortSignal;
-  /** Called for each message. */
-  onHeard: () => void;
-  /** Called when the watch ends for silence. */
-  onSilent: () => void;
+  /** Called for each received message. */
+  onMessage: () => void;
+  /** Called when the watch ends because no message arrived in time. */
+  onIdleTimeout: () => void;
 }
 
 type WatchStream = ClientDuplexStream<WatchRequest, WatchResponse>;
@@ -28,20 +28,20 @@
 };
 
 /**
- * Follows a range until the signal is aborted or the connection fails.
+ * Watches a range until the signal is aborted or the connection fails.
  *
- * @param stream A stream that nothing was written to yet.
- * @param options What to follow.
- * @returns Changes, progress, and the failure that ended it.
+ * @param stream A new stream to which nothing was written yet.
+ * @param options Range, start revision and timeouts.
+ * @returns Events, progress notifications, and the failure that ended the watch, if any.
  */
 export async function* followRange(
   stream: WatchStream,
   options: EtcdWatchOptions,
 ): AsyncGenerator<Result<WatchStep, StoreFailure>> {
-  const silence = watchForSilence(stream, options);
+  const idleTimer = startIdleTimer(stream, options);
   const cancel = () => stream.cancel();
   options.signal.addEventListener("abort", cancel, { once: true });
-  // Errors after the end, such as that of the cancel itself, have no other listener.
+  // Without a listener, an error after the loop, such as that of cancel(), would be uncaught.
   stream.on("error", () => {});
   if (options.signal.aborted) cancel();
   const progress = setInterval(
@@ -51,17 +51,17 @@
   try {
     stream.write(createRequest(options));
     for await (const response of stream as AsyncIterable<WatchResponse>) {
-      silence.heard();
-      options.onHeard();
+      idleTimer.restart();
+      options.onMessage();
       if (response.canceled) return yield err(toCancelFailure(response));
       for (const step of toSteps(response)) yield ok(step);
     }
-    yield err(lost("The service closed the watch"));
+    yield err(unavailable("The store closed the watch"));
   } catch (error) {
-    if (!options.signal.aborted) yield err(lost(messageOf(error)));
+    if (!options.signal.aborted) yield err(unavailable(messageOf(error)));
   } finally {
     clearInterval(progress);
-    silence.stop();
+    idleTimer.stop();
     options.signal.removeEventListener("abort", cancel);
     stream.cancel();
   }
@@ -77,13 +77,13 @@
   return { requestUnion: { $case: "createRequest", value } };
 }
 
-function watchForSilence(stream: WatchStream, options: EtcdWatchOptions) {
+function startIdleTimer(stream: WatchStream, options: EtcdWatchOptions) {
   const timer = setTimeout(() => {
-    options.onSilent();
+    options.onIdleTimeout();
     stream.cancel();
-  }, options.silenceMs);
+  }, options.idleTimeoutMs);
   return {
-    heard: () => void timer.refresh(),
+    restart: () => void timer.refresh(),
     stop: () => clearTimeout(timer),
   };
 }
@@ -97,10 +97,12 @@
 function toCancelFailure(response: WatchResponse): StoreFailure {
   const oldestRevision = response.compactRevision;
   if (oldestRevision > 0n) return { kind: "compacted", oldestRevision };
-  return lost(`The service cancelled the watch: ${response.cancelReason}`);
+  return unavailable(
+    `The store cancelled the watch: ${response.cancelReason}`,
+  );
 }
 
-function lost(message: string): StoreFailure {
+function unavailable(message: string): StoreFailure {
   return { kind: "unavailable", message };
 }
 
--- a/src/store/commit_limits.ts
+++ b/src/store/commit_limits.ts
@@ -1,15 +1,15 @@
-/** What etcd refuses in a commit, with its default limits. */
+/** Checks a commit against etcd's default limits. */
 import type { Expectation, Write } from "./store.ts";
 
-/** Most writes, and most conditions, of one commit. */
+/** Maximum number of writes, and of conditions, in one commit. */
 export const MAX_COMMIT_OPS = 128;
-/** Largest commit. */
+/** Maximum size of a commit's keys and values. */
 export const MAX_COMMIT_BYTES = 1_572_864;
 
 /**
  * @param expect Conditions of a commit.
- * @param writes Its changes.
- * @returns Why the service refuses it; undefined when it does not.
+ * @param writes Writes of the commit.
+ * @returns Why etcd would refuse the commit; undefined if it is within the limits.
  */
 export function findCommitRefusal(
   expect: Expectation[],
@@ -30,7 +30,7 @@
   return total;
 }
 
-/** A key may be put only once, and not be deleted in the same commit. */
+/** Whether a key is put twice, or both put and deleted: etcd refuses such a commit. */
 function hasOverlap(writes: Write[]): boolean {
   const puts = new Set<string>();
   for (const write of writes) {
--- a/src/store/etcd_store.ts
+++ b/src/store/etcd_store.ts
@@ -1,4 +1,4 @@
-/** The key-value service over etcd's published gRPC interface. */
+/** Client of the key-value service over etcd's public gRPC API. */
 import {
   type CallOptions,
   type ChannelCredentials,
@@ -39,12 +39,12 @@
   /** `ip:port` of the service. */
   address: string;
   credentials: ChannelCredentials;
-  /** Deadline of each call. */
+  /** Timeout of each call and of connecting. */
   callMs: number;
-  /** How often a watch asks the service to confirm that nothing is missing. */
+  /** Interval of a watch's progress requests; the service confirms the latest revision. */
   progressMs: number;
-  /** A watch that hears nothing for this long ends with a failure. */
-  silenceMs: number;
+  /** A watch that receives no message for this long ends with a failure. */
+  idleTimeoutMs: number;
   clock: Clock;
 }
 
@@ -59,16 +59,16 @@
 const DEFAULT_OPTIONS = {
   callMs: 2000,
   progressMs: 1000,
-  silenceMs: 3000,
+  idleTimeoutMs: 3000,
   clock: systemClock,
 };
 
 const EMPTY = Buffer.alloc(0);
-/** In etcd, a range that ends here has no upper end. */
-const NO_END = Buffer.from([0]);
+/** Range end that etcd defines as no upper bound; as a range start, the first key. */
+const NO_UPPER_END = Buffer.from([0]);
 const MS_PER_SECOND = 1000;
 
-/** {@link KeyValueStore} over etcd's gRPC interface. */
+/** {@link KeyValueStore} over etcd's gRPC API. */
 export class EtcdStore implements KeyValueStore {
   readonly #options: EtcdStoreOptions;
   readonly #closed = new AbortController();
@@ -80,8 +80,8 @@
   }
 
   /**
-   * @param options Address, and settings that differ from the defaults.
-   * @returns A store that connects when it is first used.
+   * @param options Address, and settings that override the defaults.
+   * @returns A store that connects on first use.
    */
   static create(
     options: Partial<EtcdStoreOptions> & { address: string },
@@ -137,10 +137,10 @@
       ...prefixBytes(prefix),
       fromRevision,
       progressMs: this.#options.progressMs,
-      silenceMs: this.#options.silenceMs,
+      idleTimeoutMs: this.#options.idleTimeoutMs,
       signal: AbortSignal.any([signal, this.#closed.signal]),
-      onHeard: () => this.#heard(channel),
-      onSilent: () => this.#replaceChannel(channel),
+      onMessage: () => this.#recordReceived(channel),
+      onIdleTimeout: () => this.#replaceChannel(channel),
     });
   }
 
@@ -221,25 +221,25 @@
     }
     const answer = await sendCall(channel, send, deadlineMs);
     if (answer.isOk || answer.error.code !== status.DEADLINE_EXCEEDED) {
-      this.#heard(channel);
-    } else if (channel.heardMs < startMs) {
+      this.#recordReceived(channel);
+    } else if (channel.lastReceivedMs < startMs) {
       this.#replaceChannel(channel);
     }
     return answer.mapErr(toFailure);
   }
 
-  #heard(channel: EtcdChannel): void {
-    channel.heardMs = this.#options.clock.nowMs();
+  #recordReceived(channel: EtcdChannel): void {
+    channel.lastReceivedMs = this.#options.clock.nowMs();
   }
 
-  /** A connection attempt that neither succeeds nor fails is silent, too. */
+  /** Replaces a channel that neither connected nor failed before the deadline. */
   #replaceIfTimedOut(channel: EtcdChannel, deadlineMs: number): void {
     if (Date.now() >= deadlineMs) this.#replaceChannel(channel);
   }
 
-  #replaceChannel(silent: EtcdChannel): void {
-    if (this.#channel !== silent || this.#closed.signal.aborted) return;
-    silent.close();
+  #replaceChannel(unresponsive: EtcdChannel): void {
+    if (this.#channel !== unresponsive || this.#closed.signal.aborted) return;
+    unresponsive.close();
     this.#channel = this.#openChannel();
   }
 
@@ -247,7 +247,7 @@
     return EtcdChannel.create(this.#options.address, this.#options.credentials);
   }
 
-  /** gRPC takes deadlines as wall-clock time. */
+  /** Deadline of a call that starts now, in wall-clock time as gRPC requires. */
   #deadlineMs(): number {
     return Date.now() + this.#options.callMs;
   }
@@ -265,7 +265,7 @@
   });
 }
 
-/** A keep-alive is a stream in etcd; here it lasts for one request and its answer. */
+/** Renews a lease once: etcd's keep-alive is a stream, which is closed after the first response. */
 function keepAliveOnce(
   channel: EtcdChannel,
   leaseId: bigint,
@@ -285,7 +285,7 @@
 }
 
 function unansweredError(): ServiceError {
-  const details = "The stream ended without an answer";
+  const details = "The stream ended without a response";
   const metadata = new Metadata();
   const code = status.UNKNOWN;
   return Object.assign(new Error(details), { code, details, metadata });
@@ -303,7 +303,7 @@
 }
 
 function prefixBytes(prefix: string): { key: Buffer; rangeEnd: Buffer } {
-  if (prefix === "") return { key: NO_END, rangeEnd: NO_END };
+  if (prefix === "") return { key: NO_UPPER_END, rangeEnd: NO_UPPER_END };
   const key = Buffer.from(prefix);
   const rangeEnd = Buffer.from(key);
   rangeEnd[rangeEnd.length - 1]! += 1;
--- a/src/store/etcd_store_test.ts
+++ b/src/store/etcd_store_test.ts
@@ -9,12 +9,12 @@
 import { LeaseService } from "../wire/gen/etcd.ts";
 import { EtcdStore, type Write } from "./mod.ts";
 
-const FAST = { callMs: 300, progressMs: 50, silenceMs: 300 };
+const SHORT_TIMEOUTS = { callMs: 300, progressMs: 50, idleTimeoutMs: 300 };
 
 async function openRelayed() {
   const server = await StandinKv.create();
   const relay = await TcpRelay.create({ targetAddress: server.address });
-  const store = EtcdStore.create({ address: relay.address, ...FAST });
+  const store = EtcdStore.create({ address: relay.address, ...SHORT_TIMEOUTS });
   const close = async () => {
     store.close();
     await relay.close();
@@ -27,20 +27,20 @@
   return { kind: "put", key, value: Buffer.from("a") };
 }
 
-test("write on a silent connection is unknown, and the next one gets through", async () => {
+test("write on an unresponsive connection has an unknown effect, and a later one succeeds", async () => {
   const { relay, store, server, close } = await openRelayed();
   await store.commit([], [put("k1")]);
   relay.freezeOpen();
   const lost = await store.commit([], [put("k2")]);
   assert.ok(lost.isErr);
   assert.equal(lost.error.kind, "effect_unknown");
-  // A busy machine may take longer than the short deadline.
+  // Under high load, a call may exceed the short deadline.
   while ((await store.commit([], [put("k3")])).isErr);
   assert.ok(server.store.table.get("k3"));
   await close();
 });
 
-test("watch on a silent connection ends, and resumes without a gap", async () => {
+test("watch on an unresponsive connection ends, and the next watch misses no event", async () => {
   const { relay, store, server, close } = await openRelayed();
   const { signal } = new AbortController();
   const seen: string[] = [];
@@ -70,7 +70,7 @@
   await close();
 });
 
-test("watch reports progress when nothing happens", async () => {
+test("watch reports progress without events", async () => {
   const { store, server, close } = await openRelayed();
   server.store.table.commit([], [put("other")]);
   const { signal } = new AbortController();
@@ -92,7 +92,7 @@
   await close();
 });
 
-test("store comes back after an outage", async () => {
+test("store is usable again after an outage", async () => {
   const { store, server, close } = await openRelayed();
   await store.commit([], [put("k1")]);
   await server.setFaults({ down: true });
@@ -126,7 +126,10 @@
     const insecure = ServerCredentials.createInsecure();
     server.bindAsync("127.0.0.1:0", insecure, (_, port) => resolve(port));
   });
-  const store = EtcdStore.create({ address: `127.0.0.1:${port}`, ...FAST });
+  const store = EtcdStore.create({
+    address: `127.0.0.1:${port}`,
+    ...SHORT_TIMEOUTS,
+  });
   const renewed = await store.renewLease(1n);
   assert.ok(renewed.isErr);
   assert.equal(renewed.error.kind, "effect_unknown");
--- a/src/store/memory_store.ts
+++ b/src/store/memory_store.ts
@@ -1,4 +1,4 @@
-/** The key-value service in memory, with faults on demand; for tests and the stand-in service. */
+/** In-memory key-value store with fault injection, for tests and the stand-in service. */
 import { err, ok, type Result } from "true-myth/result";
 import { type Clock, systemClock } from "../base/mod.ts";
 import { findCommitRefusal } from "./commit_limits.ts";
@@ -20,35 +20,35 @@
   Write,
 } from "./store.ts";
 
-/** Faults that a test switches on and off. */
+/** Faults that a test injects. */
 export interface StoreFaults {
-  /** No call gets through, and watches end. */
+  /** All calls fail without effect, and watches end. */
   down: boolean;
-  /** Added to every call, before it takes effect. */
+  /** Delay of every call before it takes effect. */
   slowMs: number;
-  /** The next commit takes effect, but its answer is lost. */
+  /** The next commit takes effect, but its caller gets `effect_unknown`. */
   loseNextAnswer: boolean;
-  /** The next commit is lost on its way, which its caller can't tell. */
+  /** The next commit has no effect, and its caller gets `effect_unknown`. */
   loseNextRequest: boolean;
-  /** The next commit's answer is lost, and it takes effect this much later; 0: off. */
+  /** The next commit takes effect this much later, and its caller gets `effect_unknown`; 0: off. */
   lateNextEffectMs: number;
 }
 
-/** Calls since the store was made. */
+/** Counts of calls and bytes since the store was created. */
 export interface StoreCounters {
   reads: number;
   /** Commits and lease calls. */
   writes: number;
   /** Watches opened. */
   watches: number;
-  /** Bytes of keys and values, both ways. */
+  /** Bytes of keys and values, read and written. */
   bytes: number;
 }
 
 /** Settings of a {@link MemoryStore}. */
 export interface MemoryStoreOptions {
   clock: Clock;
-  /** Time without events after which a watch reports progress. */
+  /** Time without events after which a watch reports its progress. */
   progressMs: number;
 }
 
@@ -77,7 +77,7 @@
     watches: 0,
     bytes: 0,
   };
-  /** The state itself, for what tests want to see or change past all faults. */
+  /** The stored data; tests read and change it directly, bypassing the injected faults. */
   readonly table = RevisionTable.create();
   readonly #options: MemoryStoreOptions;
   readonly #leases = new Map<bigint, LeaseState>();
@@ -89,7 +89,7 @@
   }
 
   /**
-   * @param options Settings that differ from the defaults.
+   * @param options Settings that override the defaults.
    * @returns An empty store.
    */
   static create(options: Partial<MemoryStoreOptions> = {}): MemoryStore {
@@ -100,7 +100,7 @@
     key: string,
   ): Promise<Result<KeyValueEntry | undefined, StoreFailure>> {
     this.counters.reads++;
-    if (!await this.#reached()) return err(unavailable());
+    if (!await this.#isReachable()) return err(unavailable());
     const entry = this.table.get(key);
     this.#countEntries(entry ? [entry] : []);
     return ok(entry);
@@ -112,11 +112,11 @@
 
   /**
    * @param range Keys to list.
-   * @returns The entries and the revision at which the list was true.
+   * @returns The entries, and the revision at which they were read.
    */
   async listRange(range: KeyRange): Promise<Result<Listing, StoreFailure>> {
     this.counters.reads++;
-    if (!await this.#reached()) return err(unavailable());
+    if (!await this.#isReachable()) return err(unavailable());
     const entries = this.table.list(range);
     this.#countEntries(entries);
     return ok({ entries, revision: this.table.revision });
@@ -128,16 +128,16 @@
   ): Promise<Result<CommitOutcome, StoreFailure>> {
     this.counters.writes++;
     this.#countWrites(writes);
-    if (!await this.#reached()) return err(unavailable());
+    if (!await this.#isReachable()) return err(unavailable());
     const refusal = findCommitRefusal(expect, writes);
     if (refusal) return err(unavailable(refusal));
-    const lapsed = writes.find((write) => this.#hasLapsedLease(write));
-    if (lapsed) return err(unavailable("The lease of a write has lapsed"));
-    if (this.#takeLostRequest()) return err(effectUnknown());
-    if (this.#delayEffect(expect, writes)) return err(effectUnknown());
+    const expired = writes.find((write) => this.#hasExpiredLease(write));
+    if (expired) return err(unavailable("The lease of a write has lapsed"));
+    if (this.#consumeLostRequest()) return err(effectUnknown());
+    if (this.#scheduleLateEffect(expect, writes)) return err(effectUnknown());
     const outcome = this.table.commit(expect, writes);
     if (outcome.kind === "conflict") this.#countEntries(outcome.current);
-    if (this.#takeLostAnswer()) return err(effectUnknown());
+    if (this.#consumeLostAnswer()) return err(effectUnknown());
     return ok(outcome);
   }
 
@@ -147,29 +147,29 @@
     signal: AbortSignal,
   ): AsyncGenerator<Result<WatchStep, StoreFailure>> {
     this.counters.watches++;
-    if (!await this.#reached()) return yield err(unavailable());
+    if (!await this.#isReachable()) return yield err(unavailable());
     const compacted = this.table.compactedRevision;
     if (fromRevision !== 0n && fromRevision <= compacted) {
       return yield err({ kind: "compacted", oldestRevision: compacted + 1n });
     }
     const pending: TableEvent[] = [];
-    let wake = () => {};
+    let notify = () => {};
     const unsubscribe = this.table.subscribe(
       prefixRange(prefix),
       fromRevision,
       (events) => {
         pending.push(...events);
-        wake();
+        notify();
       },
     );
     try {
       while (!signal.aborted) {
-        if (this.#isCutOff()) return yield err(unavailable());
+        if (this.#isUnavailable()) return yield err(unavailable());
         const steps = this.#takeSteps(pending);
         for (const step of steps) yield ok(step);
         if (pending.length > 0) continue;
-        const awoken = new Promise<void>((resolve) => wake = resolve);
-        await this.#pause(awoken, signal);
+        const notified = new Promise<void>((resolve) => notify = resolve);
+        await this.#waitForEvents(notified, signal);
       }
     } finally {
       unsubscribe();
@@ -178,16 +178,16 @@
 
   async grantLease(ttlMs: number): Promise<Result<StoreLease, StoreFailure>> {
     this.counters.writes++;
-    if (!await this.#reached()) return err(unavailable());
+    if (!await this.#isReachable()) return err(unavailable());
     const leaseId = this.#nextLeaseId++;
     this.#leases.set(leaseId, { ttlMs, expiresMs: this.#nowMs() + ttlMs });
-    this.#expireLater(leaseId, ttlMs);
+    this.#scheduleExpiry(leaseId, ttlMs);
     return ok({ leaseId, ttlMs });
   }
 
   async renewLease(leaseId: bigint): Promise<Result<StoreLease, StoreFailure>> {
     this.counters.writes++;
-    if (!await this.#reached()) return err(unavailable());
+    if (!await this.#isReachable()) return err(unavailable());
     const lease = this.#leases.get(leaseId);
     if (!lease) return ok({ leaseId, ttlMs: 0 });
     lease.expiresMs = this.#nowMs() + lease.ttlMs;
@@ -196,8 +196,8 @@
 
   async revokeLease(leaseId: bigint): Promise<Result<void, StoreFailure>> {
     this.counters.writes++;
-    if (!await this.#reached()) return err(unavailable());
-    this.#dropLease(leaseId);
+    if (!await this.#isReachable()) return err(unavailable());
+    this.#endLease(leaseId);
     return ok<void, StoreFailure>(undefined);
   }
 
@@ -205,24 +205,35 @@
     this.#closed.abort();
   }
 
-  async #reached(): Promise<boolean> {
+  /** Applies the injected delay, then tells whether the call reaches the store. */
+  async #isReachable(): Promise<boolean> {
     const { slowMs } = this.faults;
     if (slowMs > 0) await this.#sleep(slowMs);
     this.#expireLeases();
-    return !this.#isCutOff();
+    return !this.#isUnavailable();
   }
 
-  #isCutOff(): boolean {
+  #isUnavailable(): boolean {
     return this.faults.down || this.#closed.signal.aborted;
   }
 
-  /** Waits for events; faults are looked at in between, progress is due afterwards. */
-  async #pause(awoken: Promise<void>, signal: AbortSignal): Promise<void> {
-    const stop = new AbortController();
-    const signals = AbortSignal.any([signal, stop.signal, this.#closed.signal]);
-    const idle = this.#options.clock.sleep(this.#options.progressMs, signals);
-    await Promise.race([awoken, idle]);
-    stop.abort();
+  /** Waits for the next event or until progress is due; the caller then checks for faults. */
+  async #waitForEvents(
+    notified: Promise<void>,
+    signal: AbortSignal,
+  ): Promise<void> {
+    const waitEnd = new AbortController();
+    const signals = AbortSignal.any([
+      signal,
+      waitEnd.signal,
+      this.#closed.signal,
+    ]);
+    const progressDue = this.#options.clock.sleep(
+      this.#options.progressMs,
+      signals,
+    );
+    await Promise.race([notified, progressDue]);
+    waitEnd.abort();
   }
 
   #takeSteps(pending: TableEvent[]): WatchStep[] {
@@ -231,19 +242,19 @@
     return [{ kind: "progress", revision: this.table.revision }];
   }
 
-  #takeLostRequest(): boolean {
+  #consumeLostRequest(): boolean {
     const lost = this.faults.loseNextRequest;
     this.faults.loseNextRequest = false;
     return lost;
   }
 
-  #takeLostAnswer(): boolean {
+  #consumeLostAnswer(): boolean {
     const lost = this.faults.loseNextAnswer;
     this.faults.loseNextAnswer = false;
     return lost;
   }
 
-  #delayEffect(expect: Expectation[], writes: Write[]): boolean {
+  #scheduleLateEffect(expect: Expectation[], writes: Write[]): boolean {
     const lateMs = this.faults.lateNextEffectMs;
     if (lateMs === 0) return false;
     this.faults.lateNextEffectMs = 0;
@@ -251,29 +262,32 @@
     return true;
   }
 
-  #hasLapsedLease(write: Write): boolean {
+  #hasExpiredLease(write: Write): boolean {
     return write.kind === "put" && write.leaseId !== undefined &&
       write.leaseId !== 0n && !this.#leases.has(write.leaseId);
   }
 
-  #expireLater(leaseId: bigint, waitMs: number): void {
+  #scheduleExpiry(leaseId: bigint, waitMs: number): void {
     void this.#sleep(waitMs).then(() => {
       this.#expireLeases();
       const lease = this.#leases.get(leaseId);
       if (!lease || this.#closed.signal.aborted) return;
-      this.#expireLater(leaseId, Math.max(1, lease.expiresMs - this.#nowMs()));
+      this.#scheduleExpiry(
+        leaseId,
+        Math.max(1, lease.expiresMs - this.#nowMs()),
+      );
     });
   }
 
   #expireLeases(): void {
     const nowMs = this.#nowMs();
     for (const [leaseId, lease] of this.#leases) {
-      if (lease.expiresMs <= nowMs) this.#dropLease(leaseId);
+      if (lease.expiresMs <= nowMs) this.#endLease(leaseId);
     }
   }
 
-  #dropLease(leaseId: bigint): void {
-    if (this.#leases.delete(leaseId)) this.table.dropLease(leaseId);
+  #endLease(leaseId: bigint): void {
+    if (this.#leases.delete(leaseId)) this.table.deleteLeaseKeys(leaseId);
   }
 
   #sleep(ms: number): Promise<void> {
--- a/src/store/mod.ts
+++ b/src/store/mod.ts
@@ -1,4 +1,4 @@
-/** The platform's key-value service. */
+/** Interface and adapters of the platform's key-value service. */
 export {
   findCommitRefusal,
   MAX_COMMIT_BYTES,
--- a/src/store/revision_table.ts
+++ b/src/store/revision_table.ts
@@ -1,4 +1,4 @@
-/** Keys with revisions, history and subscribers: the state of a multi-version store, in memory. */
+/** In-memory state of a multi-version key-value store: entries, revisions, history, subscribers. */
 import type {
   CommitOutcome,
   Expectation,
@@ -6,12 +6,12 @@
   Write,
 } from "./store.ts";
 
-/** One change of one key. */
+/** One change of a key. */
 export type TableEvent =
   | { kind: "put"; entry: KeyValueEntry }
   | { kind: "delete"; key: string; revision: bigint };
 
-/** Keys from `from` (inclusive) to `to` (exclusive); `to` undefined: no upper end. */
+/** Keys from `from` (inclusive) to `to` (exclusive); without `to`, there is no upper bound. */
 export interface KeyRange {
   from: string;
   to: string | undefined;
@@ -29,11 +29,11 @@
   leaseId: bigint;
 }
 
-/** In etcd, an empty store has revision 1. */
+/** Revision of an empty store, as in etcd. */
 const FIRST_REVISION = 1n;
 
 /**
- * @param prefix What keys start with; empty: all keys.
+ * @param prefix Prefix of the keys; empty: all keys.
  * @returns The range of all keys with this prefix.
  */
 export function prefixRange(prefix: string): KeyRange {
@@ -43,7 +43,10 @@
   return { from: prefix, to };
 }
 
-/** Changes are synchronous; subscribers hear of a commit before {@link commit} returns. */
+/**
+ * Multi-version key-value table. Changes are synchronous: subscribers are notified of a commit
+ * before {@link RevisionTable.commit} returns.
+ */
 export class RevisionTable {
   readonly #entries = new Map<string, StoredEntry>();
   readonly #subscribers = new Set<Subscriber>();
@@ -63,44 +66,44 @@
     return this.#revision;
   }
 
-  /** Events up to this revision are no longer kept. */
+  /** History up to this revision (inclusive) was deleted. */
   get compactedRevision(): bigint {
     return this.#compactedRevision;
   }
 
   /**
    * @param key The key.
-   * @returns Its entry, if it exists.
+   * @returns The key's entry, if it exists.
    */
   get(key: string): KeyValueEntry | undefined {
     const stored = this.#entries.get(key);
-    return stored && publicEntry(stored);
+    return stored && toPublicEntry(stored);
   }
 
   /**
    * @param range Keys to list.
-   * @returns The entries, in the order of their keys.
+   * @returns The entries, sorted by key.
    */
   list(range: KeyRange): KeyValueEntry[] {
     const found: KeyValueEntry[] = [];
     for (const stored of this.#entries.values()) {
-      if (contains(range, stored.key)) found.push(publicEntry(stored));
+      if (contains(range, stored.key)) found.push(toPublicEntry(stored));
     }
     return found.sort((a, b) => (a.key < b.key ? -1 : 1));
   }
 
   /**
-   * Writes all of `writes` if all of `expect` holds, else nothing.
+   * Applies all of `writes` if all conditions of `expect` hold, else none.
    *
    * @param expect Conditions.
-   * @param writes Changes; they share one revision.
-   * @returns What became of it.
+   * @param writes Changes, which all get the same revision.
+   * @returns The new revision, or the entries that conflict with the conditions.
    */
   commit(expect: Expectation[], writes: Write[]): CommitOutcome {
-    if (!this.#holds(expect)) {
+    if (!this.#isSatisfied(expect)) {
       return {
         kind: "conflict",
-        current: this.#current(expect),
+        current: this.#currentEntries(expect),
         revision: this.#revision,
       };
     }
@@ -112,11 +115,11 @@
   }
 
   /**
-   * Deletes the keys that are bound to a lease.
+   * Deletes the keys that are attached to a lease.
    *
-   * @param leaseId The lease that lapsed or was revoked.
+   * @param leaseId A lease that expired or was revoked.
    */
-  dropLease(leaseId: bigint): void {
+  deleteLeaseKeys(leaseId: bigint): void {
     const writes: Write[] = [];
     for (const stored of this.#entries.values()) {
       if (stored.leaseId === leaseId) {
@@ -127,9 +130,9 @@
   }
 
   /**
-   * Forgets history, as the service does from time to time.
+   * Deletes old history, as the service does from time to time.
    *
-   * @param revision Events up to here are dropped.
+   * @param revision Last revision whose events are deleted.
    */
   compact(revision: bigint): void {
     this.#compactedRevision = revision;
@@ -139,12 +142,12 @@
   }
 
   /**
-   * Delivers kept events from `fromRevision` at once, and later ones as they happen.
+   * Delivers the retained events from `fromRevision` on at once, and later events as they occur.
    *
-   * @param range Keys to follow.
-   * @param fromRevision First revision wanted; 0: only what is yet to come.
+   * @param range Keys to watch.
+   * @param fromRevision First revision to deliver; 0: future events only.
    * @param listener Receives the events.
-   * @returns Ends the subscription.
+   * @returns A function that ends the subscription.
    */
   subscribe(
     range: KeyRange,
@@ -152,19 +155,19 @@
     listener: TableListener,
   ): () => void {
     const subscriber = { range, listener };
-    const past = fromRevision === 0n ? [] : this.#since(fromRevision);
-    deliver(subscriber, past);
+    const replayed = fromRevision === 0n ? [] : this.#eventsSince(fromRevision);
+    deliver(subscriber, replayed);
     this.#subscribers.add(subscriber);
     return () => void this.#subscribers.delete(subscriber);
   }
 
-  #holds(expect: Expectation[]): boolean {
+  #isSatisfied(expect: Expectation[]): boolean {
     return expect.every(({ key, modRevision }) =>
       (this.#entries.get(key)?.modRevision ?? 0n) === modRevision
     );
   }
 
-  #current(expect: Expectation[]): KeyValueEntry[] {
+  #currentEntries(expect: Expectation[]): KeyValueEntry[] {
     const keys = new Set(expect.map(({ key }) => key));
     return [...keys].flatMap((key) => this.get(key) ?? []);
   }
@@ -176,8 +179,8 @@
       case "delete":
         return this.#delete(write.key, revision, events);
       case "delete_range": {
-        const doomed = this.list({ from: write.from, to: write.to });
-        for (const { key } of doomed) this.#delete(key, revision, events);
+        const matching = this.list({ from: write.from, to: write.to });
+        for (const { key } of matching) this.#delete(key, revision, events);
         return;
       }
     }
@@ -196,7 +199,7 @@
       leaseId: write.leaseId ?? 0n,
     };
     this.#entries.set(write.key, stored);
-    events.push({ kind: "put", entry: publicEntry(stored) });
+    events.push({ kind: "put", entry: toPublicEntry(stored) });
   }
 
   #delete(key: string, revision: bigint, events: TableEvent[]): void {
@@ -211,7 +214,7 @@
     for (const subscriber of this.#subscribers) deliver(subscriber, events);
   }
 
-  #since(revision: bigint): TableEvent[] {
+  #eventsSince(revision: bigint): TableEvent[] {
     const history = this.#history;
     let first = history.length;
     while (first > 0 && revisionOf(history[first - 1]!) >= revision) first--;
@@ -219,7 +222,7 @@
   }
 }
 
-function publicEntry(stored: StoredEntry): KeyValueEntry {
+function toPublicEntry(stored: StoredEntry): KeyValueEntry {
   const { key, value, modRevision, createRevision } = stored;
   return { key, value, modRevision, createRevision };
 }
--- a/src/store/store.ts
+++ b/src/store/store.ts
@@ -1,29 +1,29 @@
 /**
- * The platform's key-value service as cicadahitch needs it. The one adapter is `etcd_store.ts`;
- * tests use the in-memory one.
+ * Interface of the platform's key-value service. Implementations: `etcd_store.ts` over etcd's API,
+ * `platform/store.ts` over the platform's HTTP API, and `memory_store.ts` in memory, for tests.
  */
 import type { Result } from "true-myth/result";
 
-/** A key with its value and the revisions that a compare-and-swap refers to. */
+/** A key, its value, and the revisions that compare-and-swap conditions refer to. */
 export interface KeyValueEntry {
   key: string;
   value: Uint8Array;
   /** Store revision of the last write to this key. */
   modRevision: bigint;
-  /** Store revision at which the key came to exist. */
+  /** Store revision at which the key was created. */
   createRevision: bigint;
 }
 
-/** Why a call to the store gave no answer. */
+/** Why a call to the store failed. */
 export type StoreFailure =
-  /** The call did not take effect and never will. */
+  /** The call had no effect and never will. */
   | { kind: "unavailable"; message: string }
-  /** A write may or may not have taken effect, or may still do so. */
+  /** A write may have taken effect, or may still do so. */
   | { kind: "effect_unknown"; message: string }
-  /** A watch asked for revisions that the store no longer keeps. */
+  /** A watch requested revisions that the store has compacted. */
   | { kind: "compacted"; oldestRevision: bigint };
 
-/** Condition of a commit: the key's last revision; 0: the key must not exist. */
+/** Condition of a commit: the key's current `modRevision`; 0: the key must not exist. */
 export interface Expectation {
   key: string;
   modRevision: bigint;
@@ -33,49 +33,49 @@
 export type Write =
   | { kind: "put"; key: string; value: Uint8Array; leaseId?: bigint }
   | { kind: "delete"; key: string }
-  /** Deletes `from` (inclusive) to `to` (exclusive). */
+  /** Deletes the keys from `from` (inclusive) to `to` (exclusive). */
   | { kind: "delete_range"; from: string; to: string };
 
-/** What became of a commit that the store answered. */
+/** The store's answer to a commit. */
 export type CommitOutcome =
   | { kind: "committed"; revision: bigint }
-  /** An expectation did not hold; `current` has the expected keys that exist. */
+  /** A condition failed; `current` holds the entries of the expected keys that exist. */
   | { kind: "conflict"; current: KeyValueEntry[]; revision: bigint };
 
-/** A consistent list of keys. */
+/** The entries of a list call. */
 export interface Listing {
   entries: KeyValueEntry[];
-  /** Store revision at which the list was true. */
+  /** Store revision of the list; a watch from the next revision misses no change. */
   revision: bigint;
 }
 
-/** What a watch reports. */
+/** One item of a watch: an event or a progress notification. */
 export type WatchStep =
   | { kind: "put"; entry: KeyValueEntry }
   | { kind: "delete"; key: string; revision: bigint }
-  /** No events, but the store vouches that all up to `revision` has been delivered. */
+  /** The store guarantees that all events up to `revision` have been delivered. */
   | { kind: "progress"; revision: bigint };
 
-/** A lease; it lapses unless it is kept alive. */
+/** A lease, which expires after `ttlMs` unless it is renewed. */
 export interface StoreLease {
   leaseId: bigint;
   ttlMs: number;
 }
 
-/** Queries and commands of the key-value service; each call counts against its rates. */
+/** Client of the key-value service; every call counts towards the service's rate limits. */
 export interface KeyValueStore {
   /** Reads one key. */
   get(key: string): Promise<Result<KeyValueEntry | undefined, StoreFailure>>;
   /** Reads all keys that start with `prefix`. */
   list(prefix: string): Promise<Result<Listing, StoreFailure>>;
-  /** Writes all of `writes` if all of `expect` holds, else nothing. */
+  /** Applies all of `writes` if all conditions of `expect` hold, else none. */
   commit(
     expect: Expectation[],
     writes: Write[],
   ): Promise<Result<CommitOutcome, StoreFailure>>;
   /**
-   * Follows a prefix from `fromRevision` (inclusive). Ends with a failure when the connection is
-   * lost or silent; the caller starts again from the revision after the last step.
+   * Watches a prefix from `fromRevision` (inclusive). Ends with a failure when the connection is
+   * lost or idle for too long; the caller then starts a new watch after the last received revision.
    */
   watch(
     prefix: string,
@@ -83,7 +83,7 @@
     signal: AbortSignal,
   ): AsyncIterable<Result<WatchStep, StoreFailure>>;
   grantLease(ttlMs: number): Promise<Result<StoreLease, StoreFailure>>;
-  /** Renews once; `ttlMs` 0 in the answer: the lease is gone. */
+  /** Renews a lease once; a `ttlMs` of 0 in the result means that the lease no longer exists. */
   renewLease(leaseId: bigint): Promise<Result<StoreLease, StoreFailure>>;
   revokeLease(leaseId: bigint): Promise<Result<void, StoreFailure>>;
   close(): void;
--- a/src/store/store_contract_test.ts
+++ b/src/store/store_contract_test.ts
@@ -13,22 +13,22 @@
 
 const SEED = 20_261_202;
 const CALL_MS = 10_000;
-/** For the test that waits for lost answers. */
+/** Timeout in the test that waits for lost answers. */
 const SHORT_CALL_MS = 500;
 
-interface Trio {
-  /** Over sockets. */
+interface TestStores {
+  /** Client of {@link StandinKv}. */
   etcd: EtcdStore;
-  /** Over sockets, too, by the users' platform's calls. */
+  /** Client of {@link StandinPlatformStore}. */
   platform: PlatformStore;
-  /** What they should be like. */
+  /** Reference implementation. */
   memory: MemoryStore;
   server: StandinKv;
   platformServer: StandinPlatformStore;
   close(): Promise<void>;
 }
 
-async function openStores(callMs = CALL_MS): Promise<Trio> {
+async function openStores(callMs = CALL_MS): Promise<TestStores> {
   const server = await StandinKv.create();
   const etcd = EtcdStore.create({ address: server.address, callMs });
   const platformServer = await StandinPlatformStore.create();
@@ -54,7 +54,7 @@
   return { kind: "put", key, value: Buffer.from(text), leaseId };
 }
 
-/** Everything in the store, without the difference between byte array types. */
+/** Lists all entries; values are strings, since the adapters use different byte array types. */
 async function contents(store: KeyValueStore): Promise<unknown> {
   const listing = await store.list("");
   assert.ok(listing.isOk);
@@ -106,7 +106,7 @@
   { maxLength: 12 },
 );
 
-/** Kind, expected keys that exist, and the store's revision. */
+/** Returns the kind, the expected keys that exist, and the store's revision. */
 function summarize(
   outcome: Awaited<ReturnType<KeyValueStore["commit"]>>,
 ): unknown[] {
@@ -134,7 +134,7 @@
         );
         const [first, second, third] = outcomes.map(summarize);
         assert.deepEqual(first, third);
-        // The platform tells a conflict's keys, not the revision of the whole store.
+        // On a conflict, the platform returns the keys but not the store's revision.
         assert.deepEqual(second?.slice(0, 2), third?.slice(0, 2));
         if (second?.[0] === "committed") assert.deepEqual(second, third);
       }
@@ -147,7 +147,7 @@
   await fc.assert(sequence, { seed: SEED, numRuns: 30 });
 });
 
-test("conflict tells the current entry", async () => {
+test("conflict returns the current entry", async () => {
   const { etcd, platform, memory, close } = await openStores();
   for (const store of [etcd, platform, memory]) {
     await store.commit([], [put("k", "first")]);
@@ -165,7 +165,7 @@
   await close();
 });
 
-test("lost answer has effect, lost request has none, late effect comes", async () => {
+test("commit with a lost answer takes effect, with a lost request not, delayed one later", async () => {
   const { etcd, platform, memory, server, platformServer, close } =
     await openStores(SHORT_CALL_MS);
   for (
@@ -203,13 +203,13 @@
   await close();
 });
 
-test("watch of forgotten revisions ends", async () => {
+test("watch of compacted revisions fails", async () => {
   const { etcd, platform, memory, server, platformServer, close } =
     await openStores();
   for (
     const { store, table, oldestRevision } of [
       { store: etcd, table: server.store.table, oldestRevision: 3n },
-      // The platform doesn't say what it still keeps: this is the revision that was asked for.
+      // The platform doesn't return its oldest revision, so this is the requested one.
       {
         store: platform,
         table: platformServer.store.table,
@@ -231,7 +231,7 @@
   await close();
 });
 
-test("lapsed lease takes its keys along", async () => {
+test("keys of an expired lease are deleted", async () => {
   const { etcd, platform, memory, server, platformServer, close } =
     await openStores();
   for (
@@ -259,7 +259,7 @@
   await close();
 });
 
-test("store that is down refuses commits without effect", async () => {
+test("commit to an unavailable store fails without effect", async () => {
   const { etcd, platform, memory, server, platformServer, close } =
     await openStores();
   await etcd.get("k");
@@ -268,7 +268,7 @@
   await platformServer.down();
   memory.faults.down = true;
   for (const store of [etcd, platform, memory]) {
-    // Until the adapter has seen the connection end, it can't tell that nothing was sent.
+    // Until the adapter notices the disconnect, it can't know that nothing was sent.
     let kind = "";
     while (kind !== "unavailable") {
       const outcome = await store.commit([], [put("k", "a")]);
