--- a/src/base/clock.ts
+++ b/src/base/clock.ts
@@ -1,15 +1,15 @@
-/** Time, behind an interface so that tests can drive it. */
+/** Clocks, behind an interface so that tests can use virtual time. */
 /** A source of time. */
 export interface Clock {
-  /** Monotonic time in ms; only differences mean something. */
+  /** Monotonic time in ms; only differences between readings are meaningful. */
   nowMs(): number;
   /** Wall-clock time in ms since 1970. */
   wallMs(): number;
-  /** Resolves after `ms`, or at once when the signal is aborted. */
+  /** Resolves after `ms`, or as soon as the signal is aborted. */
   sleep(ms: number, signal?: AbortSignal): Promise<void>;
 }
 
-/** The machine's clock. */
+/** The system clock. */
 export const systemClock: Clock = {
   nowMs: () => performance.now(),
   wallMs: () => Date.now(),
@@ -18,7 +18,7 @@
       if (signal?.aborted) return resolve();
       const wake = () => {
         clearTimeout(timer);
-        if (signal) forget(signal, wake);
+        if (signal) removeWake(signal, wake);
         resolve();
       };
       const timer = setTimeout(wake, ms);
@@ -26,20 +26,21 @@
     }),
 };
 
-/** Those who sleep under one signal. */
-interface Sleepers {
+/** Pending sleeps that share one signal, and its abort listener. */
+interface PendingSleeps {
   wakes: Set<() => void>;
   wakeAll(): void;
 }
 
 /**
- * As many sleep under a process's one signal as engines change their weights. They share a listener,
- * so that Node's bound on listeners still shows a leak.
+ * Pending sleeps by signal. One process-wide signal may have many pending sleeps, such as one for
+ * each engine that changes its weights. They share one abort listener, so that Node's listener
+ * limit is exceeded only by a real leak.
  */
-const sleepersOf = new WeakMap<AbortSignal, Sleepers>();
+const pendingBySignal = new WeakMap<AbortSignal, PendingSleeps>();
 
 function wakeOnAbort(signal: AbortSignal, wake: () => void): void {
-  const known = sleepersOf.get(signal);
+  const known = pendingBySignal.get(signal);
   if (known) {
     known.wakes.add(wake);
     return;
@@ -48,13 +49,13 @@
   const wakeAll = () => {
     for (const one of wakes) one();
   };
-  sleepersOf.set(signal, { wakes, wakeAll });
+  pendingBySignal.set(signal, { wakes, wakeAll });
   signal.addEventListener("abort", wakeAll, { once: true });
 }
 
-function forget(signal: AbortSignal, wake: () => void): void {
-  const sleepers = sleepersOf.get(signal);
-  if (!sleepers?.wakes.delete(wake) || sleepers.wakes.size > 0) return;
-  sleepersOf.delete(signal);
-  signal.removeEventListener("abort", sleepers.wakeAll);
+function removeWake(signal: AbortSignal, wake: () => void): void {
+  const pending = pendingBySignal.get(signal);
+  if (!pending?.wakes.delete(wake) || pending.wakes.size > 0) return;
+  pendingBySignal.delete(signal);
+  signal.removeEventListener("abort", pending.wakeAll);
 }
--- a/src/base/clock_test.ts
+++ b/src/base/clock_test.ts
@@ -3,15 +3,16 @@
 import { test } from "node:test";
 import { systemClock } from "./clock.ts";
 
-const SLEEPERS = 20;
+const SLEEP_COUNT = 20;
 const LONG_MS = 60_000;
 
-// Four engines that changed their weights slept under the process's one signal beside its seven
-// loops and a lease: Node took 12 listeners for a leak and said so in plain text among log lines.
-test("sleepers under one signal share a listener", async () => {
+// Each pending sleep used to add an abort listener to the process-wide signal. With four engines
+// changing their weights, seven loops and a lease, there were 12 listeners, so Node printed a leak
+// warning as plain text among the JSON log lines.
+test("pending sleeps of one signal share a listener", async () => {
   const end = new AbortController();
   const sleeps = Array.from(
-    { length: SLEEPERS },
+    { length: SLEEP_COUNT },
     () => systemClock.sleep(LONG_MS, end.signal),
   );
   const { length } = getEventListeners(end.signal, "abort");
@@ -20,19 +21,19 @@
   assert.equal(length, 1);
 });
 
-// A loop sleeps under its signal as long as the process lives.
-test("sleepers that woke leave no listener", async () => {
+// A loop sleeps with the same signal for the lifetime of the process, so leaks would add up.
+test("finished sleeps leave no listener", async () => {
   const end = new AbortController();
   const sleeps = Array.from(
-    { length: SLEEPERS },
+    { length: SLEEP_COUNT },
     (_, i) => systemClock.sleep(i % 2, end.signal),
   );
   await Promise.all(sleeps);
   assert.equal(getEventListeners(end.signal, "abort").length, 0);
 });
 
-// What is left of the sleepers must still hear the signal when others have woken.
-test("sleeper wakes at the signal after others woke by themselves", async () => {
+// Removing sleeps that have finished must not remove the listener that pending sleeps need.
+test("an abort ends a pending sleep after other sleeps have finished", async () => {
   const end = new AbortController();
   const long = systemClock.sleep(LONG_MS, end.signal);
   await systemClock.sleep(1, end.signal);
--- a/src/base/imports_test.ts
+++ b/src/base/imports_test.ts
@@ -4,13 +4,13 @@
 import { test } from "node:test";
 import { fileURLToPath } from "node:url";
 
-/** The repository, also where the tests run from their build. */
+/** Root of the repository, also for tests that run from the build directory. */
 const ROOT = fileURLToPath(new URL("../../", import.meta.url));
 const SOURCES = join(ROOT, "src");
 const MAX_LINES = 350;
 const IMPORT = /(?:from|import)\s*\(?\s*"(\.[^"]+)"/g;
 
-/** Imports of each module, types included; paths below `src`. */
+/** Returns the imports of each module, type imports included, as paths relative to `src`. */
 function readGraph(): Map<string, string[]> {
   const paths = readdirSync(SOURCES, { recursive: true, encoding: "utf8" })
     .filter((path) => path.endsWith(".ts"));
@@ -23,31 +23,31 @@
   }));
 }
 
-/** A path from a module back to itself, if there is one. */
-function findCircle(graph: Map<string, string[]>): string[] | undefined {
+/** Returns an import cycle, if there is one. */
+function findCycle(graph: Map<string, string[]>): string[] | undefined {
   const done = new Set<string>();
-  const trail: string[] = [];
+  const stack: string[] = [];
   const visit = (path: string): string[] | undefined => {
-    const at = trail.indexOf(path);
-    if (at >= 0) return [...trail.slice(at), path];
+    const start = stack.indexOf(path);
+    if (start >= 0) return [...stack.slice(start), path];
     if (done.has(path)) return undefined;
-    trail.push(path);
+    stack.push(path);
     for (const target of graph.get(path) ?? []) {
-      const circle = visit(target);
-      if (circle) return circle;
+      const cycle = visit(target);
+      if (cycle) return cycle;
     }
-    trail.pop();
+    stack.pop();
     done.add(path);
     return undefined;
   };
   for (const path of graph.keys()) {
-    const circle = visit(path);
-    if (circle) return circle;
+    const cycle = visit(path);
+    if (cycle) return cycle;
   }
   return undefined;
 }
 
-/** Text of what may name a program: sources, pages and scripts, by path. */
+/** Returns the texts that may refer to a program by name (sources, pages and scripts) by path. */
 function readTexts(): [string, string][] {
   const sources = readdirSync(SOURCES, { recursive: true, encoding: "utf8" })
     .filter((path) => path.endsWith(".ts"))
@@ -62,11 +62,11 @@
   ]);
 }
 
-test("modules import each other in one direction", () => {
-  assert.deepEqual(findCircle(readGraph()), undefined);
+test("modules have no import cycles", () => {
+  assert.deepEqual(findCycle(readGraph()), undefined);
 });
 
-test("no module is longer than a reader takes in at once", () => {
+test("no module is longer than 350 lines", () => {
   const long = [...readGraph().keys()].filter((path) => {
     if (path.endsWith("_test.ts") || path.startsWith("wire/gen/")) return false;
     const lines = readFileSync(join(SOURCES, path), "utf8").split("\n").length;
@@ -75,7 +75,7 @@
   assert.deepEqual(long, []);
 });
 
-test("every module is imported, or named as a program", () => {
+test("every module is imported or referred to as a program", () => {
   const graph = readGraph();
   assert.ok(graph.size > 100);
   const imported = new Set([...graph.values()].flat());
--- a/src/base/lifecycle.ts
+++ b/src/base/lifecycle.ts
@@ -1,17 +1,17 @@
 /**
- * Ownership and clean-up: whatever a process opens is owned by a {@link Lifecycle} and is closed in
- * reverse order when that stops.
+ * Ownership and clean-up of resources: a {@link Lifecycle} owns the resources that a process opens,
+ * and closes them in reverse order when it is stopped.
  */
 
-/** Something that must be closed exactly once. */
+/** A resource that its owner closes exactly once. */
 export interface Owned {
   /** Name for logs and state dumps. */
   readonly name: string;
-  /** Releases the resource; must not throw for a resource that is closed already. */
+  /** Releases the resource; must not throw if the resource is already closed. */
   close(): void | Promise<void>;
 }
 
-/** Owns resources, background tasks and child life cycles. */
+/** Owns resources, background tasks and child lifecycles. */
 export class Lifecycle {
   readonly name: string;
   readonly #abort = new AbortController();
@@ -24,13 +24,13 @@
 
   /**
    * @param name Name for logs and state dumps.
-   * @returns A running life cycle that owns nothing yet.
+   * @returns A running lifecycle that owns nothing yet.
    */
   static create(name: string): Lifecycle {
     return new Lifecycle(name);
   }
 
-  /** Aborted as soon as stopping begins. */
+  /** Signal that is aborted when {@link stop} is called. */
   get signal(): AbortSignal {
     return this.#abort.signal;
   }
@@ -43,7 +43,7 @@
   /**
    * Takes ownership of a resource.
    *
-   * @param resource What to close on stop.
+   * @param resource The resource to close on stop.
    * @returns The same resource.
    */
   own<T extends Owned>(resource: T): T {
@@ -52,8 +52,10 @@
   }
 
   /**
+   * Creates a child lifecycle.
+   *
    * @param name Name of the child.
-   * @returns A life cycle that is stopped with this one.
+   * @returns A lifecycle that is stopped together with this one.
    */
   child(name: string): Lifecycle {
     const child = Lifecycle.create(`${this.name}/${name}`);
@@ -62,10 +64,10 @@
   }
 
   /**
-   * Runs a background task; stopping aborts its signal and waits for it.
+   * Runs a background task; {@link stop} aborts its signal and waits for it to return.
    *
    * @param name Name for logs.
-   * @param body The task; it must return soon after the signal is aborted.
+   * @param body The task; must return soon after the signal is aborted.
    */
   task(name: string, body: (signal: AbortSignal) => Promise<void>): void {
     const done = body(this.signal).catch((error: unknown) => {
@@ -75,9 +77,9 @@
   }
 
   /**
-   * Closes all that is owned, last first. Safe to call more than once.
+   * Closes all owned resources, last opened first. Safe to call more than once.
    *
-   * @returns Resolves when everything is closed.
+   * @returns Resolves when all resources are closed.
    */
   stop(): Promise<void> {
     this.#stopping ??= this.#close();
@@ -95,7 +97,10 @@
       }
     }
     if (failures.length > 0) {
-      throw new AggregateError(failures, `Could not close all of ${this.name}`);
+      throw new AggregateError(
+        failures,
+        `Failed to close all resources of ${this.name}`,
+      );
     }
   }
 }
--- a/src/base/log.ts
+++ b/src/base/log.ts
@@ -1,4 +1,4 @@
-/** Logs: JSON lines. Prompts, answers and keys are never logged. */
+/** Logging as JSON lines. Prompts, answers and keys are never logged. */
 import {
   destination,
   type DestinationStream,
@@ -9,7 +9,7 @@
 /** A logger of JSON lines. */
 export type Logger = PinoLogger;
 
-/** Severity from which lines are written. */
+/** Log levels by rising severity; `silent` turns logging off. */
 export const LOG_LEVELS = [
   "trace",
   "debug",
@@ -23,29 +23,35 @@
 export type LogLevel = (typeof LOG_LEVELS)[number];
 
 /**
- * Lines that wait are written together up to this size, PIPE_BUF of Linux: a pipe that several
- * processes write to keeps longer writes in pieces, with other processes' lines between them.
+ * Maximum size of one write of buffered lines: PIPE_BUF of Linux. On a pipe shared by several
+ * processes, larger writes are not atomic, and lines of other processes may end up inside them.
  */
-const WHOLE_BYTES = 4096;
+const MAX_WRITE_BYTES = 4096;
 
-/** Lines wait for more up to this size, or this long: each write costs a turn of a thread. */
-const GATHERED_BYTES = 2048;
+/**
+ * Lines are buffered until they reach this size, or for {@link FLUSH_MS}, because each write is
+ * dispatched to a thread of the thread pool.
+ */
+const MIN_BATCH_BYTES = 2048;
 const FLUSH_MS = 100;
 
-/** What a logger is made from. */
+/** Options of {@link createLogger}. */
 export interface LoggerOptions {
-  /** Lowest severity that is written. */
+  /** Minimum severity of lines that are written. */
   level: LogLevel;
-  /** Bound to each line: `entry`, `agent` and so on. */
+  /** Role of the process, such as `entry` or `agent`; part of each line. */
   role: string;
-  /** Bound to each line: the process's id. */
+  /** Id of the process; part of each line. */
   processId: string;
-  /** Standard output, written without waiting; else standard error, line by line. */
+  /**
+   * Writes to standard output, buffered and asynchronous; otherwise to standard error, line by
+   * line.
+   */
   toStdout?: boolean;
 }
 
 /**
- * @param options Level, bound fields and destination.
+ * @param options Level, common fields and destination.
  * @returns A logger.
  */
 export function createLogger(options: LoggerOptions): Logger {
@@ -54,28 +60,30 @@
       level: options.level,
       base: { role: options.role, processId: options.processId },
     },
-    options.toStdout ? gatheredOutput() : destination({ dest: 2, sync: true }),
+    options.toStdout ? bufferedStdout() : destination({ dest: 2, sync: true }),
   );
 }
 
-/** Standard output; lines that come within a moment are written together. */
-function gatheredOutput(): DestinationStream {
+/**
+ * Buffers lines for standard output, so that lines logged shortly after each other share a write.
+ */
+function bufferedStdout(): DestinationStream {
   const output = destination({
     dest: 1,
     sync: false,
-    maxWrite: WHOLE_BYTES,
-    minLength: GATHERED_BYTES,
+    maxWrite: MAX_WRITE_BYTES,
+    minLength: MIN_BATCH_BYTES,
   });
-  let isFlushDue = false;
+  let isFlushScheduled = false;
   const flush = () => {
-    isFlushDue = false;
+    isFlushScheduled = false;
     output.flush();
   };
   return {
     write(line) {
       output.write(line);
-      if (isFlushDue) return;
-      isFlushDue = true;
+      if (isFlushScheduled) return;
+      isFlushScheduled = true;
       setTimeout(flush, FLUSH_MS).unref();
     },
   };
--- a/src/base/log_test.ts
+++ b/src/base/log_test.ts
@@ -1,17 +1,17 @@
-// Lines of two processes were torn into each other in what the platform had kept of their output:
-// the head of one line, then the next one, its own or another process's. All came right after a
-// process had stood still and wrote all its lines at once; in both cases that were counted, the
-// lines up to the tear had 8192 bytes together. A longer write is not kept whole.
+// Guards against interleaved log lines in a pipe that several processes write to: the start of one
+// line was followed by another line, of the same or another process. This happened right after a
+// process had been paused and wrote all its lines at once: 8192 bytes up to the break.
+// Only writes of up to PIPE_BUF bytes are atomic.
 import assert from "node:assert/strict";
 import fs from "node:fs";
 import { mock, test } from "node:test";
 import { createLogger, type Logger } from "./log.ts";
 
-/** Longest write that a pipe with several writers keeps in one piece: PIPE_BUF of Linux. */
-const WHOLE_BYTES = 4096;
+/** Largest atomic write to a pipe: PIPE_BUF of Linux. */
+const MAX_WRITE_BYTES = 4096;
 const LINES = 200;
 
-/** A log to standard output, and what is written there, a text a write. */
+/** Returns a logger to standard output, and the text of each write. */
 function recordWrites(): { log: Logger; written: string[] } {
   const written: string[] = [];
   mock.method(fs, "write", (...args: unknown[]) => {
@@ -32,19 +32,19 @@
   return { log, written };
 }
 
-test("lines that are written at once stay whole", async () => {
+test("lines logged in a burst are not split across writes", async () => {
   const { log, written } = recordWrites();
   for (let i = 0; i < LINES; i++) log.info({ event: "request", i });
   const isWritten = () => written.join("").split("\n").length > LINES;
   while (!isWritten()) await new Promise((resolve) => setImmediate(resolve));
   mock.restoreAll();
   for (const text of written) {
-    assert.ok(Buffer.byteLength(text) <= WHOLE_BYTES, `${text.length}`);
+    assert.ok(Buffer.byteLength(text) <= MAX_WRITE_BYTES, `${text.length}`);
     assert.ok(text.endsWith("\n"));
   }
 });
 
-test("lines that come within a moment are written together", async () => {
+test("lines logged shortly after each other share a write", async () => {
   const { log, written } = recordWrites();
   for (let i = 0; i < 10; i++) {
     log.info({ event: "request", i });
--- a/src/base/metrics.ts
+++ b/src/base/metrics.ts
@@ -1,37 +1,40 @@
 /**
- * Metrics: counters, gauges and HDR histograms, rendered as Prometheus text. Handles are obtained
- * once and kept, so that the hot path is a field's increment.
+ * Counters, gauges and HDR histograms, rendered as Prometheus text. Callers obtain a handle once
+ * and keep it, so that an update on the hot path only increments a field.
  */
 import hdr, { type Histogram as HdrHistogram } from "hdr-histogram-js";
 import { type Clock, systemClock } from "./clock.ts";
 
-/** Series per metric name; whatever comes after them is counted under {@link OVERFLOW_LABEL}. */
+/** Maximum number of series per metric name; further ones share one with {@link OVERFLOW_LABEL}. */
 export const MAX_SERIES_PER_NAME = 256;
-/** Label of the one series that takes what is beyond {@link MAX_SERIES_PER_NAME}. */
+/** Label of the series that aggregates all series beyond {@link MAX_SERIES_PER_NAME}. */
 export const OVERFLOW_LABEL = "overflow";
-/** Quantiles that a histogram shows. */
+/** Quantiles rendered for each histogram. */
 export const QUANTILES = [0.5, 0.9, 0.95, 0.99, 0.999] as const;
 
+/** Length of a histogram's time window. */
 const WINDOW_MS = 60_000;
+/** Histograms record integers, so values are scaled to thousandths. */
 const UNITS_PER_VALUE = 1000;
+/** Largest recorded value: one hour, for values in ms. */
 const MAX_UNITS = 3_600_000 * UNITS_PER_VALUE;
 
-/** Label names and values; only ones that take few values. */
+/** Label names and values; use only labels with few distinct values. */
 export type Labels = Readonly<Record<string, string>>;
 
-/** What a metric is described by. */
+/** Description and labels of a metric. */
 export interface MetricOptions {
-  /** One line on what it counts. */
+  /** One-line description. */
   help: string;
   labels?: Labels;
 }
 
-/** What {@link Metrics} is made from. */
+/** Options of {@link Metrics.create}. */
 export interface MetricsOptions {
   clock?: Clock;
 }
 
-/** A number that only grows. */
+/** A value that only increases. */
 export class Counter {
   #value = 0;
 
@@ -42,18 +45,18 @@
     return new Counter();
   }
 
-  /** @param count How much to add; 1 where left out. */
+  /** @param count Amount to add. */
   add(count = 1): void {
     this.#value += count;
   }
 
-  /** Sum of all that was added. */
+  /** Sum of all added amounts. */
   get value(): number {
     return this.#value;
   }
 }
 
-/** A number that is set. */
+/** A value that can rise and fall. */
 export class Gauge {
   #value = 0;
   #read: (() => number) | undefined;
@@ -65,28 +68,28 @@
     return new Gauge();
   }
 
-  /** @param value The value from now on. */
+  /** @param value The new value. */
   set(value: number): void {
     this.#value = value;
   }
 
-  /** @param change Added to the value. */
+  /** @param change Amount to add to the value. */
   add(change: number): void {
     this.#value += change;
   }
 
-  /** @param read Asked for the value whenever it is shown. */
+  /** @param read Callback that supplies the value each time it is read, in place of `set`. */
   follow(read: () => number): void {
     this.#read = read;
   }
 
-  /** The value now. */
+  /** The current value. */
   get value(): number {
     return this.#read ? this.#read() : this.#value;
   }
 }
 
-/** A distribution, kept to two digits; quantiles are those of the last one to two minutes. */
+/** A distribution with two significant digits; its quantiles cover the last one to two minutes. */
 export class Histogram {
   readonly #clock: Clock;
   #current: HdrHistogram | undefined;
@@ -100,46 +103,46 @@
   }
 
   /**
-   * @param clock Turns the window.
-   * @returns An empty histogram; its memory is taken with the first value.
+   * @param clock Clock of the time window.
+   * @returns An empty histogram; its memory is allocated with the first value.
    */
   static create(clock: Clock): Histogram {
     return new Histogram(clock);
   }
 
-  /** @param value At least 0; kept to a thousandth, so ms are kept to the microsecond. */
+  /** @param value At least 0; resolved to a thousandth, so ms are resolved to the microsecond. */
   record(value: number): void {
-    const kept = Number.isFinite(value) ? Math.max(0, value) : 0;
-    const units = Math.min(MAX_UNITS, Math.round(kept * UNITS_PER_VALUE));
-    this.#turnWindow();
+    const clamped = Number.isFinite(value) ? Math.max(0, value) : 0;
+    const units = Math.min(MAX_UNITS, Math.round(clamped * UNITS_PER_VALUE));
+    this.#rotateWindow();
     this.#current ??= buildHistogram();
     this.#current.recordValue(units);
     this.#count += 1;
-    this.#sum += kept;
+    this.#sum += clamped;
   }
 
-  /** Number of values ever recorded. */
+  /** Number of values recorded so far, regardless of the window. */
   get count(): number {
     return this.#count;
   }
 
-  /** Sum of all values ever recorded. */
+  /** Sum of all values recorded so far, regardless of the window. */
   get sum(): number {
     return this.#sum;
   }
 
   /**
    * @param quantile Between 0 and 1.
-   * @returns The value at that quantile, or NaN without any value in the window.
+   * @returns The value at that quantile, or NaN if the window is empty.
    */
   quantile(quantile: number): number {
-    this.#turnWindow();
+    this.#rotateWindow();
     const merged = this.#merge();
     if (!merged || merged.totalCount === 0) return Number.NaN;
     return merged.getValueAtPercentile(quantile * 100) / UNITS_PER_VALUE;
   }
 
-  #turnWindow(): void {
+  #rotateWindow(): void {
     const nowMs = this.#clock.nowMs();
     if (nowMs < this.#windowEndMs) return;
     const isFresh = nowMs - this.#windowEndMs < WINDOW_MS;
@@ -170,7 +173,7 @@
   series: Map<string, Metric>;
 }
 
-/** A registry. The same name and labels give the same handle. */
+/** A metrics registry. The same name and labels return the same handle. */
 export class Metrics {
   readonly #families = new Map<string, Family>();
   readonly #clock: Clock;
@@ -180,7 +183,7 @@
   }
 
   /**
-   * @param options Clock of the histograms' windows.
+   * @param options Clock for the histograms' windows.
    * @returns An empty registry.
    */
   static create(options: MetricsOptions = {}): Metrics {
@@ -193,12 +196,12 @@
    * @returns The handle.
    */
   counter(name: string, options: MetricOptions): Counter {
-    const made = this.#series(name, options, () => ({
+    const series = this.#series(name, options, () => ({
       kind: "counter",
       metric: Counter.create(),
     }));
-    if (made.kind !== "counter") throw new MetricKindError(name, made.kind);
-    return made.metric;
+    if (series.kind !== "counter") throw new MetricKindError(name, series.kind);
+    return series.metric;
   }
 
   /**
@@ -207,12 +210,12 @@
    * @returns The handle.
    */
   gauge(name: string, options: MetricOptions): Gauge {
-    const made = this.#series(name, options, () => ({
+    const series = this.#series(name, options, () => ({
       kind: "gauge",
       metric: Gauge.create(),
     }));
-    if (made.kind !== "gauge") throw new MetricKindError(name, made.kind);
-    return made.metric;
+    if (series.kind !== "gauge") throw new MetricKindError(name, series.kind);
+    return series.metric;
   }
 
   /**
@@ -221,12 +224,12 @@
    * @returns The handle.
    */
   histogram(name: string, options: MetricOptions): Histogram {
-    const made = this.#series(name, options, () => ({
+    const series = this.#series(name, options, () => ({
       kind: "summary",
       metric: Histogram.create(this.#clock),
     }));
-    if (made.kind !== "summary") throw new MetricKindError(name, made.kind);
-    return made.metric;
+    if (series.kind !== "summary") throw new MetricKindError(name, series.kind);
+    return series.metric;
   }
 
   /** @returns All series in the Prometheus text format. */
@@ -248,19 +251,19 @@
     make: () => Metric,
   ): Metric {
     const family = this.#family(name, options, make);
-    const wanted = formatLabels(options.labels ?? {});
-    const known = family.series.get(wanted);
-    if (known) return known;
+    const requested = formatLabels(options.labels ?? {});
+    const existing = family.series.get(requested);
+    if (existing) return existing;
     const isFull = family.series.size >= MAX_SERIES_PER_NAME;
-    const key = isFull ? `${OVERFLOW_LABEL}="true"` : wanted;
+    const key = isFull ? `${OVERFLOW_LABEL}="true"` : requested;
     const series = family.series.get(key) ?? make();
     family.series.set(key, series);
     return series;
   }
 
   #family(name: string, options: MetricOptions, make: () => Metric): Family {
-    const known = this.#families.get(name);
-    if (known) return known;
+    const existing = this.#families.get(name);
+    if (existing) return existing;
     const family: Family = {
       kind: make().kind,
       help: options.help,
@@ -271,11 +274,14 @@
   }
 }
 
-/** A name that was already taken by a metric of another kind. */
+/** The name is already registered for a metric of another kind. */
 export class MetricKindError extends Error {
-  /** @param metric Its name. @param kind The kind that it has. */
+  /**
+   * @param metric Name of the metric.
+   * @param kind Kind under which it is registered.
+   */
   constructor(readonly metric: string, readonly kind: string) {
-    super(`Metric ${metric} is a ${kind} already`);
+    super(`Metric ${metric} is already registered as a ${kind}`);
   }
 }
 
@@ -296,7 +302,7 @@
   switch (series.kind) {
     case "counter":
     case "gauge":
-      lines.push(`${name}${braced(labels)} ${series.metric.value}`);
+      lines.push(`${name}${inBraces(labels)} ${series.metric.value}`);
       return;
     case "summary":
       for (const quantile of QUANTILES) {
@@ -304,12 +310,12 @@
         const all = labels ? `${labels},${label}` : label;
         lines.push(`${name}{${all}} ${series.metric.quantile(quantile)}`);
       }
-      lines.push(`${name}_sum${braced(labels)} ${series.metric.sum}`);
-      lines.push(`${name}_count${braced(labels)} ${series.metric.count}`);
+      lines.push(`${name}_sum${inBraces(labels)} ${series.metric.sum}`);
+      lines.push(`${name}_count${inBraces(labels)} ${series.metric.count}`);
   }
 }
 
-function braced(labels: string): string {
+function inBraces(labels: string): string {
   return labels ? `{${labels}}` : "";
 }
 
--- a/src/base/metrics_test.ts
+++ b/src/base/metrics_test.ts
@@ -28,7 +28,7 @@
   );
 });
 
-test("histogram quantiles keep two digits", () => {
+test("histogram quantiles have two significant digits", () => {
   const histogram = Metrics.create().histogram("h_ms", HELP);
   for (let ms = 1; ms <= 1000; ms++) histogram.record(ms);
   assert.ok(Math.abs(histogram.quantile(0.5) - 500) < 5);
@@ -37,7 +37,7 @@
   assert.equal(histogram.sum, 500_500);
 });
 
-test("histogram forgets old windows but not its count", () => {
+test("histogram drops old windows but keeps its count", () => {
   const clock = steppedClock();
   const metrics = Metrics.create({ clock });
   const histogram = metrics.histogram("h_ms", HELP);
@@ -52,20 +52,20 @@
   assert.match(metrics.render(), /h_ms_count 2/);
 });
 
-test("histogram takes values that make no sense", () => {
+test("histogram accepts invalid values", () => {
   const histogram = Metrics.create().histogram("h_ms", HELP);
   for (const value of [-1, Number.NaN, Infinity, 1e12]) histogram.record(value);
   assert.equal(histogram.count, 4);
   assert.ok(histogram.quantile(1) > 3_500_000);
 });
 
-test("same name and labels give the same handle", () => {
+test("the same name and labels return the same handle", () => {
   const metrics = Metrics.create();
   assert.equal(metrics.counter("a", HELP), metrics.counter("a", HELP));
   assert.throws(() => metrics.gauge("a", HELP), MetricKindError);
 });
 
-test("series beyond the limit share one", () => {
+test("series beyond the limit share one series", () => {
   const metrics = Metrics.create();
   for (let i = 0; i < MAX_SERIES_PER_NAME + 50; i++) {
     metrics.counter("a", { help: "A", labels: { id: String(i) } }).add();
--- a/src/base/mod.ts
+++ b/src/base/mod.ts
@@ -1,4 +1,4 @@
-/** What every part of cicadahitch stands on. */
+/** Clock, lifecycle, logging and metrics, used by all parts of cicadahitch. */
 export { type Clock, systemClock } from "./clock.ts";
 export { Lifecycle, type Owned } from "./lifecycle.ts";
 export {
--- a/src/base/random.ts
+++ b/src/base/random.ts
@@ -1,8 +1,10 @@
-/** Random numbers that a seed decides. */
+/** Seeded pseudorandom numbers. */
 
 /**
- * @param seed The same seed gives the same numbers.
- * @returns Uniform numbers in [0, 1), from 32 bits of state.
+ * Creates a deterministic pseudorandom number generator.
+ *
+ * @param seed The same seed produces the same sequence.
+ * @returns Generator of uniform numbers in [0, 1), with 32 bits of state.
  */
 export function seededRandom(seed: number): () => number {
   let state = seed >>> 0;
--- a/src/lease/_paused_holder.ts
+++ b/src/lease/_paused_holder.ts
@@ -1,4 +1,7 @@
-/** Holds a lease in a process of its own and says on request whether it does; for tests. */
+/**
+ * Test program: acquires a lease in a separate process and prints, for each line read from standard
+ * input, whether it still holds the lease.
+ */
 import { createInterface } from "node:readline";
 import { systemClock } from "../base/mod.ts";
 import { MemoryStore } from "../store/memory_store.ts";
--- a/src/lease/fenced_lease.ts
+++ b/src/lease/fenced_lease.ts
@@ -1,18 +1,18 @@
 /**
  * A lease in the key-value service with a fencing number.
  *
- * The fencing number is the store revision at which the lease's key came to exist. The store's
- * revision rises with every commit to any key and outlives deletion and outages, so a later holder
- * always has a higher number. The holder judges its own validity by time since before its last
- * successful renewal was sent, which is never later than the store's own count.
+ * The fencing number is the store revision at which the lease's key was created. The store's
+ * revision rises with every commit to any key and survives deletions and outages, so a later holder
+ * always has a higher number. The holder counts its lease time from just before it sent its last
+ * successful renewal, so its lease never expires later than the store's.
  */
 import { randomUUID } from "node:crypto";
 import { Result } from "true-myth";
 import type { Clock } from "../base/mod.ts";
 import {
+  encodeNextHolder,
   type LastHolder,
   type LastHolderOptions,
-  nextHolder,
   readJson,
   readLastHolder,
 } from "./last_holder.ts";
@@ -25,36 +25,40 @@
   Write,
 } from "../store/store.ts";
 
-/** Part of the lease's time that the holder leaves unused, for clocks that run at other rates. */
-const CLOCK_RATE_MARGIN = 0.1;
-/** Renewals are sent this often within the lease's time. */
+/** Fraction of the TTL that the holder leaves unused, to allow for clocks with different rates. */
+const CLOCK_DRIFT_MARGIN = 0.1;
+/** Renewals sent per TTL. */
 const RENEWALS_PER_TTL = 3;
+/** Initial and maximum backoff after a failed renewal. */
 const RETRY_MIN_MS = 200;
 const RETRY_MAX_MS = 2000;
-const JITTER = 0.2;
+/** Largest fraction by which a wait is shortened at random. */
+const MAX_JITTER = 0.2;
 
 /** Settings of a {@link FencedLease}. */
 export interface FencedLeaseOptions {
   /** Key of the lease in the store. */
   key: string;
-  /** Id of the process that wants it. */
+  /** Id of the process that acquires the lease. */
   holderId: string;
   ttlMs: number;
   clock: Clock;
-  /** 0 to 1; tests give a seeded one. */
+  /** Returns a number from 0 to 1; tests pass a seeded generator. */
   random?: () => number;
-  /** Left out where it doesn't matter who held the lease before. */
+  /** Record of the last holder; omitted where the previous holder doesn't matter. */
   lastHolder?: LastHolderOptions;
 }
 
 /** Why a lease was not acquired. */
 export type AcquireFailure =
   | { kind: "held"; holderId: string; fencingNumber: bigint }
-  /** Another holder came after the last one that is known. */
+  /**
+   * The caller's copy of the last holder's record is outdated: another process has held the lease.
+   */
   | { kind: "outdated" }
   | { kind: "store"; failure: StoreFailure };
 
-/** A lease as its holder sees it. */
+/** State of a lease as seen by its holder. */
 export interface LeaseState {
   key: string;
   holderId: string;
@@ -65,32 +69,33 @@
   calls: LeaseCalls;
 }
 
-/** Calls to the store. */
+/** Numbers of calls to the store. */
 export interface LeaseCalls {
   acquire: number;
   renew: number;
   release: number;
 }
 
-interface Instant {
+/** One reading of the monotonic clock and the wall clock. */
+interface ClockReading {
   nowMs: number;
   wallMs: number;
 }
 
-/** What is known about the write that takes the key. */
-type Claim =
+/** Outcome of the write that claims the lease's key. */
+type ClaimResult =
   | { kind: "taken"; fencingNumber: bigint }
   | { kind: "refused"; failure: AcquireFailure };
 
-/** A lease that was acquired. */
+/** A lease acquired by this process. */
 export class FencedLease {
   readonly fencingNumber: bigint;
   readonly #store: KeyValueStore;
   readonly #options: FencedLeaseOptions;
   readonly #leaseId: bigint;
   readonly #calls: LeaseCalls;
-  #validFrom: Instant;
-  #validMs: number;
+  #validFrom: ClockReading;
+  #validityMs: number;
   #lost = false;
 
   private constructor(
@@ -99,7 +104,7 @@
     held: {
       fencingNumber: bigint;
       granted: StoreLease;
-      sentAt: Instant;
+      sentAt: ClockReading;
       calls: number;
     },
   ) {
@@ -108,16 +113,17 @@
     this.fencingNumber = held.fencingNumber;
     this.#leaseId = held.granted.leaseId;
     this.#validFrom = held.sentAt;
-    this.#validMs = usableMs(held.granted.ttlMs);
+    this.#validityMs = usableMs(held.granted.ttlMs);
     this.#calls = { acquire: held.calls, renew: 0, release: 0 };
   }
 
   /**
-   * Tries once to take the lease: a read, and if the key is free a grant and a commit.
+   * Tries once to acquire the lease: reads the key and, if it is free, gets a store lease and
+   * commits.
    *
-   * @param store Where the lease lives.
-   * @param options Key, holder and time.
-   * @returns The lease, or who holds it, or why the store gave none.
+   * @param store The store that keeps the lease.
+   * @param options Key, holder id and TTL.
+   * @returns The lease, or its current holder, or the store's failure.
    */
   static async acquire(
     store: KeyValueStore,
@@ -125,13 +131,13 @@
   ): Promise<Result<FencedLease, AcquireFailure>> {
     const found = await store.get(options.key);
     if (found.isErr) return storeFailure(found.error);
-    if (found.value) return Result.err(heldBy(found.value));
-    const sentAt = instant(options.clock);
+    if (found.value) return Result.err(heldByOther(found.value));
+    const sentAt = readClocks(options.clock);
     const granted = await store.grantLease(options.ttlMs);
     if (granted.isErr) return storeFailure(granted.error);
-    const claim = await takeKey(store, options, granted.value.leaseId);
+    const claim = await claimKey(store, options, granted.value.leaseId);
     if (claim.kind === "refused") {
-      // Without its lease a commit that is still on its way can't take effect.
+      // Revoking the store lease prevents a commit still in flight from taking effect.
       await store.revokeLease(granted.value.leaseId);
       return Result.err(claim.failure);
     }
@@ -140,48 +146,48 @@
     return Result.ok(new FencedLease(store, options, held));
   }
 
-  /** Who held the lease before, where that was asked and is known. */
+  /** The previous holder, if `lastHolder` was given and its record can be read. */
   get previous(): LastHolder | undefined {
     const known = this.#options.lastHolder?.known;
     return known && readLastHolder(known.value);
   }
 
-  /** True once the store said that the lease is gone, or it was released. */
+  /** True once the lease was released, or the store has reported it as expired. */
   get lost(): boolean {
     return this.#lost;
   }
 
   /**
-   * To be asked right before each order.
+   * Checks the remaining validity; call it right before each order is sent.
    *
-   * @param ms How long the order takes at most.
-   * @returns Whether the lease is certain to be held that long.
+   * @param ms Maximum duration of the order.
+   * @returns Whether the lease is certain to be held for that long.
    */
   isHeldFor(ms: number): boolean {
     return !this.#lost && this.#validForMs() >= ms;
   }
 
   /**
-   * Renews once.
+   * Renews the lease once.
    *
-   * @returns Whether it is held; the failure, when the store did not answer.
+   * @returns Whether the lease is still held, or the failure if the store did not answer.
    */
   async renew(): Promise<Result<boolean, StoreFailure>> {
-    const sentAt = instant(this.#options.clock);
+    const sentAt = readClocks(this.#options.clock);
     this.#calls.renew++;
     const renewed = await this.#store.renewLease(this.#leaseId);
     if (renewed.isErr) return Result.err(renewed.error);
     if (renewed.value.ttlMs <= 0) this.#lost = true;
     if (this.#lost) return Result.ok(false);
     this.#validFrom = sentAt;
-    this.#validMs = usableMs(renewed.value.ttlMs);
+    this.#validityMs = usableMs(renewed.value.ttlMs);
     return Result.ok(true);
   }
 
   /**
-   * Renews until the lease is lost, has lapsed, or the signal is aborted.
+   * Renews the lease periodically until it is lost or expired, or the signal is aborted.
    *
-   * @param signal Ends the renewals; the lease is kept.
+   * @param signal Stops the renewals without releasing the lease.
    */
   async keepRenewed(signal: AbortSignal): Promise<void> {
     const intervalMs = this.#options.ttlMs / RENEWALS_PER_TTL;
@@ -203,9 +209,9 @@
   }
 
   /**
-   * Gives the lease up; from this call on it does not count as held.
+   * Releases the lease; from this call on it does not count as held.
    *
-   * @returns Whether the store knows; if not, the lease lapses there by itself.
+   * @returns Success once the store has revoked the lease; after a failure it expires in the store.
    */
   release(): Promise<Result<void, StoreFailure>> {
     this.#lost = true;
@@ -213,7 +219,7 @@
     return this.#store.revokeLease(this.#leaseId);
   }
 
-  /** @returns The state, for dumps. */
+  /** @returns The state, for state dumps. */
   state(): LeaseState {
     const { key, holderId } = this.#options;
     return {
@@ -226,27 +232,30 @@
     };
   }
 
-  /** The larger of both clocks' counts: the monotonic one stands still while a machine sleeps. */
+  /**
+   * Uses the larger elapsed time of the two clocks, as the monotonic clock stops while the instance
+   * is suspended.
+   */
   #validForMs(): number {
-    const { nowMs, wallMs } = instant(this.#options.clock);
+    const { nowMs, wallMs } = readClocks(this.#options.clock);
     const elapsedMs = Math.max(
       nowMs - this.#validFrom.nowMs,
       wallMs - this.#validFrom.wallMs,
     );
-    return this.#validMs - elapsedMs;
+    return this.#validityMs - elapsedMs;
   }
 
   #jitter(ms: number): number {
     const random = this.#options.random ?? Math.random;
-    return ms * (1 - JITTER * random());
+    return ms * (1 - MAX_JITTER * random());
   }
 }
 
-async function takeKey(
+async function claimKey(
   store: KeyValueStore,
   options: FencedLeaseOptions,
   leaseId: bigint,
-): Promise<Claim> {
+): Promise<ClaimResult> {
   const { key, holderId, lastHolder, clock } = options;
   const text = JSON.stringify({ holderId, claimId: randomUUID() });
   const value = new TextEncoder().encode(text);
@@ -255,46 +264,56 @@
   if (lastHolder) {
     const modRevision = lastHolder.known?.modRevision ?? 0n;
     expect.push({ key: lastHolder.key, modRevision });
-    const last = nextHolder(lastHolder.known, { holderId, clock });
+    const last = encodeNextHolder(lastHolder.known, { holderId, clock });
     writes.push({ kind: "put", key: lastHolder.key, value: last });
   }
   const outcome = await store.commit(expect, writes);
   if (outcome.isErr) {
     if (outcome.error.kind !== "effect_unknown") {
-      return refusedBy(outcome.error);
+      return refusedByStore(outcome.error);
     }
-    return readBack(store, { key, text, lost: outcome.error });
+    return readBack(store, {
+      key,
+      writtenText: text,
+      commitFailure: outcome.error,
+    });
   }
   if (outcome.value.kind === "committed") {
     return { kind: "taken", fencingNumber: outcome.value.revision };
   }
   const current = outcome.value.current.find((entry) => entry.key === key);
-  if (current) return { kind: "refused", failure: heldBy(current) };
+  if (current) return { kind: "refused", failure: heldByOther(current) };
   if (lastHolder) return { kind: "refused", failure: { kind: "outdated" } };
-  return refusedBy({ kind: "unavailable", message: "Conflict without a key" });
+  return refusedByStore({
+    kind: "unavailable",
+    message: "Commit conflict without a conflicting key",
+  });
 }
 
-interface LostClaim {
+/** A commit of the lease's key that may or may not have taken effect. */
+interface UnconfirmedClaim {
   key: string;
-  text: string;
-  lost: StoreFailure;
+  writtenText: string;
+  commitFailure: StoreFailure;
 }
 
-/** Settles a commit whose answer was lost: the value's claim id says whose it is. */
+/**
+ * Determines the outcome of a commit whose answer was lost, by the claim id in the stored value.
+ */
 async function readBack(
   store: KeyValueStore,
-  claim: LostClaim,
-): Promise<Claim> {
+  claim: UnconfirmedClaim,
+): Promise<ClaimResult> {
   const found = await store.get(claim.key);
-  if (found.isErr) return refusedBy(found.error);
-  if (!found.value) return refusedBy(claim.lost);
-  if (new TextDecoder().decode(found.value.value) === claim.text) {
+  if (found.isErr) return refusedByStore(found.error);
+  if (!found.value) return refusedByStore(claim.commitFailure);
+  if (new TextDecoder().decode(found.value.value) === claim.writtenText) {
     return { kind: "taken", fencingNumber: found.value.createRevision };
   }
-  return { kind: "refused", failure: heldBy(found.value) };
+  return { kind: "refused", failure: heldByOther(found.value) };
 }
 
-function heldBy(entry: KeyValueEntry): AcquireFailure {
+function heldByOther(entry: KeyValueEntry): AcquireFailure {
   return {
     kind: "held",
     holderId: readHolderId(entry.value),
@@ -307,7 +326,7 @@
   return typeof holderId === "string" ? holderId : "";
 }
 
-function refusedBy(failure: StoreFailure): Claim {
+function refusedByStore(failure: StoreFailure): ClaimResult {
   return { kind: "refused", failure: { kind: "store", failure } };
 }
 
@@ -317,10 +336,11 @@
   return Result.err({ kind: "store", failure });
 }
 
-function instant(clock: Clock): Instant {
+function readClocks(clock: Clock): ClockReading {
   return { nowMs: clock.nowMs(), wallMs: clock.wallMs() };
 }
 
+/** @returns The part of the TTL that the holder relies on. */
 function usableMs(ttlMs: number): number {
-  return ttlMs * (1 - CLOCK_RATE_MARGIN);
+  return ttlMs * (1 - CLOCK_DRIFT_MARGIN);
 }
--- a/src/lease/fenced_lease_test.ts
+++ b/src/lease/fenced_lease_test.ts
@@ -49,7 +49,7 @@
   return { clock, store, acquire, held, acquireAfter, heldAfter };
 }
 
-test("one holder at a time", async () => {
+test("a held lease can't be acquired by another holder", async () => {
   const { acquire, held } = setUp();
   const first = await held("e1");
   assert.equal(first.isHeldFor(1000), true);
@@ -62,7 +62,7 @@
   });
 });
 
-test("numbers rise across release, deletion and outage", async () => {
+test("fencing numbers rise across release, deletion and outage", async () => {
   const { clock, store, held } = setUp();
   const numbers: bigint[] = [];
   for (let round = 0; round < 3; round++) {
@@ -77,21 +77,21 @@
   assert.ok(numbers[0]! < numbers[1]! && numbers[1]! < numbers[2]!);
 });
 
-test("lost answer of the commit is settled by reading back", async () => {
+test("a lost answer to the commit is resolved by reading the key", async () => {
   const { store, held } = setUp();
   store.faults.loseNextAnswer = true;
   const lease = await held("e1");
   assert.equal(lease.fencingNumber, store.table.get(KEY)!.createRevision);
 });
 
-test("lost request leaves nothing behind", async () => {
+test("a lost commit request leaves the lease free", async () => {
   const { store, acquire } = setUp();
   store.faults.loseNextRequest = true;
   assert.ok((await acquire("e1")).isErr);
   assert.ok((await acquire("e2")).isOk);
 });
 
-test("acquisition tells who held the lease before", async () => {
+test("acquisition returns the previous holder", async () => {
   const { clock, store, heldAfter } = setUp();
   const before: (string | undefined)[] = [];
   for (const holderId of ["e1", "e1", "e2", "e1"]) {
@@ -102,7 +102,7 @@
   assert.deepEqual(before, [undefined, "e1", "e1", "e2"]);
 });
 
-test("last holder is known since it followed another one", async () => {
+test("record of the last holder tells since when it has been the last holder", async () => {
   const { clock, store, heldAfter } = setUp();
   const since: (number | undefined)[] = [];
   for (const holderId of ["e1", "e1", "e2", "e2", "e1"]) {
@@ -114,7 +114,7 @@
   assert.deepEqual(since, [undefined, 0, 0, thirdMs, thirdMs]);
 });
 
-test("last holder that can't be read counts as unknown", async () => {
+test("a malformed record of the last holder counts as unknown", async () => {
   const { store, heldAfter } = setUp();
   for (const text of ["{", "7", "null", '{"holderId":1,"sinceWallMs":2}']) {
     const value = new TextEncoder().encode(text);
@@ -125,7 +125,7 @@
   }
 });
 
-test("lost answer leaves the last holder written, too", async () => {
+test("a lost answer to the commit leaves the last holder recorded", async () => {
   const { store, heldAfter } = setUp();
   store.faults.loseNextAnswer = true;
   const lease = await heldAfter("e1", undefined);
@@ -134,7 +134,7 @@
   assert.equal(next.previous?.holderId, "e1");
 });
 
-test("last holder that is not the newest gives no lease", async () => {
+test("an outdated record of the last holder prevents the acquisition", async () => {
   const { clock, store, heldAfter, acquireAfter } = setUp();
   await heldAfter("e1", undefined);
   const outdated = store.table.get(LAST_KEY);
@@ -150,7 +150,7 @@
   assert.equal(store.table.get(KEY), undefined);
 });
 
-test("own validity counts from before the call was sent", async () => {
+test("validity counts from before the renewal was sent", async () => {
   const { clock, store, held } = setUp();
   const lease = await held("e1");
   store.faults.slowMs = 4000;
@@ -160,7 +160,7 @@
   assert.equal(lease.state().validForMs, TTL_MS * 0.9 - 4000);
 });
 
-test("paused holder finds its lease lapsed, and the gate refuses it", async () => {
+test("a paused holder's lease expires, and the fencing gate refuses its orders", async () => {
   const { clock, held } = setUp();
   const paused = await held("e1");
   await clock.advance(TTL_MS + 1);
@@ -173,14 +173,14 @@
   assert.equal(paused.lost, true);
 });
 
-test("suspended machine finds its lease lapsed by the wall clock", async () => {
+test("a lease expires by the wall clock while the instance is suspended", async () => {
   const { clock, held } = setUp();
   const lease = await held("e1");
   clock.jumpWall(TTL_MS);
   assert.equal(lease.isHeldFor(0), false);
 });
 
-test("renewals go on through a short outage and end after a long one", async () => {
+test("renewals continue after a short outage and stop after a long one", async () => {
   const { clock, store, held } = setUp();
   const lease = await held("e1");
   let ended = false;
@@ -199,7 +199,7 @@
   assert.equal(lease.isHeldFor(0), false);
 });
 
-test("calls per minute of a held lease", async () => {
+test("a held lease makes 13 store calls per minute", async () => {
   const { clock, store, held } = setUp();
   const lease = await held("e1");
   const before = store.counters.writes + store.counters.reads;
@@ -210,11 +210,11 @@
   assert.equal(store.counters.writes + store.counters.reads - before, 13);
 });
 
-test("process stopped past its lease wakes without it", async () => {
+test("a process stopped for longer than its lease resumes without it", async () => {
   assert.equal(await heldAfterPause(400), "false");
 });
 
-test("process stopped within its lease wakes with it", async () => {
+test("a process stopped for less than its lease resumes with it", async () => {
   assert.equal(await heldAfterPause(3_600_000), "true");
 });
 
--- a/src/lease/fencing_gate.ts
+++ b/src/lease/fencing_gate.ts
@@ -1,24 +1,27 @@
 /**
- * Refuses orders with an old fencing number, beside a backend server that may not check it itself.
+ * Refuses orders with an outdated fencing number on behalf of a backend server that may not check
+ * fencing numbers itself.
  *
- * The gate keeps the highest number of each lease in memory. A process that starts has seen none.
- * Where servers check numbers themselves they remember; where they don't, the gate asks the key-value
- * service for the number of the lease's present holder before it takes the first order under that
- * lease, and takes none while that can't be had.
+ * The gate keeps the highest number of each lease in memory, and starts with none. If the server
+ * checks numbers, it remembers them across restarts of this process. If not, the gate reads the
+ * number of the lease's current holder from the key-value service before it accepts the first order
+ * under that lease, and accepts none until the read succeeds.
  */
 import { Result } from "true-myth";
 
-/** Nobody can tell yet which numbers are old. */
-export interface UnknownNumber {
+/**
+ * The current holder's fencing number can't be read, so outdated numbers can't be recognized yet.
+ */
+export interface FloorUnavailable {
   message: string;
 }
 
-/** Reads the number of a lease's present holder; 0: nobody holds it. */
+/** Reads the fencing number of a lease's current holder; 0 if the lease is free. */
 export type FloorReader = (
   leaseKey: string,
-) => Promise<Result<bigint, UnknownNumber>>;
+) => Promise<Result<bigint, FloorUnavailable>>;
 
-/** The highest fencing number seen for each lease. */
+/** Tracks the highest fencing number of each lease and refuses orders with a lower one. */
 export class FencingGate {
   readonly #highest = new Map<string, bigint>();
   readonly #readFloor: FloorReader | undefined;
@@ -28,14 +31,15 @@
   }
 
   /**
-   * @param readFloor Asked once per lease; undefined: the server checks numbers itself.
-   * @returns A gate that has seen no number.
+   * @param readFloor Called until it succeeds once per lease; undefined if the server itself checks
+   *   fencing numbers.
+   * @returns A gate without any numbers.
    */
   static create(readFloor?: FloorReader): FencingGate {
     return new FencingGate(readFloor);
   }
 
-  /** Highest number by lease, for state dumps. */
+  /** Highest fencing number by lease key, for state dumps. */
   get numbers(): Record<string, string> {
     const entries = [...this.#highest].map((
       [key, number],
@@ -44,11 +48,12 @@
   }
 
   /**
-   * Makes sure that old numbers of a lease are known as such; to be called before `admit`.
+   * Loads the lowest acceptable number of a lease if it is unknown; call it before {@link admit}.
    *
-   * @param leaseKey The lease.
+   * @param leaseKey Key of the lease.
+   * @returns Success, or why the number can't be read.
    */
-  async prepare(leaseKey: string): Promise<Result<void, UnknownNumber>> {
+  async prepare(leaseKey: string): Promise<Result<void, FloorUnavailable>> {
     if (this.#highest.has(leaseKey) || !this.#readFloor) {
       return Result.ok(undefined);
     }
@@ -57,11 +62,11 @@
   }
 
   /**
-   * To be asked right before an order is sent.
+   * Checks an order right before it is sent to the server.
    *
-   * @param leaseKey The lease under which the order was decided.
-   * @param fencingNumber Its number.
-   * @returns Whether the order may be carried out; if so, lower numbers are refused from now on.
+   * @param leaseKey Key of the lease under which the order was issued.
+   * @param fencingNumber Fencing number of that lease.
+   * @returns Whether the order may be executed; if so, lower numbers are refused from now on.
    */
   admit(leaseKey: string, fencingNumber: bigint): boolean {
     if (fencingNumber < this.highestOf(leaseKey)) return false;
@@ -70,8 +75,10 @@
   }
 
   /**
-   * @param leaseKey The lease.
-   * @param fencingNumber A number that somebody has seen.
+   * Records a number, so that lower ones are refused.
+   *
+   * @param leaseKey Key of the lease.
+   * @param fencingNumber A number seen elsewhere, such as in the store or at the server.
    */
   raise(leaseKey: string, fencingNumber: bigint): void {
     if (fencingNumber < this.highestOf(leaseKey)) return;
@@ -79,8 +86,8 @@
   }
 
   /**
-   * @param leaseKey The lease.
-   * @returns The highest number seen, 0 for none.
+   * @param leaseKey Key of the lease.
+   * @returns The highest number seen, or 0 if none was.
    */
   highestOf(leaseKey: string): bigint {
     return this.#highest.get(leaseKey) ?? 0n;
--- a/src/lease/last_holder.ts
+++ b/src/lease/last_holder.ts
@@ -1,24 +1,26 @@
-/** Who took a lease last, in a key that outlives the lease. */
+/** Records the last holder of a lease in a key that outlives the lease. */
 import type { Clock } from "../base/mod.ts";
 import type { KeyValueEntry } from "../store/store.ts";
 
-/** Who took the lease last. The key outlives the lease, and each acquisition writes it. */
+/** The last holder's record. Its key outlives the lease, and each acquisition writes it. */
 export interface LastHolderOptions {
   key: string;
-  /** What a copy of the store has there; if it is not the newest, the lease is not acquired. */
+  /** The record in the caller's copy of the store; if it is outdated, the lease is not acquired. */
   known: KeyValueEntry | undefined;
 }
 
-/** Who took a lease last. */
+/** The process that last acquired a lease. */
 export interface LastHolder {
   holderId: string;
-  /** From when on no other holder has taken it, by the wall clock of the holder's machine. */
+  /** When it first acquired the lease after another holder, by the wall clock of its instance. */
   sinceWallMs: number;
 }
 
 /**
- * @param value What an acquisition wrote.
- * @returns The last holder, if it can be read.
+ * Parses the last holder's record.
+ *
+ * @param value Value written by an acquisition.
+ * @returns The last holder, or undefined if the value is malformed.
  */
 export function readLastHolder(value: Uint8Array): LastHolder | undefined {
   const { holderId, sinceWallMs } = readJson(value);
@@ -28,24 +30,28 @@
 }
 
 /**
- * @param known The last holder that is known.
- * @param taking Who takes the lease now, and the clock of its machine.
- * @returns What the acquisition writes.
+ * Encodes the record that an acquisition writes.
+ *
+ * @param known The previous record, if there is one.
+ * @param acquirer Id of the acquiring process, and the clock of its instance.
+ * @returns The new record.
  */
-export function nextHolder(
+export function encodeNextHolder(
   known: KeyValueEntry | undefined,
   { holderId, clock }: { holderId: string; clock: Clock },
 ): Uint8Array {
   const before = known && readLastHolder(known.value);
-  const isOwn = before?.holderId === holderId;
-  const sinceWallMs = isOwn ? before.sinceWallMs : clock.wallMs();
+  const isSameHolder = before?.holderId === holderId;
+  const sinceWallMs = isSameHolder ? before.sinceWallMs : clock.wallMs();
   const next: LastHolder = { holderId, sinceWallMs };
   return new TextEncoder().encode(JSON.stringify(next));
 }
 
 /**
- * @param value A value that another writer may have spoilt; it then says nothing.
- * @returns Its fields.
+ * Parses a JSON object from the store; another writer may have written something else there.
+ *
+ * @param value The stored value.
+ * @returns The object's fields; none if the value is not a JSON object.
  */
 export function readJson(value: Uint8Array): Record<string, unknown> {
   try {
--- a/src/lease/manual_clock.ts
+++ b/src/lease/manual_clock.ts
@@ -1,7 +1,8 @@
-/** A clock that stands still until a test moves it. */
+/** A clock that advances only when a test advances it. */
 import type { Clock } from "../base/mod.ts";
 
-interface Sleeper {
+/** A call of `sleep` that has not resolved yet. */
+interface PendingSleep {
   dueMs: number;
   wake(): void;
 }
@@ -10,11 +11,11 @@
 export class ManualClock implements Clock {
   #nowMs = 0;
   #wallOffsetMs = 0;
-  readonly #sleepers = new Set<Sleeper>();
+  readonly #pending = new Set<PendingSleep>();
 
   private constructor() {}
 
-  /** @returns A clock at 0. */
+  /** @returns A clock whose time is 0. */
   static create(): ManualClock {
     return new ManualClock();
   }
@@ -31,56 +32,60 @@
     if (signal?.aborted) return Promise.resolve();
     return new Promise((resolve) => {
       const onAbort = () => {
-        this.#sleepers.delete(sleeper);
+        this.#pending.delete(pending);
         resolve();
       };
       const wake = () => {
         signal?.removeEventListener("abort", onAbort);
         resolve();
       };
-      const sleeper = { dueMs: this.#nowMs + ms, wake };
-      this.#sleepers.add(sleeper);
+      const pending = { dueMs: this.#nowMs + ms, wake };
+      this.#pending.add(pending);
       signal?.addEventListener("abort", onAbort, { once: true });
     });
   }
 
   /**
-   * Moves the wall clock alone, as when the machine was suspended.
+   * Advances only the wall clock, as after a suspension of the instance.
    *
-   * @param ms How far.
+   * @param ms Time to add.
    */
   jumpWall(ms: number): void {
     this.#wallOffsetMs += ms;
   }
 
   /**
-   * Moves time and lets everything due run, in order.
+   * Advances both clocks and wakes the sleeps that become due, in order of their due time.
    *
-   * @param ms How far.
+   * @param ms Time to add.
    */
   async advance(ms: number): Promise<void> {
     const untilMs = this.#nowMs + ms;
-    await settle();
-    for (let next = this.#next(untilMs); next; next = this.#next(untilMs)) {
+    await flushPromises();
+    for (
+      let next = this.#nextDue(untilMs);
+      next;
+      next = this.#nextDue(untilMs)
+    ) {
       this.#nowMs = Math.max(this.#nowMs, next.dueMs);
-      this.#sleepers.delete(next);
+      this.#pending.delete(next);
       next.wake();
-      await settle();
+      await flushPromises();
     }
     this.#nowMs = untilMs;
   }
 
-  #next(untilMs: number): Sleeper | undefined {
-    let first: Sleeper | undefined;
-    for (const sleeper of this.#sleepers) {
-      if (sleeper.dueMs > untilMs) continue;
-      if (!first || sleeper.dueMs < first.dueMs) first = sleeper;
+  #nextDue(untilMs: number): PendingSleep | undefined {
+    let first: PendingSleep | undefined;
+    for (const pending of this.#pending) {
+      if (pending.dueMs > untilMs) continue;
+      if (!first || pending.dueMs < first.dueMs) first = pending;
     }
     return first;
   }
 }
 
-/** Lets promises that are ready run to their next wait. */
-function settle(): Promise<void> {
+/** Runs the continuations of all settled promises. */
+function flushPromises(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
--- a/src/lease/mod.ts
+++ b/src/lease/mod.ts
@@ -16,5 +16,5 @@
 export {
   FencingGate,
   type FloorReader,
-  type UnknownNumber,
+  type FloorUnavailable,
 } from "./fencing_gate.ts";
--- a/src/suspects/mod.ts
+++ b/src/suspects/mod.ts
@@ -1,4 +1,7 @@
-/** Requests under which backend servers ended, and when one is run no more for a while. */
+/**
+ * Tracks requests that were running on backend servers when these terminated, and quarantines those
+ * that probably cause servers to terminate.
+ */
 export { hashRequest } from "./request_hash.ts";
 export {
   SERIOUS_ENDS,
--- a/src/suspects/request_hash.ts
+++ b/src/suspects/request_hash.ts
@@ -1,19 +1,21 @@
-/** Tells requests apart by what they are, whatever id an attempt has. */
+/** Identifies a request by its content, independently of the ids of its attempts. */
 import { createHash } from "node:crypto";
 
-/** Hexadecimal digits that are kept: nobody finds another request with the same 96 bits. */
+/** Hexadecimal digits kept of the hash: 96 bits, for which finding a collision is infeasible. */
 const DIGITS = 24;
 
 /**
- * @param fields What the request is known by besides its content, such as its path and caller.
- * @param content Its body.
- * @returns The same text for the same fields and content.
+ * Computes a request's digest.
+ *
+ * @param fields Fields that identify the request besides its body, such as path and caller.
+ * @param content Body of the request.
+ * @returns The digest in hexadecimal; equal for equal fields and content.
  */
 export function hashRequest(
   fields: readonly string[],
   content: Uint8Array | undefined,
 ): string {
-  // As JSON, one field's end is not taken for the next one's beginning.
+  // JSON delimits the fields, so that ["ab", "c"] and ["a", "bc"] give different digests.
   const hash = createHash("sha256").update(JSON.stringify(fields));
   if (content) hash.update(content);
   return hash.digest("hex").slice(0, DIGITS);
--- a/src/suspects/suspect_record.ts
+++ b/src/suspects/suspect_record.ts
@@ -1,6 +1,7 @@
 /**
- * Suspected requests in the platform's store, for entries that all start again at once. Only those
- * under which several servers ended are written, first by the entry that saw the last end.
+ * Persists suspected requests in the platform's store, so that they survive a simultaneous restart
+ * of all entries. Only requests that were running on several servers when these terminated are
+ * written, preferably by the entry that observed the last termination.
  */
 import type { Clock, Logger } from "../base/mod.ts";
 import { readJson } from "../lease/mod.ts";
@@ -12,67 +13,71 @@
   type SuspectTable,
 } from "./suspect_table.ts";
 
-/** Key of the record. */
+/** Key of the record in the store. */
 export const SUSPECT_RECORD_KEY = "cicadahitch/suspects";
-/** Pause between looks at whether the record lacks something, and between writes. */
-const LOOK_MS = 500;
-/** Entries that only heard of an end leave the write to the one that saw it, for this long. */
-const HEARD_WAIT_MS = 2000;
-/** Pause after a write that failed or met another's. */
+/** Interval at which the record is checked and, if outdated, written. */
+const CHECK_INTERVAL_MS = 500;
+/**
+ * An entry that did not observe the change itself leaves the write to the observer for this long.
+ */
+const OTHER_WRITER_WAIT_MS = 2000;
+/** Wait after a write that failed or conflicted with another entry's write. */
 const RETRY_MS = 1000;
-/** Requests that the record holds. */
+/** Maximum number of requests in the record. */
 const MAX_ROWS = 64;
-/** Ends of each of them: enough for a verdict. */
+/** Maximum number of server ends per request in the record; enough for a verdict. */
 const MAX_ROW_ENDS = 6;
 
-/** One end, in the record. */
+/** Stored form of a {@link ServerEnd}. */
 interface EndRow {
   server: string;
   answeringMs?: number;
-  /** Time of day, since 1970. */
+  /** Wall-clock time of the end, in ms since 1970. */
   atWallMs: number;
   runMs: number;
 }
 
-/** One request, in the record. */
+/** Stored form of a suspected request. */
 interface SuspectRow {
   digest: string;
   ends: EndRow[];
 }
 
-/** What is suspected by a process. */
+/** A process's suspected requests, as a {@link SuspectRecord} reads and updates them. */
 export interface SuspectSource {
   readonly table: SuspectTable;
-  /** Whether this process saw what the record may lack. */
+  /** Whether this process itself observed changes that the record may not contain yet. */
   readonly hasOwnNews: boolean;
-  /** Takes an end that others have seen. */
+  /** Adds a server end that another process observed. */
   learn(digest: string, end: ServerEnd): void;
-  /** The record has all that is known. */
+  /** Called after all known changes were written to the record. */
   recorded(): void;
 }
 
-/** What a {@link SuspectRecord} works with. */
+/** Dependencies of a {@link SuspectRecord}. */
 export interface SuspectRecordOptions {
   store: Pick<KeyValueStore, "commit">;
   clock: Clock;
   log: Logger;
-  /** 0 to 1. */
+  /** Returns a number from 0 to 1. */
   random: () => number;
   source: SuspectSource;
-  /** The record, as the copy of the store has it. */
+  /** Returns the record from the local copy of the store. */
   record(): KeyValueEntry | undefined;
-  /** Whether the store answers. */
+  /** Whether the store is answering. */
   isStoreServing(): boolean;
-  /** Reads the record anew, where nothing else keeps the copy up to date. */
+  /**
+   * Reads the record from the store again; omitted where a watch keeps the local copy up to date.
+   */
   refresh?(): Promise<void>;
 }
 
-/** Keeps the record. */
+/** Keeps the stored record up to date. */
 export class SuspectRecord {
   readonly #options: SuspectRecordOptions;
-  /** Since when the record has lacked something. */
-  #lacksSinceMs: number | undefined;
-  /** What was written last; the copy of the store follows a moment later. */
+  /** Since when the record has been outdated; undefined while it is up to date. */
+  #outdatedSinceMs: number | undefined;
+  /** Rows of the last write; the local copy of the store receives them with a delay. */
   #written: SuspectRow[] = [];
 
   private constructor(options: SuspectRecordOptions) {
@@ -80,20 +85,20 @@
   }
 
   /**
-   * @param options Store, and what is suspected.
-   * @returns A record that is not kept yet.
+   * @param options Store, clock and suspected requests.
+   * @returns A record that is updated once {@link run} is called.
    */
   static create(options: SuspectRecordOptions): SuspectRecord {
     return new SuspectRecord(options);
   }
 
-  /** Takes in what the record says; values that another writer has spoilt say nothing. */
+  /** Merges the stored record into the suspected requests; malformed rows are ignored. */
   recall(): void {
     const { clock, source, record } = this.#options;
     const wallMs = clock.wallMs();
     for (const { digest, ends } of readRows(record()?.value)) {
       for (const { atWallMs, ...end } of ends) {
-        // A clock that is behind the writer's makes nothing younger than now.
+        // Clamped to 0, as this instance's clock may be behind the writer's.
         const ageMs = Math.max(0, wallMs - atWallMs);
         const atMs = clock.nowMs() - ageMs;
         source.learn(digest, { ...end, atMs });
@@ -101,11 +106,15 @@
     }
   }
 
-  /** @param signal Ends the work. */
+  /**
+   * Updates the record periodically.
+   *
+   * @param signal Stops the updates.
+   */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, random } = this.#options;
     while (!signal.aborted) {
-      await clock.sleep(LOOK_MS, signal);
+      await clock.sleep(CHECK_INTERVAL_MS, signal);
       if (signal.aborted) return;
       if (await this.update()) continue;
       await this.#options.refresh?.();
@@ -114,9 +123,9 @@
   }
 
   /**
-   * Writes what the record lacks, if it is this process's turn.
+   * Writes the record if it is outdated and no other process is expected to write it.
    *
-   * @returns False: the write failed.
+   * @returns False if the write failed.
    */
   async update(): Promise<boolean> {
     const { source, record, isStoreServing, clock } = this.#options;
@@ -124,22 +133,23 @@
     const serious = source.table.suspects(SERIOUS_ENDS).slice(0, MAX_ROWS);
     if (!this.#isDue(known, serious)) return true;
     if (!isStoreServing()) return true;
-    this.#lacksSinceMs = undefined;
+    this.#outdatedSinceMs = undefined;
     return await this.#write(serious, clock.wallMs() - clock.nowMs());
   }
 
   #isDue(known: SuspectRow[], serious: Suspect[]): boolean {
     const { clock, source, random } = this.#options;
-    const isLacking = lacksAny(known, serious) ||
+    const isOutdated = isMissingAny(known, serious) ||
       known.some(({ digest }) => this.#isCleared(digest));
-    if (!isLacking) {
-      this.#lacksSinceMs = undefined;
+    if (!isOutdated) {
+      this.#outdatedSinceMs = undefined;
       return false;
     }
     const nowMs = clock.nowMs();
-    this.#lacksSinceMs ??= nowMs;
+    this.#outdatedSinceMs ??= nowMs;
     if (source.hasOwnNews) return true;
-    return nowMs - this.#lacksSinceMs >= HEARD_WAIT_MS * (1 + random());
+    return nowMs - this.#outdatedSinceMs >=
+      OTHER_WRITER_WAIT_MS * (1 + random());
   }
 
   #isCleared(digest: string): boolean {
@@ -148,12 +158,12 @@
       table.verdict(digest).kind === "clear";
   }
 
-  async #write(serious: Suspect[], wallAheadMs: number): Promise<boolean> {
+  async #write(serious: Suspect[], wallOffsetMs: number): Promise<boolean> {
     const { store, record, log, source } = this.#options;
     const modRevision = record()?.modRevision ?? 0n;
     const rows = serious.map(({ digest, ends }): SuspectRow => ({
       digest,
-      ends: ends.slice(0, MAX_ROW_ENDS).map((end) => toRow(end, wallAheadMs)),
+      ends: ends.slice(0, MAX_ROW_ENDS).map((end) => toRow(end, wallOffsetMs)),
     }));
     const value = new TextEncoder().encode(JSON.stringify({ rows }));
     const committed = await store.commit(
@@ -172,13 +182,13 @@
 
 function toRow(
   { atMs, ...end }: ServerEnd,
-  wallAheadMs: number,
+  wallOffsetMs: number,
 ): EndRow {
-  return { ...end, atWallMs: Math.floor(atMs + wallAheadMs) };
+  return { ...end, atWallMs: Math.floor(atMs + wallOffsetMs) };
 }
 
-/** Ends beyond those that are written are not lacking. */
-function lacksAny(known: SuspectRow[], serious: Suspect[]): boolean {
+/** Ends beyond {@link MAX_ROW_ENDS} are never written, so they don't count as missing. */
+function isMissingAny(known: SuspectRow[], serious: Suspect[]): boolean {
   return serious.some(({ digest, ends }) =>
     !known.some((row) =>
       row.digest === digest &&
--- a/src/suspects/suspect_table.ts
+++ b/src/suspects/suspect_table.ts
@@ -1,48 +1,51 @@
 /**
- * Requests under which backend servers ended, each known by its digest. One that ends server after
- * server is quarantined. Being there when a server ends proves nothing: all that ran there is
- * suspected, so an end counts only for the request that explains it best, a good answer clears a
- * request, and what is known is forgotten some time after the last end.
+ * Tracks requests, by digest, that were running on backend servers when these terminated, and
+ * quarantines a request that terminates one server after another. Running on a server at its end
+ * proves nothing, as all requests there become suspects. Therefore an end counts only for the
+ * request that is its most likely cause, a successful answer clears a request, and suspicion
+ * expires some time after the last end.
  */
 import type { Clock } from "../base/mod.ts";
 import { LRUMap } from "../placement/lru_map.ts";
 
-/** Ends of servers under a request before it is quarantined. */
+/** Number of server ends at which a request is quarantined. */
 export const ENDS_TO_QUARANTINE = 3;
-/** Ends from which on a request is told of again and again, and kept in the store. */
+/** Number of server ends from which a suspect is gossiped repeatedly and persisted in the store. */
 export const SERIOUS_ENDS = 2;
-/** A run that has brought output for this long is past what could have ended its server. */
+/**
+ * A run that has produced output for this long is no longer a possible cause of its server's end.
+ */
 export const SETTLED_MS = 1000;
-/** What entries tell each other of times is so far off, with the way that it takes. */
-const SKEW_MS = 100;
-/** Ends beyond these add nothing to a verdict. */
+/** Error of the times that entries exchange, network latency included. */
+const TIMING_ERROR_MS = 100;
+/** Maximum number of ends kept per request; further ones would not change the verdict. */
 const MAX_ENDS = 8;
-/** Ends among them that no other suspect explains better. */
-const LEAST_UNEXPLAINED = 2;
-/** Time from the last end until a request is tried again. */
-const FORGET_MS = 600_000;
-/** Requests that are suspected at a time; those with the fewest and oldest ends are left out. */
+/** Number of ends, not better explained by another suspect, that a quarantine requires. */
+const MIN_UNEXPLAINED_ENDS = 2;
+/** Time from a request's last end until the suspicion expires and the request may run again. */
+const EXPIRY_MS = 600_000;
+/** Maximum number of suspects; those with the fewest, then the oldest, ends are evicted. */
 const MAX_SUSPECTS = 1024;
 
-/** A server that ended while it had a request. */
+/** The end (termination) of a server that was handling a request. */
 export interface ServerEnd {
-  /** Id and start of the server. */
+  /** Id and incarnation of the server. */
   server: string;
-  /** Time since the server had begun to answer the request; left out: it had not. */
+  /** Time for which the server had been answering; omitted if it had not begun to answer. */
   answeringMs?: number;
-  /** By this process's clock. */
+  /** When the server ended, by this process's monotonic clock. */
   atMs: number;
-  /** Time from when it was sent there. */
+  /** Time since the request was sent to the server. */
   runMs: number;
 }
 
-/** What is known of one request. */
+/** A suspected request and its server ends. */
 export interface Suspect {
   digest: string;
   ends: readonly ServerEnd[];
 }
 
-/** What is thought of a request. */
+/** Assessment of a request. */
 export type Verdict =
   | { kind: "clear" }
   | { kind: "suspected"; endCount: number }
@@ -50,20 +53,20 @@
 
 const CLEAR: Verdict = { kind: "clear" };
 
-/** By server. */
+/** Ends of one request by server. */
 type Ends = Map<string, ServerEnd>;
 
-/** A request's ends, and how many came one after the other. */
+/** A request's ends, and how many of them were sequential (see {@link countSequentialEnds}). */
 interface Row {
   ends: Ends;
   endCount: number;
 }
 
-/** Requests that are suspected. */
+/** Table of suspected requests. */
 export class SuspectTable {
   readonly #clock: Clock;
   readonly #suspects = new Map<string, Row>();
-  /** When requests were answered well; ends before that say nothing. */
+  /** When requests were last answered successfully; earlier ends don't count. */
   readonly #clearedAtMs = LRUMap.create<string, number>(MAX_SUSPECTS);
 
   private constructor(clock: Clock) {
@@ -71,7 +74,7 @@
   }
 
   /**
-   * @param clock Tells the age of ends.
+   * @param clock Clock for the age of ends.
    * @returns A table without suspects.
    */
   static create(clock: Clock): SuspectTable {
@@ -84,27 +87,29 @@
   }
 
   /**
-   * @param digest A request.
-   * @param end A server that ended under it.
-   * @returns Whether this was news.
+   * Records the end of a server that was handling a request.
+   *
+   * @param digest Digest of the request.
+   * @param end The server's end.
+   * @returns Whether the end was recorded; false if it is known, expired or older than an answer.
    */
   note(digest: string, end: ServerEnd): boolean {
-    if (this.#isForgotten(end.atMs)) return false;
+    if (this.#isExpired(end.atMs)) return false;
     if (end.atMs <= (this.#clearedAtMs.get(digest) ?? -Infinity)) return false;
     const ends: Ends = this.#suspects.get(digest)?.ends ?? new Map();
     if (ends.has(end.server) || ends.size >= MAX_ENDS) return false;
     ends.set(end.server, end);
-    this.#suspects.set(digest, { ends, endCount: countInTurn(ends) });
-    if (this.#suspects.size > MAX_SUSPECTS) this.#leaveOut();
+    this.#suspects.set(digest, { ends, endCount: countSequentialEnds(ends) });
+    if (this.#suspects.size > MAX_SUSPECTS) this.#evictWeakest();
     return this.#suspects.has(digest);
   }
 
   /**
-   * A server has answered a request well.
+   * Clears a request that a server has answered successfully.
    *
-   * @param digest The request.
-   * @param atMs When; later ends count.
-   * @returns Whether it was suspected.
+   * @param digest Digest of the request.
+   * @param atMs Time of the answer; only later ends count.
+   * @returns Whether the request was suspected.
    */
   clear(digest: string, atMs: number): boolean {
     const before = this.#clearedAtMs.get(digest) ?? -Infinity;
@@ -114,27 +119,27 @@
     for (const [server, end] of row.ends) {
       if (end.atMs <= atMs) row.ends.delete(server);
     }
-    row.endCount = countInTurn(row.ends);
+    row.endCount = countSequentialEnds(row.ends);
     if (row.endCount === 0) this.#suspects.delete(digest);
     return true;
   }
 
   /**
-   * @param digest A request.
-   * @returns When it was last known to be answered well.
+   * @param digest Digest of a request.
+   * @returns When the request was last answered successfully, if known.
    */
   clearedAtMs(digest: string): number | undefined {
     return this.#clearedAtMs.get(digest);
   }
 
   /**
-   * @param digest A request.
-   * @returns What is thought of it.
+   * @param digest Digest of a request.
+   * @returns The current assessment of the request.
    */
   verdict(digest: string): Verdict {
     const row = this.#suspects.get(digest);
     if (!row) return CLEAR;
-    const leftMs = this.#leftMs(row.ends);
+    const leftMs = this.#remainingMs(row.ends);
     if (leftMs <= 0) {
       this.#suspects.delete(digest);
       return CLEAR;
@@ -146,33 +151,33 @@
   }
 
   /**
-   * @param leastEnds Servers that must have ended under a request.
-   * @returns Such requests, those with most ends first.
+   * @param minEnds Minimum number of server ends.
+   * @returns Requests with at least that many ends, those with the most ends first.
    */
-  suspects(leastEnds: number): Suspect[] {
+  suspects(minEnds: number): Suspect[] {
     const found: Suspect[] = [];
     for (const [digest, { ends }] of this.#suspects) {
-      if (ends.size < leastEnds || this.#leftMs(ends) <= 0) continue;
+      if (ends.size < minEnds || this.#remainingMs(ends) <= 0) continue;
       found.push({ digest, ends: [...ends.values()] });
     }
     return found.sort((a, b) => b.ends.length - a.ends.length);
   }
 
-  #isForgotten(atMs: number): boolean {
-    return this.#clock.nowMs() - atMs >= FORGET_MS;
+  #isExpired(atMs: number): boolean {
+    return this.#clock.nowMs() - atMs >= EXPIRY_MS;
   }
 
-  #leftMs(ends: Ends): number {
-    return lastOf(ends) + FORGET_MS - this.#clock.nowMs();
+  #remainingMs(ends: Ends): number {
+    return lastEndMs(ends) + EXPIRY_MS - this.#clock.nowMs();
   }
 
-  /** Requests that merely ran beside the cause share its ends, and have few others. */
+  /** A request that only ran beside the cause shares the cause's ends and has few others. */
   #isLikelyCause(digest: string, row: Row): boolean {
     const unexplained: Ends = new Map();
     for (const [server, end] of row.ends) {
       if (!this.#isExplained(digest, row, end)) unexplained.set(server, end);
     }
-    return countInTurn(unexplained) >= LEAST_UNEXPLAINED;
+    return countSequentialEnds(unexplained) >= MIN_UNEXPLAINED_ENDS;
   }
 
   #isExplained(digest: string, { endCount }: Row, end: ServerEnd): boolean {
@@ -180,36 +185,37 @@
       if (count < ENDS_TO_QUARANTINE || count < endCount) continue;
       const other = ends.get(end.server);
       if (!other || otherDigest === digest) continue;
-      if (count > endCount || isLikelier(other, end)) return true;
+      if (count > endCount || isMoreLikelyCause(other, end)) return true;
     }
     return false;
   }
 
-  #leaveOut(): void {
-    let least: { digest: string; ends: Ends } | undefined;
+  #evictWeakest(): void {
+    let weakest: { digest: string; ends: Ends } | undefined;
     for (const [digest, { ends }] of this.#suspects) {
-      if (!least || isWeaker(ends, least.ends)) least = { digest, ends };
+      if (!weakest || isWeaker(ends, weakest.ends)) weakest = { digest, ends };
     }
-    if (least) this.#suspects.delete(least.digest);
+    if (weakest) this.#suspects.delete(weakest.digest);
   }
 }
 
-function lastOf(ends: Ends): number {
+function lastEndMs(ends: Ends): number {
   let lastMs = -Infinity;
   for (const { atMs } of ends.values()) lastMs = Math.max(lastMs, atMs);
   return lastMs;
 }
 
 /**
- * Counts ends that came one after the other. Servers that end while attempts of one request run at
- * all of them have a cause of their own, such as their rack; attempts that waited did not run.
+ * Counts sequential ends: those whose attempt began after the previously counted end. Servers that
+ * end while attempts of one request run on all of them probably share another cause, such as a
+ * failed rack. An attempt's time in a queue does not count as running.
  */
-function countInTurn(ends: Ends): number {
+function countSequentialEnds(ends: Ends): number {
   const inOrder = [...ends.values()].sort((a, b) => a.atMs - b.atMs);
   let count = 0;
   let lastMs = -Infinity;
   for (const { atMs, answeringMs, runMs } of inOrder) {
-    const ranMs = Math.max(0, (answeringMs ?? runMs) - SKEW_MS);
+    const ranMs = Math.max(0, (answeringMs ?? runMs) - TIMING_ERROR_MS);
     if (atMs - ranMs < lastMs) continue;
     count++;
     lastMs = atMs;
@@ -217,12 +223,16 @@
   return count;
 }
 
-/** A server ends soon after it has begun what ends it; most of the others wait, or are under way. */
-function isLikelier(end: ServerEnd, than: ServerEnd): boolean {
-  return (end.answeringMs ?? Infinity) < (than.answeringMs ?? Infinity);
+/**
+ * Compares two requests on the same server. A server ends soon after it begins the request that
+ * causes the end, so the one that began most recently is the likelier cause; requests that had not
+ * begun are the least likely.
+ */
+function isMoreLikelyCause(end: ServerEnd, other: ServerEnd): boolean {
+  return (end.answeringMs ?? Infinity) < (other.answeringMs ?? Infinity);
 }
 
 function isWeaker(ends: Ends, other: Ends): boolean {
   if (ends.size !== other.size) return ends.size < other.size;
-  return lastOf(ends) < lastOf(other);
+  return lastEndMs(ends) < lastEndMs(other);
 }
--- a/src/wire/calls.ts
+++ b/src/wire/calls.ts
@@ -1,4 +1,4 @@
-/** Unary calls with a deadline and a typed failure. */
+/** Unary gRPC calls with a timeout and typed failures. */
 import {
   type CallOptions,
   type ClientUnaryCall,
@@ -8,15 +8,15 @@
 } from "@grpc/grpc-js";
 import { Result } from "true-myth";
 
-/** Why a call gave no answer. */
+/** Why a call returned no answer. */
 export type CallFailure =
-  /** No connection could be made, so nothing was sent. */
+  /** The connection could not be opened, so the request was not sent. */
   | { kind: "unreachable"; message: string }
-  /** No answer in time; it may have been acted on. */
+  /** The answer did not arrive in time; the peer may have executed the call. */
   | { kind: "timeout"; message: string }
-  /** The connection broke; it may have been acted on. */
+  /** The connection broke; the peer may have executed the call. */
   | { kind: "broken"; message: string }
-  /** The peer refused the call itself, unread: a wrong token, an unknown method. */
+  /** The peer rejected the call without executing it: wrong token, unknown method. */
   | { kind: "rejected"; message: string };
 
 /** A generated unary method. */
@@ -27,22 +27,25 @@
   callback: (error: ServiceError | null, answer: A) => void,
 ) => ClientUnaryCall;
 
-/** When to give up on a call. */
+/** Timeout and cancellation of a call. */
 export interface UnaryOptions {
   timeoutMs: number;
   signal?: AbortSignal;
 }
 
 /**
- * Parts of a wait. After each the process reads what has arrived, so one that was not scheduled does
- * not take its peer's answer for late.
+ * Number of timer slices that make up a timeout. The event loop reads arrived data between slices,
+ * so a process that was not scheduled for a while does not treat an answer that arrived in time as
+ * late.
  */
-const WAIT_PARTS = 10;
+const TIMER_SLICES = 10;
 
 /**
- * @param method The client's method, bound to it.
- * @param request The request.
- * @param options When to give up.
+ * Makes a unary call.
+ *
+ * @param method Method of a generated client, bound to the client.
+ * @param request The request message.
+ * @param options Timeout and abort signal.
  * @returns The answer, or why there is none.
  */
 export function callUnary<Q, A>(
@@ -53,10 +56,10 @@
   const { timeoutMs, signal } = options;
   return new Promise((resolve) => {
     let call: ClientUnaryCall | undefined;
-    let isLate = false;
+    let isTimedOut = false;
     const cancel = () => call?.cancel();
     const stopTimer = startTimer(timeoutMs, () => {
-      isLate = true;
+      isTimedOut = true;
       cancel();
     });
     try {
@@ -64,11 +67,11 @@
         stopTimer();
         signal?.removeEventListener("abort", cancel);
         if (!error) return resolve(Result.ok(answer));
-        resolve(Result.err(isLate ? timeout() : failureOf(error)));
+        resolve(Result.err(isTimedOut ? timeout() : failureOf(error)));
       });
     } catch (error) {
       stopTimer();
-      // The library throws when the channel was closed, as on a stop.
+      // The gRPC library throws if the channel is closed, for example during shutdown.
       const message = error instanceof Error ? error.message : String(error);
       return resolve(Result.err({ kind: "unreachable", message }));
     }
@@ -78,8 +81,10 @@
 }
 
 /**
- * @param error What a call ended with.
- * @returns Whether anything can have been sent, and why it failed.
+ * Classifies a gRPC error.
+ *
+ * @param error Error of a call.
+ * @returns The failure, which tells whether the request may have been sent.
  */
 export function failureOf(error: ServiceError): CallFailure {
   const message = error.details || error.message;
@@ -98,8 +103,8 @@
 }
 
 /**
- * @param failure Why a call gave no answer.
- * @returns Whether nobody listens at the peer's address, so that the process there is gone.
+ * @param failure Why a call returned no answer.
+ * @returns Whether the connection was refused: no process listens at the peer's address any more.
  */
 export function isRefused(failure: CallFailure): boolean {
   return failure.kind === "unreachable" &&
@@ -110,18 +115,19 @@
   return { kind: "timeout", message: "No answer in time" };
 }
 
-/** Returns how to stop it. */
-function startTimer(waitMs: number, onEnd: () => void): () => void {
-  let partsLeft = WAIT_PARTS;
+/** Starts a timer of {@link TIMER_SLICES} slices; returns a function that cancels it. */
+function startTimer(waitMs: number, onTimeout: () => void): () => void {
+  let slicesLeft = TIMER_SLICES;
   const timer = setTimeout(() => {
-    partsLeft--;
-    if (partsLeft > 0) timer.refresh();
-    else onEnd();
-  }, waitMs / WAIT_PARTS);
+    slicesLeft--;
+    if (slicesLeft > 0) timer.refresh();
+    else onTimeout();
+  }, waitMs / TIMER_SLICES);
   return () => clearTimeout(timer);
 }
 
-// The library has no code for this; channels_test.ts pins the wording of its version.
+// The gRPC library has no status code for this, and its messages may change with its version;
+// channels_test.ts covers those of the version in use.
 function wasSent(message: string): boolean {
   return !message.startsWith("No connection established") &&
     !message.startsWith("Channel closed before call started");
--- a/src/wire/calls_test.ts
+++ b/src/wire/calls_test.ts
@@ -7,7 +7,7 @@
 import { systemClock } from "../base/mod.ts";
 import { callUnary, ChannelPool, type UnaryMethod } from "./mod.ts";
 
-test("a call on a closed channel is an answer, and counts as not sent", async () => {
+test("a call on a closed channel returns a failure and counts as not sent", async () => {
   const pool = ChannelPool.create({
     security: { kind: "plain" },
     clock: systemClock,
@@ -20,8 +20,9 @@
   assert.equal(answer.isErr && answer.error.kind, "unreachable");
 });
 
-// Beside load, calls were refused as `no_servers`: asks counted as late whose answers lay unread.
-test("an answer that came while the process stood still is not taken for late", async (t) => {
+// Under load, requests were refused as `no_servers`, as calls timed out although their answers had
+// arrived but had not been read yet.
+test("an answer that arrived while the process was paused does not count as late", async (t) => {
   const peer = new Worker(
     `const { parentPort } = require("node:worker_threads");
     const server = require("node:net").createServer((socket) => {
@@ -35,7 +36,7 @@
   const socket = connect(port, "127.0.0.1");
   t.after(() => socket.destroy());
   await once(socket, "connect");
-  // As the library does: its deadline is a timer.
+  // The gRPC library also implements its deadline as a timer.
   const method: UnaryMethod<string, string> = (
     _request,
     _metadata,
--- a/src/wire/channels.ts
+++ b/src/wire/channels.ts
@@ -1,7 +1,7 @@
 /**
- * gRPC channels to peers, one per address: opened on demand, closed when idle, bounded in number.
- * The pool never waits for the transport to notice a dead connection: whoever sees one go silent
- * calls {@link ChannelPool.replace}.
+ * Pool of gRPC channels to peers, one per address: opened on demand, closed when idle, bounded in
+ * number. The pool does not wait for the transport to detect a dead connection: a caller whose
+ * connection stops responding calls {@link ChannelPool.replace}.
  */
 import { Channel, type ChannelOptions } from "@grpc/grpc-js";
 import type { Clock, Owned } from "../base/mod.ts";
@@ -14,24 +14,27 @@
 export interface ChannelPoolOptions {
   security: WireSecurity;
   clock: Clock;
-  /** Most channels kept open; those used longest ago and not in use go first. */
+  /**
+   * Maximum number of open channels; the least recently used ones without users are closed first.
+   */
   maxChannels?: number;
-  /** A channel without a call for this long is closed, in ms. */
+  /** An unused channel is closed after this time, in ms. */
   idleMs?: number;
 }
 
-/** A channel to one peer, held by one user until `release`. */
+/** A user's reference to the channel to one peer, valid until `release`. */
 export interface ChannelLease {
   readonly address: string;
   readonly agent: AgentClient;
   readonly peer: PeerClient;
-  /** Gives the channel back; later calls do nothing. */
+  /** Returns the channel to the pool; further calls have no effect. */
   release(): void;
 }
 
 const DEFAULT_MAX_CHANNELS = 512;
 const DEFAULT_IDLE_MS = 60_000;
-const SWEEP_SHARE = 4;
+/** Checks for idle channels per idle time. */
+const SWEEPS_PER_IDLE_TIME = 4;
 
 const CHANNEL_OPTIONS: ChannelOptions = {
   "grpc.use_local_subchannel_pool": 1,
@@ -47,7 +50,7 @@
   "grpc.max_send_message_length": MAX_MESSAGE_BYTES,
 };
 
-/** One open channel and the clients that share it. */
+/** An open channel and the clients that share it. */
 interface PooledChannel {
   address: string;
   channel: Channel;
@@ -58,11 +61,11 @@
   retired: boolean;
 }
 
-/** Keeps channels to peers. */
+/** Pool of channels to peers. */
 export class ChannelPool implements Owned {
   readonly name = "channel-pool";
   readonly #options: Required<ChannelPoolOptions>;
-  /** In order of use: the first was used longest ago. */
+  /** By address, least recently used first. */
   readonly #channels = new Map<string, PooledChannel>();
   readonly #retired = new Set<PooledChannel>();
   readonly #sweep: NodeJS.Timeout;
@@ -71,13 +74,13 @@
 
   private constructor(options: Required<ChannelPoolOptions>) {
     this.#options = options;
-    const everyMs = Math.max(options.idleMs / SWEEP_SHARE, 10);
-    this.#sweep = setInterval(() => this.closeIdle(), everyMs);
+    const sweepIntervalMs = Math.max(options.idleMs / SWEEPS_PER_IDLE_TIME, 10);
+    this.#sweep = setInterval(() => this.closeIdle(), sweepIntervalMs);
     this.#sweep.unref();
   }
 
   /**
-   * @param options Security and bounds.
+   * @param options Security, clock and limits.
    * @returns An empty pool.
    */
   static create(options: ChannelPoolOptions): ChannelPool {
@@ -88,7 +91,10 @@
     });
   }
 
-  /** Number of channels now open, and of all ever opened. */
+  /**
+   * Number of channels in the pool, of replaced channels still in use, and of all channels opened
+   * so far.
+   */
   get counts(): { open: number; retired: number; opened: number } {
     return {
       open: this.#channels.size,
@@ -98,23 +104,25 @@
   }
 
   /**
+   * Acquires the channel to a peer, opening it if necessary.
+   *
    * @param address `ip:port` of the peer.
-   * @returns The channel to it, opened if there is none; release it after use.
+   * @returns The channel; release it after use.
    */
   acquire(address: string): ChannelLease {
     const pooled = this.#channels.get(address) ?? this.#open(address);
     pooled.users++;
     this.#touch(pooled);
     this.#closeSurplus();
-    return leaseOf(pooled, () => this.#release(pooled));
+    return createLease(pooled, () => this.#release(pooled));
   }
 
   /**
-   * Opens a fresh connection in place of one that has gone silent. When somebody else has replaced
-   * it already, theirs is used. Calls on the old one go on until they are cancelled.
+   * Replaces a channel whose connection no longer responds. If another user has already replaced
+   * it, that new channel is used. Calls on the old channel continue until they are cancelled.
    *
-   * @param stale The lease whose connection is given up; it is released.
-   * @returns A lease of a fresh channel to the same address.
+   * @param stale Lease of the channel to replace; it is released.
+   * @returns A lease of the new channel to the same address.
    */
   replace(stale: ChannelLease): ChannelLease {
     const current = this.#channels.get(stale.address);
@@ -123,11 +131,11 @@
     return this.acquire(stale.address);
   }
 
-  /** Closes channels without users that have been idle for long enough. */
+  /** Closes channels without users that have been idle for `idleMs`. */
   closeIdle(): void {
-    const before = this.#options.clock.nowMs() - this.#options.idleMs;
+    const cutoffMs = this.#options.clock.nowMs() - this.#options.idleMs;
     for (const pooled of this.#channels.values()) {
-      if (pooled.lastUsedMs > before) return;
+      if (pooled.lastUsedMs > cutoffMs) return;
       if (pooled.users === 0) this.#retire(pooled);
     }
   }
@@ -137,7 +145,7 @@
     return this.#isClosed;
   }
 
-  /** Closes every channel. */
+  /** Closes all channels. */
   close(): void {
     this.#isClosed = true;
     clearInterval(this.#sweep);
@@ -201,7 +209,10 @@
   }
 }
 
-function leaseOf(pooled: PooledChannel, giveBack: () => void): ChannelLease {
+function createLease(
+  pooled: PooledChannel,
+  onRelease: () => void,
+): ChannelLease {
   let released = false;
   return {
     address: pooled.address,
@@ -210,7 +221,7 @@
     release() {
       if (released) return;
       released = true;
-      giveBack();
+      onRelease();
     },
   };
 }
--- a/src/wire/channels_test.ts
+++ b/src/wire/channels_test.ts
@@ -8,14 +8,14 @@
   AUTHORITY_PEM,
   PROCESS_CERTIFICATE_PEM,
   PROCESS_KEY_PEM,
-  STRANGER_CERTIFICATE_PEM,
-  STRANGER_KEY_PEM,
+  UNTRUSTED_CERTIFICATE_PEM,
+  UNTRUSTED_KEY_PEM,
 } from "./_test_certificates.ts";
 
 const PLAIN: WireSecurity = { kind: "plain" };
 const TOKEN: WireSecurity = { kind: "token", token: "right" };
 const WRONG_TOKEN: WireSecurity = { kind: "token", token: "wrong" };
-const NOWHERE = "127.0.0.1:1";
+const UNUSED_ADDRESS = "127.0.0.1:1";
 
 async function listen(security: WireSecurity): Promise<GrpcListener> {
   const peer: PeerServer = {
@@ -47,7 +47,7 @@
   }).finally(() => lease.release());
 }
 
-test("token is checked", async () => {
+test("calls without the right token are rejected", async () => {
   const listener = await listen(TOKEN);
   const right = ChannelPool.create({ security: TOKEN, clock: systemClock });
   const wrong = ChannelPool.create({
@@ -64,34 +64,34 @@
   listener.close();
 });
 
-test("certificates of the authority are checked on both sides", async () => {
-  const known = tls(PROCESS_CERTIFICATE_PEM, PROCESS_KEY_PEM);
-  const stranger = tls(STRANGER_CERTIFICATE_PEM, STRANGER_KEY_PEM);
-  const listener = await listen(known);
-  const strange = await listen(stranger);
-  const pool = ChannelPool.create({ security: known, clock: systemClock });
-  const outside = ChannelPool.create({
-    security: stranger,
+test("both sides check that the authority signed the certificate", async () => {
+  const trusted = tls(PROCESS_CERTIFICATE_PEM, PROCESS_KEY_PEM);
+  const untrusted = tls(UNTRUSTED_CERTIFICATE_PEM, UNTRUSTED_KEY_PEM);
+  const listener = await listen(trusted);
+  const untrustedListener = await listen(untrusted);
+  const pool = ChannelPool.create({ security: trusted, clock: systemClock });
+  const untrustedPool = ChannelPool.create({
+    security: untrusted,
     clock: systemClock,
   });
   const plain = ChannelPool.create({ security: PLAIN, clock: systemClock });
   assert.equal((await dump(pool, listener.address)).isOk, true);
-  assert.equal((await dump(pool, strange.address)).isOk, false);
-  assert.equal((await dump(outside, listener.address)).isOk, false);
+  assert.equal((await dump(pool, untrustedListener.address)).isOk, false);
+  assert.equal((await dump(untrustedPool, listener.address)).isOk, false);
   assert.equal((await dump(plain, listener.address)).isOk, false);
-  for (const each of [pool, outside, plain]) each.close();
+  for (const each of [pool, untrustedPool, plain]) each.close();
   listener.close();
-  strange.close();
+  untrustedListener.close();
 });
 
-test("refused connection counts as not sent", async () => {
+test("a call on a refused connection counts as not sent", async () => {
   const pool = ChannelPool.create({ security: PLAIN, clock: systemClock });
-  const answer = await dump(pool, NOWHERE);
+  const answer = await dump(pool, UNUSED_ADDRESS);
   assert.equal(answer.isErr && answer.error.kind, "unreachable");
   pool.close();
 });
 
-test("replace opens one fresh channel for all users", async () => {
+test("replace opens one new channel for all users", async () => {
   const listener = await listen(PLAIN);
   const pool = ChannelPool.create({ security: PLAIN, clock: systemClock });
   const first = pool.acquire(listener.address);
@@ -106,7 +106,7 @@
   listener.close();
 });
 
-test("channels are bounded and idle ones closed", () => {
+test("channels are bounded, and idle channels are closed", () => {
   let nowMs = 0;
   const pool = ChannelPool.create({
     security: PLAIN,
--- a/src/wire/credentials.ts
+++ b/src/wire/credentials.ts
@@ -1,4 +1,4 @@
-/** Channel and server credentials of {@link WireSecurity}. */
+/** Channel and server credentials for each kind of {@link WireSecurity}. */
 import { createHash, timingSafeEqual } from "node:crypto";
 import {
   ChannelCredentials,
@@ -14,8 +14,8 @@
 const TOKEN_HEADER = "authorization";
 
 /**
- * @param security How processes know each other.
- * @returns What a channel connects with.
+ * @param security How processes authenticate each other.
+ * @returns Credentials with which a channel connects.
  */
 export function channelCredentials(security: WireSecurity): ChannelCredentials {
   switch (security.kind) {
@@ -27,15 +27,16 @@
         security.authorityPem,
         security.keyPem,
         security.certificatePem,
-        // Processes are known by the authority that signed them; their addresses change.
+        // Processes are authenticated by the authority that signed their certificates, as their
+        // addresses change.
         { checkServerIdentity: () => undefined },
       );
   }
 }
 
 /**
- * @param security How processes know each other.
- * @returns What a listener shows and demands.
+ * @param security How processes authenticate each other.
+ * @returns Credentials of a listener, and those it requires from clients.
  */
 export function serverCredentials(security: WireSecurity): ServerCredentials {
   switch (security.kind) {
@@ -55,8 +56,8 @@
 }
 
 /**
- * @param security How processes know each other.
- * @returns Interceptors that put the token on each call.
+ * @param security How processes authenticate each other.
+ * @returns Interceptors that attach the token to each call.
  */
 export function clientInterceptors(security: WireSecurity): Interceptor[] {
   if (security.kind !== "token") return [];
@@ -71,8 +72,8 @@
 }
 
 /**
- * @param security How processes know each other.
- * @returns Interceptors that refuse calls without the token.
+ * @param security How processes authenticate each other.
+ * @returns Interceptors that reject calls without the token.
  */
 export function serverInterceptors(
   security: WireSecurity,
@@ -83,9 +84,11 @@
     new ServerInterceptingCall(call, {
       start: (next) =>
         next({
-          onReceiveMetadata: (metadata, pass) => {
-            const shown = digest(String(metadata.get(TOKEN_HEADER)[0] ?? ""));
-            if (timingSafeEqual(shown, expected)) return pass(metadata);
+          onReceiveMetadata: (metadata, forward) => {
+            const received = digest(
+              String(metadata.get(TOKEN_HEADER)[0] ?? ""),
+            );
+            if (timingSafeEqual(received, expected)) return forward(metadata);
             call.sendStatus({
               code: status.UNAUTHENTICATED,
               details: "The token is missing or wrong",
--- a/src/wire/listener.ts
+++ b/src/wire/listener.ts
@@ -1,4 +1,4 @@
-/** A gRPC listener, as agents and entries use it. */
+/** The gRPC listener of agents and entries. */
 import {
   Server,
   type ServiceDefinition,
@@ -9,7 +9,7 @@
 import { serverCredentials, serverInterceptors } from "./credentials.ts";
 import type { WireSecurity } from "./security.ts";
 
-/** Largest message on the wire: the largest body a branch may allow, and room for the rest. */
+/** Maximum size of a gRPC message: the largest body that a branch may allow, plus other fields. */
 export const MAX_MESSAGE_BYTES = 72 * 1024 * 1024;
 
 /** Why a listener could not be opened. */
@@ -39,15 +39,15 @@
   }
 
   /**
-   * @param address `ip:port`; port 0: any free one.
-   * @param security How processes know each other.
+   * @param address `ip:port`; port 0 selects any free port.
+   * @param security How processes authenticate each other.
    * @returns A listener that is not open yet.
    */
   static create(address: string, security: WireSecurity): GrpcListener {
     return new GrpcListener(address, security);
   }
 
-  /** `ip:port`; after {@link start} with the port that was chosen. */
+  /** `ip:port`; after {@link start}, with the actual port. */
   get address(): string {
     return this.#address;
   }
@@ -56,7 +56,7 @@
    * Adds a service; call it before {@link start}.
    *
    * @param definition Generated definition, such as `AgentService`.
-   * @param implementation Its handlers.
+   * @param implementation Handlers of the service.
    */
   addService<T extends UntypedServiceImplementation>(
     definition: ServiceDefinition<T>,
@@ -65,7 +65,7 @@
     this.#server.addService(definition, implementation);
   }
 
-  /** @returns The address listened on, or why it could not be opened. */
+  /** @returns The address that the server listens on, or why it could not be opened. */
   start(): Promise<Result<string, ListenFailure>> {
     const address = this.#address;
     return new Promise((resolve) => {
@@ -84,9 +84,9 @@
   }
 
   /**
-   * Refuses new connections and calls, and waits for running calls to end.
+   * Stops accepting connections and calls, and waits for calls in flight to finish.
    *
-   * @param timeoutMs After this long, running calls are cut.
+   * @param timeoutMs Time after which calls still in flight are aborted.
    */
   async drain(timeoutMs: number): Promise<void> {
     const cut = setTimeout(() => this.close(), timeoutMs);
@@ -96,9 +96,9 @@
     clearTimeout(cut);
   }
 
-  /** Closes at once; running calls are cut. */
+  /** Closes the listener immediately and aborts calls in flight. */
   close(): void {
-    // Without channelz, `forceShutdown` leaves open connections served.
+    // With channelz disabled, `forceShutdown` alone leaves open connections in service.
     if (this.#isBound) this.#server.drain(this.#address, 0);
     this.#server.forceShutdown();
   }
--- a/src/wire/listener_test.ts
+++ b/src/wire/listener_test.ts
@@ -6,7 +6,7 @@
 
 const PLAIN = { kind: "plain" } as const;
 
-test("a closed listener answers nothing on open connections", async (context) => {
+test("a closed listener answers no calls on open connections", async (context) => {
   const peer: PeerServer = {
     exchange: (call, callback) => callback(null, call.request),
     fetchBranches: (_call, callback) => callback(null, { branches: [] }),
--- a/src/wire/mod.ts
+++ b/src/wire/mod.ts
@@ -1,4 +1,4 @@
-/** The wire between the processes of cicadahitch. */
+/** gRPC communication between the processes of cicadahitch. */
 export {
   type CallFailure,
   callUnary,
--- a/src/wire/run_codec.ts
+++ b/src/wire/run_codec.ts
@@ -1,22 +1,25 @@
-/** The agent's service with a leaner writer for pieces, by far its most frequent message. */
+/** The agent's gRPC service with a faster encoder for pieces, by far its most frequent message. */
 import { AgentService, RunDown } from "./gen/cicadahitch.ts";
 
+/** Protobuf field tags of `RunDown.pieces`, `Pieces.first_seq` and `Pieces.data`. */
 const PIECES_TAG = 0x12;
 const FIRST_SEQ_TAG = 0x08;
 const DATA_TAG = 0x12;
-const CONTINUES = 0x80;
+/** Set in each byte of a varint except the last. */
+const CONTINUATION_BIT = 0x80;
 
-/** `AgentService`, whose answers to `Run` are written by {@link encodeRunDown}. */
+/** `AgentService` that encodes the answers to `Run` with {@link encodeRunDown}. */
 export const LEAN_AGENT_SERVICE: typeof AgentService = {
   ...AgentService,
   run: { ...AgentService.run, responseSerialize: encodeRunDown },
 };
 
 /**
- * Writes pieces straight into a buffer of their size; the generated code copies them three times.
+ * Encodes pieces directly into a buffer of the exact size; the generated code copies them three
+ * times. Other messages are encoded by the generated code.
  *
- * @param message The message.
- * @returns The same bytes as those of the generated code.
+ * @param message The message to encode.
+ * @returns The same bytes as the generated encoder.
  */
 export function encodeRunDown(message: RunDown): Buffer {
   const { step } = message;
@@ -28,16 +31,16 @@
   for (const { length } of data) sizeBytes += 1 + varintBytes(length) + length;
   const bytes = Buffer.allocUnsafe(1 + varintBytes(sizeBytes) + sizeBytes);
   bytes[0] = PIECES_TAG;
-  let at = writeVarint(bytes, sizeBytes, 1);
+  let offset = writeVarint(bytes, sizeBytes, 1);
   if (firstSeq !== 0) {
-    bytes[at] = FIRST_SEQ_TAG;
-    at = writeVarint(bytes, firstSeq, at + 1);
+    bytes[offset] = FIRST_SEQ_TAG;
+    offset = writeVarint(bytes, firstSeq, offset + 1);
   }
   for (const piece of data) {
-    bytes[at] = DATA_TAG;
-    at = writeVarint(bytes, piece.length, at + 1);
-    bytes.set(piece, at);
-    at += piece.length;
+    bytes[offset] = DATA_TAG;
+    offset = writeVarint(bytes, piece.length, offset + 1);
+    bytes.set(piece, offset);
+    offset += piece.length;
   }
   return bytes;
 }
@@ -45,21 +48,21 @@
 function varintBytes(value: number): number {
   let count = 1;
   for (
-    let rest = value;
-    rest >= CONTINUES;
-    rest = Math.floor(rest / CONTINUES)
+    let remaining = value;
+    remaining >= CONTINUATION_BIT;
+    remaining = Math.floor(remaining / CONTINUATION_BIT)
   ) {
     count++;
   }
   return count;
 }
 
-function writeVarint(bytes: Buffer, value: number, at: number): number {
-  let rest = value;
-  while (rest >= CONTINUES) {
-    bytes[at++] = rest % CONTINUES | CONTINUES;
-    rest = Math.floor(rest / CONTINUES);
+function writeVarint(bytes: Buffer, value: number, offset: number): number {
+  let remaining = value;
+  while (remaining >= CONTINUATION_BIT) {
+    bytes[offset++] = remaining % CONTINUATION_BIT | CONTINUATION_BIT;
+    remaining = Math.floor(remaining / CONTINUATION_BIT);
   }
-  bytes[at++] = rest;
-  return at;
+  bytes[offset++] = remaining;
+  return offset;
 }
--- a/src/wire/run_codec_test.ts
+++ b/src/wire/run_codec_test.ts
@@ -14,7 +14,7 @@
   return { step: { $case: "pieces", value: { firstSeq, data } } };
 }
 
-test("pieces have the bytes of the generated code", () => {
+test("pieces are encoded to the same bytes as by the generated code", () => {
   const firstSeq = fc.oneof(
     fc.constantFrom(0, 1, 127, 128, 16_383, 16_384, 0xffff_ffff),
     fc.integer({ min: 0, max: 0xffff_ffff }),
@@ -34,7 +34,7 @@
   );
 });
 
-test("other messages are left to the generated code", () => {
+test("other messages are encoded by the generated code", () => {
   const end = {
     outcome: RunOutcome.DONE,
     message: "",
--- a/src/wire/security.ts
+++ b/src/wire/security.ts
@@ -1,12 +1,12 @@
-/** How the processes of cicadahitch know each other on their listeners. */
+/** How the processes of cicadahitch authenticate each other. */
 
-/** Setting of the listeners and connections between processes. */
+/** Security of the listeners and connections between processes. */
 export type WireSecurity =
-  /** Nothing is checked or hidden; only where the setting says so. */
+  /** No authentication and no encryption; must be configured explicitly. */
   | { kind: "plain" }
-  /** Each call carries a shared token; traffic is readable on the network. */
+  /** Each call carries a shared token; the traffic is not encrypted. */
   | { kind: "token"; token: string }
-  /** Both sides show a certificate of the given authority. */
+  /** Mutual TLS: both sides present a certificate signed by the given authority. */
   | {
     kind: "tls";
     certificatePem: Buffer;
