--- a/src/placement/baselines.ts
+++ b/src/placement/baselines.ts
@@ -1,4 +1,6 @@
-/** Baselines to compare with. Each names one server and asks no other. */
+/**
+ * Simple placement policies for comparison. Each picks a single server without requesting offers.
+ */
 import { LRUMap } from "./lru_map.ts";
 import type { Member, MemberTable } from "./member_table.ts";
 import type {
@@ -11,15 +13,16 @@
 import { PolicyName } from "./policy_name.ts";
 import { topRows } from "./rendezvous.ts";
 
-const MAX_KNOWN_PREFIXES = 65_536;
+/** Bound on the prefixes whose last server the affinity policy keeps. */
+const MAX_TRACKED_PREFIXES = 65_536;
 
-/** Names of the baselines. */
+/** Names of the baseline policies. */
 export type BaselineName = Exclude<PolicyName, typeof PolicyName.Offers>;
 
 /**
- * @param name Which baseline.
- * @param options Settings of policies.
- * @returns The baseline.
+ * @param name Name of the baseline.
+ * @param options Policy settings.
+ * @returns The baseline policy.
  */
 export function createBaseline(
   name: BaselineName,
@@ -32,7 +35,7 @@
   readonly name: BaselineName;
   readonly #random: () => number;
   readonly #loads = new Map<string, number>();
-  readonly #lastServers = LRUMap.create<bigint, string>(MAX_KNOWN_PREFIXES);
+  readonly #lastServers = LRUMap.create<bigint, string>(MAX_TRACKED_PREFIXES);
 
   constructor(name: BaselineName, options: PolicyOptions) {
     this.name = name;
@@ -47,7 +50,7 @@
     if (skip.size >= table.size) return [];
     const row = skip.size > 0
       ? this.#randomRow(table, skip)
-      : this.#row(request, table);
+      : this.#selectRow(request, table);
     return [table.members[row]!];
   }
 
@@ -61,7 +64,7 @@
   learn(observation: Observation): void {
     switch (observation.kind) {
       case "placed":
-        this.#remember(observation.request, observation.memberId);
+        this.#recordPlacement(observation.request, observation.memberId);
         break;
       case "load":
         this.#loads.set(
@@ -80,7 +83,7 @@
     return { policy: this.name, knownPrefixes: this.#lastServers.size };
   }
 
-  #row(request: PlacementRequest, table: MemberTable<Member>): number {
+  #selectRow(request: PlacementRequest, table: MemberTable<Member>): number {
     switch (this.name) {
       case PolicyName.Random:
         return this.#randomRow(table, new Set());
@@ -135,7 +138,7 @@
     return this.#randomRow(table, new Set());
   }
 
-  #remember(request: PlacementRequest, memberId: string): void {
+  #recordPlacement(request: PlacementRequest, memberId: string): void {
     if (this.name !== PolicyName.Affinity) return;
     for (const { key } of request.points) this.#lastServers.set(key, memberId);
   }
--- a/src/placement/chain_test.ts
+++ b/src/placement/chain_test.ts
@@ -23,7 +23,7 @@
 const SEEDED = { seed: 4, numRuns: 200 };
 const bytesOf = (text: string) => Buffer.from(text, "utf8");
 
-test("scope fields do not run together", () => {
+test("adjacent scope fields are delimited", () => {
   const other = { ...SCOPE, team: "lakeshores", workspace: "alon-1" };
   assert.notEqual(chainSeed(SCOPE), chainSeed(other));
   assert.notEqual(scopeId(SCOPE), scopeId(other));
@@ -38,7 +38,7 @@
   }
 });
 
-test("equal prefixes have equal keys, later ones differ", () => {
+test("equal prefixes have equal keys, blocks after a difference do not", () => {
   const text = "a".repeat(3 * CHAIN_BLOCK_BYTES);
   const one = promptChain(SCOPE, bytesOf(text + "b".repeat(512)));
   const two = promptChain(SCOPE, bytesOf(text + "c".repeat(512)));
@@ -47,7 +47,7 @@
   assert.notEqual(one.keys[4], two.keys[4]);
 });
 
-test("blocks survive a trip through strings", () => {
+test("blocks decoded to strings and encoded again have the same keys", () => {
   const text = fc.string({ unit: "binary", maxLength: 900 });
   fc.assert(
     fc.property(text, (value) => {
@@ -67,12 +67,12 @@
   );
 });
 
-test("blocks are full but for a split character", () => {
+test("a block is shorter only to keep a character whole", () => {
   const ends = blockEnds(bytesOf("a" + "\u{1F415}".repeat(200)));
   assert.deepEqual([...ends], [253, 509, 765]);
 });
 
-test("points hold levels and the last block", () => {
+test("points include the levels and the last block", () => {
   const chain = promptChain(SCOPE, Buffer.alloc(100 * CHAIN_BLOCK_BYTES));
   const blocks = selectPoints(chain, [7, 31]).map((point) => point.blocks);
   assert.equal(blocks.length, MAX_POINTS);
@@ -80,7 +80,7 @@
   assert.deepEqual(blocks, blocks.toSorted((a, b) => a - b));
 });
 
-test("the longest held point matches", () => {
+test("the longest cached prefix is matched", () => {
   const chain = promptChain(SCOPE, Buffer.alloc(20 * CHAIN_BLOCK_BYTES));
   const points = selectPoints(chain, [5]);
   const held = new Set(chain.keys.slice(0, 5));
@@ -89,7 +89,7 @@
   assert.equal(matchedBlocks([], () => true), 0);
 });
 
-test("points keep the shallow levels and the deepest ones", () => {
+test("points include the shallow levels and the deepest ones", () => {
   const chain = promptChain(SCOPE, Buffer.alloc(100 * CHAIN_BLOCK_BYTES));
   const levels = Array.from({ length: 20 }, (_, i) => 4 * (i + 1));
   const blocks = selectPoints(chain, levels).map((point) => point.blocks);
--- a/src/placement/create_policy.ts
+++ b/src/placement/create_policy.ts
@@ -1,13 +1,13 @@
-/** Makes the policy that the settings name. */
+/** Creates a placement policy by its name. */
 import { createBaseline } from "./baselines.ts";
 import { OffersPolicy } from "./offers_policy.ts";
 import type { Policy, PolicyOptions } from "./policy.ts";
 import { PolicyName } from "./policy_name.ts";
 
 /**
- * @param name Which policy.
- * @param options Its settings.
- * @returns A policy that has seen nothing yet.
+ * @param name Name of the policy.
+ * @param options Policy settings.
+ * @returns A policy without observations.
  */
 export function createPolicy(name: PolicyName, options: PolicyOptions): Policy {
   switch (name) {
--- a/src/placement/describe.ts
+++ b/src/placement/describe.ts
@@ -1,4 +1,4 @@
-/** From a request's body to what placement and the wire need of it. */
+/** Derives the placement request, and the chain points sent to agents, from a request body. */
 import {
   type ChainScope,
   estimateTokens,
@@ -8,18 +8,18 @@
 import { prefixLevels, type PromptAPI, renderPrompt } from "./levels.ts";
 import type { PlacementRequest } from "./policy.ts";
 
-/** Whose prompt it is, and the price of recomputing it. */
+/** The scope of a prompt, its API and the price of recomputing it. */
 export interface PromptSettings {
   scope: ChainScope;
   api: PromptAPI;
-  /** Price of a recomputed token in ms of waiting, from the request's class. */
+  /** Cost of recomputing a token, in ms of waiting time; set by the request's class. */
   recomputePriceMs: number;
 }
 
 /**
- * @param body The caller's body, parsed.
- * @param settings Scope, interface and price.
- * @returns What placement and `AskRequest` need of the prompt.
+ * @param body The parsed request body.
+ * @param settings Scope, API and price.
+ * @returns The input of the placement policy and of `AskRequest`.
  */
 export function describePrompt(
   body: Record<string, unknown>,
--- a/src/placement/in_flight_prefixes.ts
+++ b/src/placement/in_flight_prefixes.ts
@@ -1,56 +1,57 @@
 /**
- * Prefixes of requests that a server has let in and whose blocks it doesn't report yet. The engine's
- * events come after the prefill, late; a request with the same prefix that comes meanwhile will find
- * it cached.
+ * Prefixes of requests that a server has admitted but whose blocks its engine has not reported as
+ * cached yet. The engine reports blocks only some time after the prefill, but a request with the
+ * same prefix that arrives in between will find them cached.
  */
 import type { ChainPoint } from "../wire/gen/cicadahitch.ts";
 import { matchedBlocks } from "./chain.ts";
 
-/** Counts prefixes in flight on one server, by the keys of their points. */
+/** Reference counts of the prefixes in flight on one server, by the keys of their chain points. */
 export class InFlightPrefixes {
-  readonly #counts = new Map<bigint, number>();
+  readonly #countsByKey = new Map<bigint, number>();
 
   private constructor() {}
 
-  /** @returns Nothing in flight. */
+  /** @returns An empty set of prefixes. */
   static create(): InFlightPrefixes {
     return new InFlightPrefixes();
   }
 
-  /** Number of points that are kept. */
+  /** Number of distinct chain points in flight. */
   get size(): number {
-    return this.#counts.size;
+    return this.#countsByKey.size;
   }
 
   /**
-   * A request was let in.
+   * Adds the prefixes of an admitted request.
    *
-   * @param points The points of its prompt.
+   * @param points The chain points of its prompt.
    */
   enter(points: readonly ChainPoint[]): void {
     for (const { key } of points) {
-      this.#counts.set(key, (this.#counts.get(key) ?? 0) + 1);
+      this.#countsByKey.set(key, (this.#countsByKey.get(key) ?? 0) + 1);
     }
   }
 
   /**
-   * A request's blocks have been reported, or it came to nothing.
+   * Removes the prefixes of a request whose blocks have been reported, or that failed or was
+   * cancelled.
    *
-   * @param points The points that it entered with.
+   * @param points The chain points that were added for it.
    */
   leave(points: readonly ChainPoint[]): void {
     for (const { key } of points) {
-      const count = (this.#counts.get(key) ?? 0) - 1;
-      if (count > 0) this.#counts.set(key, count);
-      else this.#counts.delete(key);
+      const count = (this.#countsByKey.get(key) ?? 0) - 1;
+      if (count > 0) this.#countsByKey.set(key, count);
+      else this.#countsByKey.delete(key);
     }
   }
 
   /**
-   * @param points The points of a prompt.
-   * @returns Blocks of its longest prefix that is in flight.
+   * @param points The chain points of a prompt.
+   * @returns Length in blocks of its longest prefix in flight, 0 if none is.
    */
   matchedBlocks(points: ChainPoint[]): number {
-    return matchedBlocks(points, (key) => this.#counts.has(key));
+    return matchedBlocks(points, (key) => this.#countsByKey.has(key));
   }
 }
--- a/src/placement/levels.ts
+++ b/src/placement/levels.ts
@@ -1,28 +1,31 @@
 /**
- * Rendering of a request's prompt to the bytes that are cut into blocks, and the nested levels of
- * shared prefixes that it shows: message boundaries of a chat, block positions of a plain text.
+ * Renders a request's prompt to bytes and finds its prefix levels: nested prefixes that other
+ * requests are likely to share. Levels end at message boundaries of a chat, or at fixed positions
+ * of a text.
  */
 import type { PrefixChain } from "./chain.ts";
 
-/** First position of a level in a text that has no boundaries, in blocks. */
+/**
+ * Length in blocks of the first level of a prompt without boundaries; each further one doubles it.
+ */
 const FIRST_TEXT_LEVEL_BLOCKS = 4;
 
-/** Interfaces of an engine that take prompts. */
+/** Kinds of engine API that take prompts. */
 export type PromptAPI = "chat" | "text";
 
-/** A prompt as engines see it. */
+/** A prompt rendered to bytes, as engines see it. */
 export interface RenderedPrompt {
   bytes: Uint8Array;
-  /** Offsets in bytes at which messages, and parts of messages, end. */
+  /** Byte offsets of the ends of messages and of their parts. */
   boundaries: number[];
 }
 
 /**
- * Renders a request's prompt. What comes first in the request comes first in the bytes, so requests
- * that begin alike render alike.
+ * Renders a request's prompt in the order of the request, so that requests with a common beginning
+ * have a common prefix in bytes.
  *
- * @param api Interface that the body is for.
- * @param body The caller's body, parsed.
+ * @param api API that the body is for.
+ * @param body The parsed request body.
  * @returns The prompt and its boundaries.
  */
 export function renderPrompt(
@@ -39,8 +42,8 @@
 
 /**
  * @param prompt The rendered prompt.
- * @param chain Its chain.
- * @returns Block counts at which the levels end, ascending; the last block isn't one.
+ * @param chain Its prefix chain.
+ * @returns Lengths of the levels in blocks, ascending; each is shorter than the whole chain.
  */
 export function prefixLevels(
   prompt: RenderedPrompt,
@@ -106,9 +109,9 @@
   return levels;
 }
 
-function textLevels(lastBlocks: number): number[] {
+function textLevels(blockCount: number): number[] {
   const levels: number[] = [];
   let blocks = FIRST_TEXT_LEVEL_BLOCKS;
-  for (; blocks < lastBlocks; blocks *= 2) levels.push(blocks);
+  for (; blocks < blockCount; blocks *= 2) levels.push(blocks);
   return levels;
 }
--- a/src/placement/levels_test.ts
+++ b/src/placement/levels_test.ts
@@ -16,7 +16,7 @@
   return prefixLevels(prompt, promptChain(SCOPE, prompt.bytes));
 }
 
-test("messages are levels", () => {
+test("each message ends a level", () => {
   const messages = [
     { role: "system", content: "s".repeat(1000) },
     { role: "user", content: "p".repeat(2000) },
@@ -25,7 +25,7 @@
   assert.deepEqual(levelsOf({ messages }, "chat"), [3, 11]);
 });
 
-test("parts of a message are levels", () => {
+test("each part of a message ends a level", () => {
   const content = ["f", "p", "w", "q"].map((letter) => ({
     type: "text",
     text: letter.repeat(1024),
@@ -34,7 +34,7 @@
   assert.deepEqual(levels, [4, 8, 12]);
 });
 
-test("a plain text has levels by position", () => {
+test("a plain text has levels at fixed positions", () => {
   assert.deepEqual(levelsOf({ prompt: "x".repeat(256 * 33) }, "text"), [
     4,
     8,
@@ -44,7 +44,7 @@
   assert.deepEqual(levelsOf({ prompt: "short" }, "text"), []);
 });
 
-test("a longer chat starts with the shorter one's bytes", () => {
+test("a continued chat starts with the bytes of the shorter one", () => {
   const first = [{ role: "user", content: "hello" }];
   const longer = [...first, { role: "assistant", content: "hi" }];
   const one = renderPrompt("chat", { messages: first }).bytes;
--- a/src/placement/lru_map.ts
+++ b/src/placement/lru_map.ts
@@ -1,4 +1,6 @@
-/** A map that holds a bounded number of entries and forgets the least recently used. */
+/**
+ * A map of bounded size that evicts the entry whose last write is oldest. Reads don't count as use.
+ */
 export class LRUMap<K, V> {
   readonly #entries = new Map<K, V>();
   readonly #capacity: number;
@@ -8,7 +10,7 @@
   }
 
   /**
-   * @param capacity Entries at most.
+   * @param capacity Bound on the number of entries.
    * @returns An empty map.
    */
   static create<K, V>(capacity: number): LRUMap<K, V> {
@@ -20,12 +22,12 @@
     return this.#entries.size;
   }
 
-  /** @returns The value, without counting as a use. */
+  /** @returns The value; the order of eviction is unchanged. */
   get(key: K): V | undefined {
     return this.#entries.get(key);
   }
 
-  /** Sets a value and counts as a use. */
+  /** Sets a value and makes its entry the last to be evicted. */
   set(key: K, value: V): void {
     this.#entries.delete(key);
     this.#entries.set(key, value);
@@ -34,7 +36,7 @@
     if (!oldest.done) this.#entries.delete(oldest.value);
   }
 
-  /** Forgets an entry. */
+  /** Removes an entry. */
   delete(key: K): void {
     this.#entries.delete(key);
   }
--- a/src/placement/member_table.ts
+++ b/src/placement/member_table.ts
@@ -1,14 +1,14 @@
-/** The servers of a pool, as flat rows that rendezvous hashing runs over. */
+/** The servers of a pool as table rows, the input of rendezvous hashing. */
 import { textHash } from "./rendezvous.ts";
 
-/** What placement needs to know of a backend server. */
+/** Properties of a backend server that placement uses. */
 export interface Member {
   /** Stable id of the instance. */
   id: string;
   zone: string;
 }
 
-/** A pool's live servers. Immutable: a change of membership makes a new table. */
+/** Immutable table of a pool's live servers. A membership change requires a new table. */
 export class MemberTable<M extends Member> {
   readonly members: readonly M[];
   /** A hash of each member's id. */
@@ -26,7 +26,7 @@
   }
 
   /**
-   * @param members Live members of one pool; leaving ones are left out by the caller.
+   * @param members Live members of one pool, without those that are leaving.
    * @returns Their table.
    */
   static create<M extends Member>(members: readonly M[]): MemberTable<M> {
@@ -40,7 +40,7 @@
 
   /**
    * @param id A member's id.
-   * @returns Its row, -1 when it isn't in the pool.
+   * @returns Its row, or -1 if it isn't in the pool.
    */
   rowOf(id: string): number {
     return this.#rowById.get(id) ?? -1;
--- a/src/placement/mod.ts
+++ b/src/placement/mod.ts
@@ -1,4 +1,4 @@
-/** Placement: the prefix chain of prompts and the choice of backend servers. */
+/** Placement: prefix chains of prompts and policies that choose backend servers. */
 export { InFlightPrefixes } from "./in_flight_prefixes.ts";
 export {
   blockEnds,
--- a/src/placement/offers_policy.ts
+++ b/src/placement/offers_policy.ts
@@ -1,12 +1,13 @@
 /**
- * Placement by computation for a short list of candidates, then by what those offer.
+ * Placement in two steps: computes a short list of candidates, then compares their offers.
  *
- * Each level of the prefix chooses by rendezvous hashing inside what the level above chose, so the
- * requests of one salon meet on few servers, and those of one pet on fewer. Hints remember where a
- * prefix went last. The agents beside the candidates say what is true.
+ * Each prefix level selects servers by rendezvous hashing among those that the level above
+ * selected. Requests that share a short prefix thus share a few servers, and those that share a
+ * longer prefix even fewer. Hints record the server that last took a prefix. The offers of the
+ * candidates' agents, which know the actual cache contents and load, decide among the candidates.
  */
 import type { ChainPoint, Offer } from "../wire/gen/cicadahitch.ts";
-import { Avoidance } from "./avoidance.ts";
+import { ServerBackoff } from "./avoidance.ts";
 import { MAX_PLACEMENT_LEVELS } from "./chain.ts";
 import { LRUMap } from "./lru_map.ts";
 import type { Member, MemberTable } from "./member_table.ts";
@@ -22,33 +23,36 @@
 import { PrefixLoads } from "./prefix_loads.ts";
 import { topRows } from "./rendezvous.ts";
 
+/** Bound on the prefixes whose last server is kept. */
 const MAX_HINTS = 8192;
-/** Servers that are asked for one request. */
-const CANDIDATES = 3;
-/** Servers that a level is spread over at least. */
-const LEAST_WIDTH = 2;
-const UNKNOWN_RTT_MS = 50;
-const MAX_DOUBLINGS = 5;
-/** Offers this close count as equal. */
-const EQUAL_COST_MS = 5;
+/** Bound on the servers that are asked for an offer per round. */
+const MAX_CANDIDATES = 3;
+/** Minimum number of servers that a level selects. */
+const MIN_WIDTH = 2;
+/** Assumed round trip to an availability zone without a configured one. */
+const DEFAULT_RTT_MS = 50;
+/** Bound on how often the number of servers of a hot prefix doubles. */
+const MAX_WIDTH_DOUBLINGS = 5;
+/** Offers whose costs differ by no more are ranked by load. */
+const COST_TOLERANCE_MS = 5;
 
-/** The policy `offers`. */
+/** The policy {@link PolicyName.Offers}. */
 export class OffersPolicy implements Policy {
   readonly name = PolicyName.Offers;
   readonly #options: PolicyOptions;
   readonly #hints = LRUMap.create<bigint, string>(MAX_HINTS);
   readonly #loads = PrefixLoads.create();
-  readonly #avoidance: Avoidance;
-  readonly #allRows = new WeakMap<object, readonly number[]>();
+  readonly #backoff: ServerBackoff;
+  readonly #allRowsByTable = new WeakMap<object, readonly number[]>();
 
   private constructor(options: PolicyOptions) {
     this.#options = options;
-    this.#avoidance = Avoidance.create(options.random);
+    this.#backoff = ServerBackoff.create(options.random);
   }
 
   /**
-   * @param options Settings of policies.
-   * @returns A policy that has seen nothing yet.
+   * @param options Policy settings.
+   * @returns A policy without observations.
    */
   static create(options: PolicyOptions): OffersPolicy {
     return new OffersPolicy(options);
@@ -62,7 +66,7 @@
     this.#loads.count(request.levels, nowMs);
     const rows = this.#candidateRows(request, table);
     const members = rows.map((row) => table.members[row]!);
-    for (const { id } of members) this.#avoidance.probed(id, nowMs);
+    for (const { id } of members) this.#backoff.probeSent(id, nowMs);
     return members;
   }
 
@@ -82,14 +86,14 @@
     const nowMs = this.#options.nowMs();
     switch (observation.kind) {
       case "placed":
-        this.#remember(observation.request, observation.memberId);
+        this.#recordHints(observation.request, observation.memberId);
         this.#adjustWidth(observation.request, observation.offer);
         break;
       case "failed":
-        this.#avoidance.failed(observation.memberId, nowMs);
+        this.#backoff.failed(observation.memberId, nowMs);
         break;
       case "answered":
-        this.#avoidance.answered(observation.memberId);
+        this.#backoff.answered(observation.memberId);
         break;
       case "refused":
       case "load":
@@ -102,7 +106,7 @@
       policy: this.name,
       hints: this.#hints.size,
       prefixes: this.#loads.size,
-      failing: [...this.#avoidance.ids],
+      failing: [...this.#backoff.failingIds],
     };
   }
 
@@ -111,27 +115,27 @@
     table: MemberTable<Member>,
   ): number[] {
     const skip = this.#skippedRows(request, table);
-    const rows = this.#pool(table);
+    const rows = this.#allRows(table);
     const chosen = new Set<number>();
-    const hinted = this.#hintedRow(request, table);
-    if (hinted >= 0 && !skip.has(hinted)) chosen.add(hinted);
-    const levels = this.#levels(request);
+    const hintedRow = this.#hintedRow(request, table);
+    if (hintedRow >= 0 && !skip.has(hintedRow)) chosen.add(hintedRow);
+    const levels = this.#hashingLevels(request);
     for (const row of this.#rankedRows(levels, { table, rows, skip })) {
-      if (chosen.size >= CANDIDATES) break;
+      if (chosen.size >= MAX_CANDIDATES) break;
       chosen.add(row);
     }
     return [...chosen];
   }
 
-  #pool(table: MemberTable<Member>): readonly number[] {
-    let rows = this.#allRows.get(table);
+  #allRows(table: MemberTable<Member>): readonly number[] {
+    let rows = this.#allRowsByTable.get(table);
     if (rows) return rows;
     rows = table.members.map((_, row) => row);
-    this.#allRows.set(table, rows);
+    this.#allRowsByTable.set(table, rows);
     return rows;
   }
 
-  /** Rows that were tried or are avoided; avoided ones count only while others are left. */
+  /** Rows that were tried or are in backoff. Backoff is ignored if it would exclude every row. */
   #skippedRows(
     request: PlacementRequest,
     table: MemberTable<Member>,
@@ -140,89 +144,108 @@
     for (const id of request.excludedIds ?? []) addRow(tried, table.rowOf(id));
     const skipped = new Set(tried);
     const nowMs = this.#options.nowMs();
-    for (const id of this.#avoidance.ids) {
-      if (this.#avoidance.avoids(id, nowMs)) addRow(skipped, table.rowOf(id));
+    for (const id of this.#backoff.failingIds) {
+      if (this.#backoff.excludes(id, nowMs)) addRow(skipped, table.rowOf(id));
     }
     return skipped.size < table.size ? skipped : tried;
   }
 
-  /** Where the deepest known prefix below the first level went last. */
+  /**
+   * Row of the server that last took the longest known prefix, among those longer than the first
+   * level; -1 if there is none.
+   */
   #hintedRow(request: PlacementRequest, table: MemberTable<Member>): number {
-    if (this.#isOff(Mechanism.Hints)) return -1;
-    const shallow = request.levels[0]?.blocks ?? 0;
+    if (this.#isDisabled(Mechanism.Hints)) return -1;
+    const firstLevelBlocks = request.levels[0]?.blocks ?? 0;
     for (let i = request.points.length - 1; i >= 0; i--) {
       const { blocks, key } = request.points[i]!;
-      if (blocks <= shallow) break;
+      if (blocks <= firstLevelBlocks) break;
       const id = this.#hints.get(key);
       if (id !== undefined) return table.rowOf(id);
     }
     return -1;
   }
 
-  #levels(request: PlacementRequest): readonly ChainPoint[] {
-    const levels = placementPoints(request);
-    return this.#isOff(Mechanism.Nested) ? levels.slice(-1) : levels;
+  #hashingLevels(request: PlacementRequest): readonly ChainPoint[] {
+    const levels = levelsForPlacement(request);
+    return this.#isDisabled(Mechanism.Nested) ? levels.slice(-1) : levels;
   }
 
   /**
-   * Rows by preference: the best of the widest set, then the best of each narrower one, where other
-   * entries may have put the prefix, then the rest of the narrowest, then a way out of it.
+   * Ranks rows. First comes the best row at the current widths, then the best row at each halved
+   * width, where entries that measured less load may have placed the prefix, then all rows at the
+   * minimum width, then rows at twice the current widths as alternatives.
+   *
+   * If the deepest level is widened, returns a random sample of its rows instead; if there is no
+   * level, a random sample of all rows.
    */
-  #rankedRows(levels: readonly ChainPoint[], among: RowsAmong): number[] {
+  #rankedRows(
+    levels: readonly ChainPoint[],
+    selection: RowSelection,
+  ): number[] {
     const deepest = levels.at(-1);
     if (!deepest) {
-      return this.#sample(among.rows.filter((row) => !among.skip.has(row)));
+      return this.#sampleRows(
+        selection.rows.filter((row) => !selection.skip.has(row)),
+      );
     }
     if (this.#loads.doublings(deepest.key) > 0) {
-      return this.#sample(this.#nestedRows(levels, among, 0));
+      return this.#sampleRows(this.#nestedRows(levels, selection, 0));
     }
-    const steps = Math.max(
+    const maxHalvings = Math.max(
       ...levels.map(({ key }) => this.#loads.doublings(key)),
     );
-    const first = this.#firstRows(levels[0]!.key, among);
+    const firstLevelRows = this.#firstLevelRows(levels[0]!.key, selection);
     const rowsAt = (halvings: number) =>
-      this.#nestedRows(levels, { ...among, rows: first }, halvings);
+      this.#nestedRows(
+        levels,
+        { ...selection, rows: firstLevelRows },
+        halvings,
+      );
     const ranked: number[] = [];
-    for (let step = 0; step < steps; step++) {
-      ranked.push(...rowsAt(step).slice(0, 1));
+    for (let halvings = 0; halvings < maxHalvings; halvings++) {
+      ranked.push(...rowsAt(halvings).slice(0, 1));
     }
-    return [...ranked, ...rowsAt(steps), ...rowsAt(-1)];
+    return [...ranked, ...rowsAt(maxHalvings), ...rowsAt(-1)];
   }
 
-  /** The widest choice of the first level that is needed, by the only pass over all rows. */
-  #firstRows(key: bigint, { table, rows, skip }: RowsAmong): number[] {
-    const count = this.#leastWidth() * 2 ** (this.#loads.doublings(key) + 1);
+  /** Rows of the first level at twice its current width. The ranking scans all rows only here. */
+  #firstLevelRows(key: bigint, { table, rows, skip }: RowSelection): number[] {
+    const count = this.#minWidth() * 2 ** (this.#loads.doublings(key) + 1);
     return topRows(table.idHashes, key, { count, rows, skip });
   }
 
-  /** Each level chooses inside what the level above chose; `halvings` makes them narrower. */
+  /**
+   * Selects rows level by level, each among the rows of the level above. `halvings` reduces the
+   * width of each level, down to the minimum; -1 doubles it.
+   */
   #nestedRows(
     levels: readonly ChainPoint[],
-    among: RowsAmong,
+    selection: RowSelection,
     halvings: number,
   ): readonly number[] {
-    const { table, skip } = among;
-    let rows = among.rows;
+    const { table, skip } = selection;
+    let rows = selection.rows;
     for (const { key } of levels) {
       const doublings = Math.max(0, this.#loads.doublings(key) - halvings);
-      const count = this.#leastWidth() * 2 ** doublings;
+      const count = this.#minWidth() * 2 ** doublings;
       rows = topRows(table.idHashes, key, { count, rows, skip });
     }
     return rows;
   }
 
-  #leastWidth(): number {
-    return this.#isOff(Mechanism.TwoChoices) ? 1 : LEAST_WIDTH;
+  #minWidth(): number {
+    return this.#isDisabled(Mechanism.TwoChoices) ? 1 : MIN_WIDTH;
   }
 
-  #sample(rows: readonly number[]): number[] {
-    const left = [...rows];
+  #sampleRows(rows: readonly number[]): number[] {
+    const remaining = [...rows];
     const sample: number[] = [];
-    while (left.length > 0 && sample.length < CANDIDATES) {
-      const at = Math.floor(this.#options.random() * left.length);
-      sample.push(left[at]!);
-      left[at] = left.at(-1)!;
-      left.pop();
+    while (remaining.length > 0 && sample.length < MAX_CANDIDATES) {
+      const index = Math.floor(this.#options.random() * remaining.length);
+      sample.push(remaining[index]!);
+      remaining[index] = remaining.at(-1)!;
+      remaining.pop();
     }
     return sample;
   }
@@ -234,53 +257,58 @@
   ): boolean {
     const difference = this.#costMs(request, one) -
       this.#costMs(request, other);
-    if (this.#isOff(Mechanism.TwoChoices)) return difference < 0;
-    if (Math.abs(difference) > EQUAL_COST_MS) return difference < 0;
-    return loadOf(one.offer) < loadOf(other.offer);
+    if (this.#isDisabled(Mechanism.TwoChoices)) return difference < 0;
+    if (Math.abs(difference) > COST_TOLERANCE_MS) return difference < 0;
+    return inFlightOf(one.offer) < inFlightOf(other.offer);
   }
 
   #costMs<M extends Member>(
     request: PlacementRequest,
-    from: ServerOffer<M>,
+    candidate: ServerOffer<M>,
   ): number {
-    const { offer, member } = from;
-    const priceMs = this.#isOff(Mechanism.Price) ? 0 : request.recomputePriceMs;
-    const rttMs = this.#isOff(Mechanism.Zones) ? 0 : this.#rttMs(member);
+    const { offer, member } = candidate;
+    const priceMs = this.#isDisabled(Mechanism.Price)
+      ? 0
+      : request.recomputePriceMs;
+    const rttMs = this.#isDisabled(Mechanism.Zones) ? 0 : this.#rttMs(member);
     return offer.expectedTtftMs + rttMs + priceMs * offer.recomputeTokens;
   }
 
   #rttMs(member: Member): number {
-    return this.#options.zoneRttMs[member.zone] ?? UNKNOWN_RTT_MS;
+    return this.#options.zoneRttMs[member.zone] ?? DEFAULT_RTT_MS;
   }
 
-  #remember(request: PlacementRequest, memberId: string): void {
-    if (this.#isOff(Mechanism.Hints)) return;
+  #recordHints(request: PlacementRequest, memberId: string): void {
+    if (this.#isDisabled(Mechanism.Hints)) return;
     for (const { key } of request.levels) this.#hints.set(key, memberId);
     const last = request.points.at(-1);
     if (last) this.#hints.set(last.key, memberId);
   }
 
   #adjustWidth(request: PlacementRequest, offer: Offer): void {
-    if (this.#isOff(Mechanism.Widen)) return;
-    this.#loads.adjust(placementPoints(request), {
+    if (this.#isDisabled(Mechanism.Widen)) return;
+    this.#loads.adjustWidths(levelsForPlacement(request), {
       queueMs: offer.queueMs,
       nowMs: this.#options.nowMs(),
-      maxDoublings: MAX_DOUBLINGS,
+      maxDoublings: MAX_WIDTH_DOUBLINGS,
     });
   }
 
-  #isOff(mechanism: Mechanism): boolean {
+  #isDisabled(mechanism: Mechanism): boolean {
     return this.#options.without?.has(mechanism) ?? false;
   }
 }
 
-interface RowsAmong {
+/** The rows that may be selected. */
+interface RowSelection {
   table: MemberTable<Member>;
   rows: readonly number[];
+  /** Rows to leave out. */
   skip: ReadonlySet<number>;
 }
 
-function placementPoints(request: PlacementRequest): readonly ChainPoint[] {
+/** The shallowest levels, or the last point of a prompt without levels. */
+function levelsForPlacement(request: PlacementRequest): readonly ChainPoint[] {
   if (request.levels.length > 0) {
     return request.levels.slice(0, MAX_PLACEMENT_LEVELS);
   }
@@ -291,6 +319,6 @@
   if (row >= 0) rows.add(row);
 }
 
-function loadOf(offer: Offer): number {
+function inFlightOf(offer: Offer): number {
   return offer.running + offer.waiting;
 }
--- a/src/placement/policy.ts
+++ b/src/placement/policy.ts
@@ -1,103 +1,103 @@
 /**
- * Placement policies. A dispatcher calls `candidates`, asks each of them for an offer, takes what
- * `choose` returns, and tells `learn` what came of it.
+ * Interface of the placement policies. A dispatcher calls `candidates`, requests an offer from
+ * each, sends the request to the server that `choose` returns, and reports the result to `learn`.
  */
 import type { ChainPoint, Offer } from "../wire/gen/cicadahitch.ts";
 import type { Member, MemberTable } from "./member_table.ts";
 import type { PolicyName } from "./policy_name.ts";
 
-/** Parts of the policy that can be switched off in experiments. */
+/** Parts of the policy that experiments can disable. */
 export const Mechanism = {
-  /** Widening of the candidate set of a hot prefix. */
+  /** Spreads a hot prefix over more servers. */
   Widen: "widen",
-  /** Hints from own traffic. */
+  /** Asks the server at which this process last placed the prefix. */
   Hints: "hints",
-  /** Deep levels choose inside what shallow ones chose. */
+  /** Selects the servers of a deep prefix level among those of the shallower ones. */
   Nested: "nested",
-  /** The class's price of recomputation. */
+  /** Adds the cost of recomputed tokens, as priced by the request's class. */
   Price: "price",
-  /** Round trips to availability zones. */
+  /** Adds the round trip time to the server's availability zone. */
   Zones: "zones",
-  /** Two choices by load among equals. */
+  /** Selects at least two servers per level, and the less loaded one among equal offers. */
   TwoChoices: "twochoices",
 } as const;
 /** One of {@link Mechanism}. */
 export type Mechanism = (typeof Mechanism)[keyof typeof Mechanism];
 
-/** What placement needs to know of a request. */
+/** Properties of a request that placement uses. */
 export interface PlacementRequest {
-  /** Points at which levels of the prefix end, shallow to deep; empty for a short prompt. */
+  /** Chain points at which the prefix levels end, shallow to deep; empty for a short prompt. */
   levels: ChainPoint[];
-  /** The points that go on the wire, ascending. */
+  /** Chain points that are sent to agents, ascending. */
   points: ChainPoint[];
   promptTokens: number;
-  /** Price of a recomputed token in ms of waiting, from the request's class. */
+  /** Cost of recomputing a token, in ms of waiting time; set by the request's class. */
   recomputePriceMs: number;
-  /** Servers that have been tried for this request. */
+  /** Servers that were already tried for this request. */
   excludedIds?: ReadonlySet<string>;
 }
 
-/** An offer, with the server that made it. */
+/** An offer and the server that made it. */
 export interface ServerOffer<M extends Member> {
   member: M;
   offer: Offer;
 }
 
-/** What a dispatcher saw. */
+/** An event that a dispatcher reports to its policy. */
 export type Observation =
-  /** A server took the request, under this offer. */
+  /** A server accepted the request under this offer. */
   | {
     kind: "placed";
     request: PlacementRequest;
     memberId: string;
     offer: Offer;
   }
-  /** A server refused; 0 ms: it said nothing about when to return. */
+  /** A server refused the request. `retryAfterMs` is 0 if it suggested no delay. */
   | { kind: "refused"; memberId: string; retryAfterMs: number }
-  /** A server did not answer, or broke off. */
+  /** A server did not answer, or its answer was cut off. */
   | { kind: "failed"; memberId: string }
-  /** The first piece of an answer came. */
+  /** The first piece of a server's answer arrived. */
   | { kind: "answered"; memberId: string }
-  /** Load of a server, seen in passing. */
+  /** A server's load, as contained in another message. */
   | { kind: "load"; memberId: string; running: number; waiting: number };
 
-/** Chooses backend servers. */
+/** Chooses backend servers for requests. */
 export interface Policy {
   readonly name: PolicyName;
   /**
-   * @param request What to place.
+   * @param request The request to place.
    * @param table The pool's live members.
-   * @returns Members to ask, all at once; empty when none is left.
+   * @returns Members to ask in parallel; empty if none is left.
    */
   candidates<M extends Member>(
     request: PlacementRequest,
     table: MemberTable<M>,
   ): M[];
   /**
-   * @param request What to place.
-   * @param offers What the candidates offered.
-   * @returns The best offer, undefined when there is none.
+   * @param request The request to place.
+   * @param offers The candidates' offers.
+   * @returns The best offer, undefined if there are none.
    */
   choose<M extends Member>(
     request: PlacementRequest,
     offers: ServerOffer<M>[],
   ): ServerOffer<M> | undefined;
-  /** Takes note of what happened. */
+  /** Updates the policy's state with an observation. */
   learn(observation: Observation): void;
-  /** @returns Soft state for dumps. */
+  /** @returns A summary of the in-memory state, for state dumps. */
   dump(): Record<string, unknown>;
 }
 
 /** Settings of a policy. */
 export interface PolicyOptions {
-  /** Own availability zone. */
+  /** Availability zone of this process. */
   zone: string;
-  /** Round trip to each availability zone, in ms. */
+  /** Round trip time to each availability zone, in ms. */
   zoneRttMs: Record<string, number>;
   /** Monotonic time in ms. */
   nowMs: () => number;
   /** Uniform in [0, 1). */
   random: () => number;
-  /** Parts that are switched off. */
+  /** Disabled parts of the policy. */
   without?: ReadonlySet<Mechanism>;
 }
--- a/src/placement/policy_name.ts
+++ b/src/placement/policy_name.ts
@@ -1,12 +1,12 @@
 /** Names of the placement policies; all but `offers` are baselines. */
 export const PolicyName = {
-  /** Candidates by nested prefix levels, then asked for offers. */
+  /** Selects candidates by nested prefix levels, then compares their offers. */
   Offers: "offers",
   Random: "random",
   LeastLoaded: "least-loaded",
-  /** Rendezvous hashing on the first prefix level. */
+  /** Rendezvous hashing by the key of the first prefix level. */
   Rendezvous: "rendezvous",
-  /** Where the longest known prefix last ran, without asking. */
+  /** The server that last took the longest known prefix, without an offer. */
   Affinity: "affinity",
 } as const;
 
--- a/src/placement/policy_test.ts
+++ b/src/placement/policy_test.ts
@@ -20,11 +20,11 @@
 function requestOf(...keys: number[]): PlacementRequest {
   const levels = keys.map((key, i) => ({
     blocks: 10 * (i + 1),
-    key: spread(key),
+    key: keyFrom(key),
   }));
   const last = {
     blocks: 10 * (keys.length + 1),
-    key: spread(7777 + keys.at(-1)!),
+    key: keyFrom(7777 + keys.at(-1)!),
   };
   return {
     levels,
@@ -34,7 +34,7 @@
   };
 }
 
-function spread(key: number): bigint {
+function keyFrom(key: number): bigint {
   return BigInt.asUintN(64, BigInt(key) * 0x9e3779b97f4a7c15n);
 }
 
@@ -64,20 +64,20 @@
   });
 }
 
-test("a smaller count ranks a prefix of a larger one", () => {
+test("a smaller count returns the first rows of a larger one", () => {
   const { idHashes } = tableOf(50);
-  const eight = topRows(idHashes, spread(3), { count: 8 });
+  const eight = topRows(idHashes, keyFrom(3), { count: 8 });
   assert.deepEqual(
-    topRows(idHashes, spread(3), { count: 3 }),
+    topRows(idHashes, keyFrom(3), { count: 3 }),
     eight.slice(0, 3),
   );
 });
 
-test("a lost server moves only its own keys", () => {
+test("losing a server moves only its own keys", () => {
   const { idHashes } = tableOf(20);
   for (let key = 1; key < 200; key++) {
-    const [first, second] = topRows(idHashes, spread(key), { count: 2 });
-    const [after] = topRows(idHashes, spread(key), {
+    const [first, second] = topRows(idHashes, keyFrom(key), { count: 2 });
+    const [after] = topRows(idHashes, keyFrom(key), {
       count: 1,
       skip: new Set([4]),
     });
@@ -85,11 +85,11 @@
   }
 });
 
-test("rows share keys evenly", () => {
+test("keys are spread evenly over rows", () => {
   const { idHashes } = tableOf(10);
   const counts = new Array(10).fill(0);
   for (let key = 1; key <= 10_000; key++) {
-    counts[topRows(idHashes, spread(key), { count: 1 })[0]!]++;
+    counts[topRows(idHashes, keyFrom(key), { count: 1 })[0]!]++;
   }
   assert.ok(
     Math.min(...counts) > 850 && Math.max(...counts) < 1150,
@@ -97,18 +97,20 @@
   );
 });
 
-test("deep levels choose inside the shallow choice, with a way out", () => {
+test("deep levels select among the servers of the shallow level, plus one outside", () => {
   const table = tableOf(40);
   const policy = policyAt({ nowMs: 0 });
-  const inside = new Set<string>();
+  const narrowest = new Set<string>();
   const asked = new Set<string>();
-  for (let pet = 100; pet < 160; pet++) {
-    const ids = policy.candidates(requestOf(1, pet), table).map(({ id }) => id);
+  for (let deepKey = 100; deepKey < 160; deepKey++) {
+    const ids = policy.candidates(requestOf(1, deepKey), table).map(({ id }) =>
+      id
+    );
     assert.equal(ids.length, 3);
-    for (const id of ids.slice(0, 2)) inside.add(id);
+    for (const id of ids.slice(0, 2)) narrowest.add(id);
     for (const id of ids) asked.add(id);
   }
-  assert.equal(inside.size, 2);
+  assert.equal(narrowest.size, 2);
   assert.equal(asked.size, 4);
 });
 
@@ -116,7 +118,7 @@
   const clock = { nowMs: 0 };
   const table = tableOf(40);
   const policy = policyAt(clock, [Mechanism.Hints]);
-  const spreadOf = (queueMs: number) => {
+  const countFirstChoices = (queueMs: number) => {
     const seen = new Set<string>();
     for (let i = 0; i < 100; i++) {
       clock.nowMs += 200;
@@ -128,14 +130,14 @@
     }
     return seen.size;
   };
-  const wide = spreadOf(200);
+  const wide = countFirstChoices(200);
   assert.ok(wide > 8, `${wide}`);
-  for (let i = 0; i < 10; i++) spreadOf(0);
-  const narrow = spreadOf(0);
+  for (let i = 0; i < 10; i++) countFirstChoices(0);
+  const narrow = countFirstChoices(0);
   assert.ok(narrow <= 3, `${narrow}`);
 });
 
-test("a hint brings the last server back", () => {
+test("the server that last took a prefix is asked first", () => {
   const policy = policyAt({ nowMs: 0 });
   const table = tableOf(40);
   const request = requestOf(1, 2);
@@ -145,7 +147,7 @@
   assert.equal(policy.candidates(request, table)[0]!.id, memberId);
 });
 
-test("tried and failed servers are left out", () => {
+test("tried servers and servers in backoff are excluded", () => {
   const clock = { nowMs: 0 };
   const policy = policyAt(clock);
   const table = tableOf(3);
@@ -163,11 +165,11 @@
   assert.ok(policy.candidates(request, table).includes(first!));
   assert.ok(
     !policy.candidates(request, table).includes(first!),
-    "one probe only",
+    "Expected a single probe",
   );
 });
 
-test("all failed servers are better than none", () => {
+test("servers in backoff are candidates if there are no others", () => {
   const policy = policyAt({ nowMs: 0 });
   const table = tableOf(2);
   for (const { id } of table.members) {
@@ -181,7 +183,7 @@
   );
 });
 
-test("a zone's round trip counts as waiting", () => {
+test("the round trip to a zone counts as waiting time", () => {
   const policy = policyAt({ nowMs: 0 });
   const near = {
     member: { id: "n", zone: "b" },
@@ -199,12 +201,12 @@
   near.offer.expectedTtftMs = 170;
   assert.equal(policy.choose(requestOf(1), [near, far]), far);
   assert.equal(policy.choose(requestOf(1), [near, far, unknown]), unknown);
-  const deaf = policyAt({ nowMs: 0 }, [Mechanism.Zones]);
+  const ignoringZones = policyAt({ nowMs: 0 }, [Mechanism.Zones]);
   near.offer.expectedTtftMs = 110;
-  assert.equal(deaf.choose(requestOf(1), [near, far]), far);
+  assert.equal(ignoringZones.choose(requestOf(1), [near, far]), far);
 });
 
-test("the price weighs recomputation against waiting", () => {
+test("the price weighs recomputed tokens against waiting time", () => {
   const policy = policyAt({ nowMs: 0 });
   const [one, two] = tableOf(2, "a").members;
   const waits = { member: one!, offer: offerOf({ expectedTtftMs: 300 }) };
@@ -236,7 +238,7 @@
   assert.equal(policy.choose(requestOf(1), []), undefined);
 });
 
-test("baselines name one server, another after a refusal", () => {
+test("a baseline picks one server, and another once that is excluded", () => {
   const table = tableOf(5);
   for (const name of Object.values(PolicyName)) {
     if (name === PolicyName.Offers) continue;
--- a/src/placement/rendezvous.ts
+++ b/src/placement/rendezvous.ts
@@ -1,36 +1,37 @@
 /**
- * Rendezvous (highest random weight) hashing. Ids are hashed once; a choice only mixes those hashes
- * with the key, in a plain loop.
+ * Rendezvous (highest random weight) hashing. Server ids are hashed once in advance, so that a
+ * selection only has to mix these hashes with the key.
  */
 import { hash } from "node:crypto";
 
 /**
- * @param text A server's id.
- * @returns A hash of 32 bits.
+ * @param text A text, for instance a server's id.
+ * @returns A 32-bit hash.
  */
 export function textHash(text: string): number {
   return hash("sha256", text, "buffer").readUInt32LE(0);
 }
 
 /**
- * @param value A hash.
- * @param salt What to mix into it.
- * @returns A hash of 32 bits.
+ * @param value A 32-bit hash.
+ * @param salt A 32-bit value to mix into it.
+ * @returns A 32-bit hash.
  */
 export function mixHash(value: number, salt: number): number {
-  let mixed = (value ^ salt) >>> 0;
-  mixed = Math.imul(mixed ^ (mixed >>> 16), 0x85ebca6b);
-  mixed = Math.imul(mixed ^ (mixed >>> 13), 0xc2b2ae35);
-  return (mixed ^ (mixed >>> 16)) >>> 0;
+  let hash32 = (value ^ salt) >>> 0;
+  hash32 = Math.imul(hash32 ^ (hash32 >>> 16), 0x85ebca6b);
+  hash32 = Math.imul(hash32 ^ (hash32 >>> 13), 0xc2b2ae35);
+  return (hash32 ^ (hash32 >>> 16)) >>> 0;
 }
 
 /**
- * Ranks rows for a key.
+ * Returns the rows with the highest scores for a key.
  *
  * @param idHashes Hash of each row's id.
  * @param key The key to place.
- * @param options Which rows, and how many of them.
- * @returns The `count` highest rows, best first. A smaller count gives a prefix of a larger one's.
+ * @param options The eligible rows, and how many to return.
+ * @returns At most `count` rows, best first. A smaller count returns the first rows of a larger
+ * one.
  */
 export function topRows(
   idHashes: Uint32Array,
@@ -48,7 +49,7 @@
     const score = mixHash(mixHash(idHashes[row]!, low), high);
     if (best.length === count && score <= scores[count - 1]!) continue;
     if (skip?.has(row)) continue;
-    insert(best, scores, { row, score, count });
+    insertSorted(best, scores, { row, score, count });
   }
   return best;
 }
@@ -56,24 +57,28 @@
 /** Options of {@link topRows}. */
 export interface TopRowsOptions {
   count: number;
-  /** Rows to choose among; all when left out. */
+  /** Rows to choose from; default: all. */
   rows?: readonly number[];
   /** Rows to leave out. */
   skip?: ReadonlySet<number>;
 }
 
-interface Entrant {
+interface ScoredRow {
   row: number;
   score: number;
   count: number;
 }
 
-function insert(best: number[], scores: number[], entrant: Entrant): void {
-  const { row, score, count } = entrant;
-  let at = best.length;
-  while (at > 0 && scores[at - 1]! < score) at--;
-  best.splice(at, 0, row);
-  scores.splice(at, 0, score);
+function insertSorted(
+  best: number[],
+  scores: number[],
+  scored: ScoredRow,
+): void {
+  const { row, score, count } = scored;
+  let index = best.length;
+  while (index > 0 && scores[index - 1]! < score) index--;
+  best.splice(index, 0, row);
+  scores.splice(index, 0, score);
   if (best.length <= count) return;
   best.pop();
   scores.pop();
--- a/src/planner/_goals.ts
+++ b/src/planner/_goals.ts
@@ -1,4 +1,4 @@
-/** How many replicas each wanted model should have. */
+/** Computes how many replicas each wanted model should have. */
 import {
   familyKey,
   modelKey,
@@ -7,37 +7,40 @@
   type WantedModel,
 } from "./pool_view.ts";
 
-/** A replica is added when those present are busier than this. */
-const HIGH_LOAD = 0.7;
-/** A replica is a surplus when the rest would still be less busy than this. */
-const LOW_LOAD = 0.4;
-/** Reports older than this count for nothing. */
-const MAX_AGE_MS = 30_000;
+/** Utilization of the present replicas above which a replica is added. */
+const SCALE_UP_UTILIZATION = 0.7;
+/** A replica is surplus if the utilization of the others would stay below this. */
+const SCALE_DOWN_UTILIZATION = 0.4;
+/** A server whose last report is older is not used for planning. */
+const MAX_REPORT_AGE_MS = 30_000;
 
-/** What one wanted model should have. */
-export interface Goal extends WantedModel {
+/** Numbers of replicas that a wanted model should have. */
+export interface ReplicaGoal extends WantedModel {
   key: string;
   family: string;
-  /** Below it replicas are added. */
-  fewestReplicas: number;
-  /** Above it replicas may be taken away. */
-  mostReplicas: number;
+  /** Replicas that the demand and the minimum require; replicas are added below this number. */
+  neededReplicas: number;
+  /** Replicas above this number are surplus and may be unloaded. */
+  maxReplicas: number;
 }
 
 /**
  * @param server A server.
- * @returns Whether it can be counted on and given orders.
+ * @returns Whether it takes part in planning: it isn't leaving and reported recently.
  */
 export function isUsable(server: ServerView): boolean {
-  return !server.leaving && server.ageMs <= MAX_AGE_MS;
+  return !server.leaving && server.ageMs <= MAX_REPORT_AGE_MS;
 }
 
 /**
  * @param view The pool.
- * @param wanted What the branches want of it.
- * @returns A goal for each wanted model, those with the most missing from demand last.
+ * @param wanted Models that the teams' branches want in the pool.
+ * @returns A goal for each wanted model, in the order of `wanted`.
  */
-export function setGoals(view: PoolView, wanted: WantedModel[]): Goal[] {
+export function computeGoals(
+  view: PoolView,
+  wanted: WantedModel[],
+): ReplicaGoal[] {
   const servers = view.servers.filter(isUsable);
   const perReplica = meanOf(servers.map((server) => server.maxRunning));
   const demands = demandByFamily(view);
@@ -50,8 +53,12 @@
       key: modelKey(model),
       family: familyKey(model),
       minReplicas: clamp(0),
-      fewestReplicas: clamp(replicasAt(demand, perReplica * HIGH_LOAD)),
-      mostReplicas: clamp(replicasAt(demand, perReplica * LOW_LOAD)),
+      neededReplicas: clamp(
+        replicasAt(demand, perReplica * SCALE_UP_UTILIZATION),
+      ),
+      maxReplicas: clamp(
+        replicasAt(demand, perReplica * SCALE_DOWN_UTILIZATION),
+      ),
     };
   });
 }
--- a/src/planner/_pool_draft.ts
+++ b/src/planner/_pool_draft.ts
@@ -1,5 +1,5 @@
-/** A pool with the moves planned so far; every rule about a single move is checked here. */
-import { type Goal, isUsable, setGoals } from "./_goals.ts";
+/** A pool with the planned moves applied. Enforces the rules that each single move must meet. */
+import { computeGoals, isUsable, type ReplicaGoal } from "./_goals.ts";
 import {
   familyKey,
   modelKey,
@@ -12,10 +12,12 @@
   type WantedModel,
 } from "./pool_view.ts";
 
-/** Part of a model's replicas that stays ready while room is made for its new version. */
-const KEPT_IN_ROLL = 0.75;
+/**
+ * Share of a model's needed replicas that must stay ready while slots are freed for a new version.
+ */
+const MIN_READY_SHARE_IN_ROLL = 0.75;
 
-/** A replica and where it is. */
+/** A replica and its server. */
 export interface PlacedReplica {
   server: DraftServer;
   replica: Replica;
@@ -25,27 +27,27 @@
 
 interface DraftServer {
   view: ServerView;
-  /** Slots not taken, and not to be taken by what was planned. */
+  /** Slots that are neither in use nor reserved by planned loads. */
   freeSlots: number;
-  /** Keys of the models it holds or was told to load. */
-  held: Set<string>;
+  /** Keys of the models that are on the server or planned to be loaded. */
+  heldKeys: Set<string>;
   loading: boolean;
 }
 
-/** A pool being planned. */
+/** The state of a pool during planning. */
 export class PoolDraft {
   readonly moves: Move[] = [];
-  readonly goals: Goal[];
+  readonly goals: ReplicaGoal[];
   readonly #allowance: MoveAllowance;
   readonly #servers: DraftServer[];
   readonly #replicas: PlacedReplica[];
-  readonly #goalByKey: Map<string, Goal>;
+  readonly #goalByKey: Map<string, ReplicaGoal>;
   readonly #readyByKey = new Map<string, number>();
   readonly #readyByFamily = new Map<string, number>();
   readonly #presentByKey = new Map<string, number>();
   #loads = 0;
-  /** Slots that become free by unloads, and that no model was promised yet. */
-  #roomComing = 0;
+  /** Slots that pending unloads will free and that are not reserved for a model yet. */
+  #pendingFreeSlots = 0;
 
   private constructor(
     view: PoolView,
@@ -53,14 +55,14 @@
     allowance: MoveAllowance,
   ) {
     this.#allowance = allowance;
-    this.goals = setGoals(view, wanted);
+    this.goals = computeGoals(view, wanted);
     this.#goalByKey = new Map(this.goals.map((goal) => [goal.key, goal]));
     this.#servers = view.servers.filter(isUsable).map(draftServer);
     this.#replicas = this.#servers.flatMap(placedReplicas);
-    for (const placed of this.#replicas) this.#count(placed);
+    for (const placed of this.#replicas) this.#countReplica(placed);
   }
 
-  /** See `planMoves`. */
+  /** Creates a draft without moves; see `planMoves` for the parameters. */
   static create(
     view: PoolView,
     wanted: WantedModel[],
@@ -71,115 +73,115 @@
 
   /**
    * @param goal A wanted model.
-   * @returns Replicas ready, loading or planned.
+   * @returns Number of its replicas that are ready, loading or planned.
    */
-  present(goal: Goal): number {
+  presentReplicas(goal: ReplicaGoal): number {
     return this.#presentByKey.get(goal.key) ?? 0;
   }
 
-  /** @returns Ready replicas of old versions, the least busy first. */
-  stale(): PlacedReplica[] {
+  /** @returns Ready replicas of old versions, fewest requests in flight first. */
+  staleReplicas(): PlacedReplica[] {
     const families = new Set(this.goals.map((goal) => goal.family));
-    return this.#idleFirst((placed) =>
+    return this.#readyByLoad((placed) =>
       !this.#goalByKey.has(placed.key) && families.has(placed.family)
     );
   }
 
   /**
    * @param placed A replica of an old version.
-   * @returns Whether the versions that replace it have all their replicas ready.
+   * @returns Whether every wanted version of the model has its needed replicas ready.
    */
-  isRolled(placed: PlacedReplica): boolean {
+  isSuperseded(placed: PlacedReplica): boolean {
     return this.goals.every((goal) =>
       goal.family !== placed.family ||
-      this.#ready(goal.key) >= goal.fewestReplicas
+      this.#readyCount(goal.key) >= goal.neededReplicas
     );
   }
 
   /**
-   * Loads one replica on the best server with a free slot.
+   * Plans to load one replica on the best server with a free slot.
    *
-   * @returns Whether there was one, and the allowance held.
+   * @returns False if no server is suitable or the allowance is used up.
    */
-  load(goal: Goal): boolean {
-    if (this.#loads >= this.#allowance.maxLoads || this.#isSpent()) {
+  load(goal: ReplicaGoal): boolean {
+    if (this.#loads >= this.#allowance.maxLoads || this.#isAllowanceUsedUp()) {
       return false;
     }
-    const server = this.#serverFor(goal);
+    const server = this.#bestServerFor(goal);
     if (!server) return false;
     server.freeSlots--;
     server.loading = true;
-    server.held.add(goal.key);
-    increase(this.#presentByKey, goal.key, 1);
+    server.heldKeys.add(goal.key);
+    addTo(this.#presentByKey, goal.key, 1);
     this.#loads++;
-    this.moves.push(move("load", server, goal.model));
+    this.moves.push(createMove("load", server, goal.model));
     return true;
   }
 
-  /** Unloads what is wanted least, unless a slot becomes free anyway. */
-  makeRoom(goal: Goal): void {
+  /** Plans to unload the least wanted replica, unless a slot is free or being freed already. */
+  freeSlotFor(goal: ReplicaGoal): void {
     if (this.#hasFreeSlot(goal)) return;
-    if (this.#roomComing > 0) {
-      this.#roomComing--;
+    if (this.#pendingFreeSlots > 0) {
+      this.#pendingFreeSlots--;
       return;
     }
-    const found = this.#evictable(goal);
-    if (found) this.unload(found);
+    const evictable = this.#findEvictable(goal);
+    if (evictable) this.unload(evictable);
   }
 
   /**
-   * Unloads a replica if that leaves enough ready.
+   * Plans to unload a replica if enough ready ones remain.
    *
-   * @returns Whether it did.
+   * @returns Whether the unload was planned.
    */
   unload(placed: PlacedReplica): boolean {
-    if (this.#isSpent() || !this.#mayUnload(placed)) return false;
+    if (this.#isAllowanceUsedUp() || !this.#mayUnload(placed)) return false;
     placed.replica = { ...placed.replica, state: ReplicaState.Unloading };
-    increase(this.#readyByKey, placed.key, -1);
-    increase(this.#readyByFamily, placed.family, -1);
-    increase(this.#presentByKey, placed.key, -1);
-    this.moves.push(move("unload", placed.server, placed.replica.model));
+    addTo(this.#readyByKey, placed.key, -1);
+    addTo(this.#readyByFamily, placed.family, -1);
+    addTo(this.#presentByKey, placed.key, -1);
+    this.moves.push(createMove("unload", placed.server, placed.replica.model));
     return true;
   }
 
-  #count({ key, family, replica }: PlacedReplica): void {
+  #countReplica({ key, family, replica }: PlacedReplica): void {
     switch (replica.state) {
       case ReplicaState.Ready:
-        increase(this.#readyByKey, key, 1);
-        increase(this.#readyByFamily, family, 1);
-        increase(this.#presentByKey, key, 1);
+        addTo(this.#readyByKey, key, 1);
+        addTo(this.#readyByFamily, family, 1);
+        addTo(this.#presentByKey, key, 1);
         return;
       case ReplicaState.Loading:
-        increase(this.#presentByKey, key, 1);
+        addTo(this.#presentByKey, key, 1);
         return;
       case ReplicaState.Unloading:
-        this.#roomComing++;
+        this.#pendingFreeSlots++;
         return;
     }
   }
 
-  #isSpent(): boolean {
+  #isAllowanceUsedUp(): boolean {
     return this.moves.length >= this.#allowance.maxMoves;
   }
 
-  #ready(key: string): number {
+  #readyCount(key: string): number {
     return this.#readyByKey.get(key) ?? 0;
   }
 
-  #hasFreeSlot(goal: Goal): boolean {
+  #hasFreeSlot(goal: ReplicaGoal): boolean {
     return this.#servers.some((server) =>
-      server.freeSlots > 0 && !server.held.has(goal.key)
+      server.freeSlots > 0 && !server.heldKeys.has(goal.key)
     );
   }
 
-  #serverFor(goal: Goal): DraftServer | undefined {
-    const zones = this.#replicasByZone(goal);
+  #bestServerFor(goal: ReplicaGoal): DraftServer | undefined {
+    const replicasByZone = this.#replicasByZone(goal);
     let best: DraftServer | undefined;
     let bestCost = Infinity;
     for (const server of this.#servers) {
       if (server.freeSlots <= 0 || server.loading) continue;
-      if (server.held.has(goal.key)) continue;
-      const cost = placementCost(server, goal, zones);
+      if (server.heldKeys.has(goal.key)) continue;
+      const cost = placementCost(server, goal, replicasByZone);
       if (cost >= bestCost) continue;
       best = server;
       bestCost = cost;
@@ -187,26 +189,30 @@
     return best;
   }
 
-  #replicasByZone(goal: Goal): Map<string, number> {
-    const zones = new Map<string, number>();
+  #replicasByZone(goal: ReplicaGoal): Map<string, number> {
+    const counts = new Map<string, number>();
     for (const server of this.#servers) {
-      if (server.held.has(goal.key)) increase(zones, server.view.zone, 1);
+      if (server.heldKeys.has(goal.key)) addTo(counts, server.view.zone, 1);
     }
-    return zones;
+    return counts;
   }
 
-  /** Not wanted at all, then an old version, then a surplus; the least busy of each. */
-  #evictable(goal: Goal): PlacedReplica | undefined {
+  /**
+   * Finds a replica to unload: first of a model that isn't wanted, then of an old version, then a
+   * surplus one; among these, the one with the fewest requests in flight.
+   */
+  #findEvictable(goal: ReplicaGoal): PlacedReplica | undefined {
     const families = new Set(this.goals.map(({ family }) => family));
     const rank = (placed: PlacedReplica) =>
       this.#goalByKey.has(placed.key) ? 2 : families.has(placed.family) ? 1 : 0;
-    return this.#idleFirst((placed) =>
-      !placed.server.held.has(goal.key) && this.#mayUnload(placed) &&
-      this.#leavesEnoughInRoll(placed)
+    return this.#readyByLoad((placed) =>
+      !placed.server.heldKeys.has(goal.key) && this.#mayUnload(placed) &&
+      this.#leavesEnoughDuringRoll(placed)
     ).sort((a, b) => rank(a) - rank(b))[0];
   }
 
-  #idleFirst(accept: (placed: PlacedReplica) => boolean): PlacedReplica[] {
+  /** Ready replicas that `accept` selects, fewest requests in flight first. */
+  #readyByLoad(accept: (placed: PlacedReplica) => boolean): PlacedReplica[] {
     return this.#replicas
       .filter((placed) => placed.replica.state === ReplicaState.Ready)
       .filter(accept)
@@ -216,24 +222,28 @@
   #mayUnload(placed: PlacedReplica): boolean {
     if (placed.replica.state !== ReplicaState.Ready) return false;
     const goal = this.#goalByKey.get(placed.key);
-    if (goal && this.#ready(placed.key) <= goal.mostReplicas) return false;
-    const left = this.#readyFamily(placed) - 1;
-    return left >= this.#sumOfFamily(placed, (kin) => kin.minReplicas);
+    if (goal && this.#readyCount(placed.key) <= goal.maxReplicas) return false;
+    const readyAfter = this.#readyInFamily(placed) - 1;
+    return readyAfter >=
+      this.#sumOverFamily(placed, (related) => related.minReplicas);
   }
 
-  #leavesEnoughInRoll(placed: PlacedReplica): boolean {
-    const kept = this.#sumOfFamily(
+  #leavesEnoughDuringRoll(placed: PlacedReplica): boolean {
+    const minReady = this.#sumOverFamily(
       placed,
-      (kin) => Math.floor(kin.fewestReplicas * KEPT_IN_ROLL),
+      (related) => Math.floor(related.neededReplicas * MIN_READY_SHARE_IN_ROLL),
     );
-    return this.#readyFamily(placed) - 1 >= kept;
+    return this.#readyInFamily(placed) - 1 >= minReady;
   }
 
-  #readyFamily(placed: PlacedReplica): number {
+  #readyInFamily(placed: PlacedReplica): number {
     return this.#readyByFamily.get(placed.family) ?? 0;
   }
 
-  #sumOfFamily(placed: PlacedReplica, count: (goal: Goal) => number): number {
+  #sumOverFamily(
+    placed: PlacedReplica,
+    count: (goal: ReplicaGoal) => number,
+  ): number {
     let sum = 0;
     for (const goal of this.goals) {
       if (goal.family === placed.family) sum += count(goal);
@@ -246,7 +256,7 @@
   return {
     view,
     freeSlots: view.slots - view.replicas.length,
-    held: new Set(view.replicas.map(({ model }) => modelKey(model))),
+    heldKeys: new Set(view.replicas.map(({ model }) => modelKey(model))),
     loading: view.replicas.some(({ state }) => state === ReplicaState.Loading),
   };
 }
@@ -260,11 +270,14 @@
   }));
 }
 
-/** Lower is better: an adapter beside its model, zones evenly, then empty and idle servers. */
+/**
+ * Ranks servers for a load, lower is better. In order of weight: the server has the adapter's base
+ * model, its zone has few replicas of the model, it has few replicas, it is idle.
+ */
 function placementCost(
   { view }: DraftServer,
-  goal: Goal,
-  zones: Map<string, number>,
+  goal: ReplicaGoal,
+  replicasByZone: Map<string, number>,
 ): number {
   const { model, adapter } = goal.model;
   const lacksBase = adapter !== "" &&
@@ -272,12 +285,13 @@
       replica.model.model === model && replica.model.adapter === ""
     );
   const inFlight = view.replicas.reduce((sum, next) => sum + next.inFlight, 0);
-  const busy = inFlight / (inFlight + view.maxRunning + 1);
-  const inZone = zones.get(view.zone) ?? 0;
-  return (lacksBase ? 1e9 : 0) + inZone * 1e4 + view.replicas.length + busy;
+  const utilization = inFlight / (inFlight + view.maxRunning + 1);
+  const replicasInZone = replicasByZone.get(view.zone) ?? 0;
+  return (lacksBase ? 1e9 : 0) + replicasInZone * 1e4 + view.replicas.length +
+    utilization;
 }
 
-function move(
+function createMove(
   kind: Move["kind"],
   { view }: DraftServer,
   model: Move["model"],
@@ -285,6 +299,6 @@
   return { kind, serverId: view.serverId, address: view.address, model };
 }
 
-function increase(counts: Map<string, number>, key: string, by: number): void {
+function addTo(counts: Map<string, number>, key: string, by: number): void {
   counts.set(key, (counts.get(key) ?? 0) + by);
 }
--- a/src/planner/_test_pool.ts
+++ b/src/planner/_test_pool.ts
@@ -1,4 +1,4 @@
-/** A pool whose servers carry out moves in two steps; for tests. */
+/** Test helpers: a pool whose servers first start a move and finish it later. */
 import type { LoadedModel } from "../backends/engine.ts";
 import {
   modelKey,
@@ -12,20 +12,20 @@
 /**
  * @param name Model name.
  * @param version Weights version.
- * @returns A model without adapter.
+ * @returns A model without an adapter.
  */
 export function testModel(name: string, version: string): LoadedModel {
   return { model: name, adapter: "", weightsVersion: version };
 }
 
 /**
- * @param index Number of the server.
- * @param changes What differs from an empty server with two slots.
+ * @param index Index of the server.
+ * @param overrides Fields that differ from those of an empty server with two slots.
  * @returns A server.
  */
 export function testServer(
   index: number,
-  changes: Partial<ServerView> = {},
+  overrides: Partial<ServerView> = {},
 ): ServerView {
   return {
     serverId: `s${index}`,
@@ -36,13 +36,13 @@
     slots: 2,
     maxRunning: 8,
     replicas: [],
-    ...changes,
+    ...overrides,
   };
 }
 
 /**
  * @param model A model.
- * @param inFlight Its requests.
+ * @param inFlight Its requests in flight.
  * @returns A ready replica.
  */
 export function readyReplica(model: LoadedModel, inFlight = 0): Replica {
@@ -50,9 +50,9 @@
 }
 
 /**
- * Gives a move to its server, which starts on it.
+ * Starts a move on its server.
  *
- * @param view The pool; changed.
+ * @param view The pool; modified.
  * @param move The move.
  */
 export function startMove(view: PoolView, move: Move): void {
@@ -66,16 +66,18 @@
     return;
   }
   if (held || server.replicas.length >= server.slots) {
-    throw new RangeError("Expected a free slot and a model not held");
+    throw new RangeError(
+      "Expected a free slot and a model that is not on the server",
+    );
   }
   const { model } = move;
   server.replicas.push({ model, state: ReplicaState.Loading, inFlight: 0 });
 }
 
 /**
- * Ends every load and unload.
+ * Finishes every load and unload in progress.
  *
- * @param view The pool; changed.
+ * @param view The pool; modified.
  */
 export function finishMoves(view: PoolView): void {
   for (const server of view.servers) {
@@ -88,14 +90,16 @@
 
 /**
  * @param view The pool.
- * @param accept Which models to count.
- * @returns Ready replicas.
+ * @param matches Selects the models to count.
+ * @returns Number of their ready replicas.
  */
 export function countReady(
   view: PoolView,
-  accept: (model: LoadedModel) => boolean,
+  matches: (model: LoadedModel) => boolean,
 ): number {
   return view.servers.flatMap(({ replicas }) => replicas)
-    .filter(({ state, model }) => state === ReplicaState.Ready && accept(model))
+    .filter(({ state, model }) =>
+      state === ReplicaState.Ready && matches(model)
+    )
     .length;
 }
--- a/src/planner/demand_meter.ts
+++ b/src/planner/demand_meter.ts
@@ -1,24 +1,26 @@
-/** Demand for models that no server took, learned from this entry's own refusals. */
+/** Estimates the demand for models that no server accepted, from the refusals at this entry. */
 import type { Clock } from "../base/mod.ts";
 import { familyKey, type UnservedDemand } from "./pool_view.ts";
 
+/** Minimum length of the window over which refusals are counted. */
 const WINDOW_MS = 10_000;
-/** Time a request is taken to run while nothing better is known. */
+/** Assumed run time of a request if the caller gives none. */
 const DEFAULT_DURATION_MS = 2000;
 
-interface Meter {
+interface RefusalRate {
   model: string;
   adapter: string;
-  startedMs: number;
+  windowStartMs: number;
+  /** Refusals in the current window. */
   count: number;
-  /** Refusals per second over the last full window. */
+  /** Refusals per second in the last complete window. */
   perSecond: number;
 }
 
-/** Counts refusals for want of a replica. */
+/** Counts requests that were refused because no replica accepted them. */
 export class DemandMeter {
   readonly #clock: Clock;
-  readonly #meters = new Map<string, Meter>();
+  readonly #rates = new Map<string, RefusalRate>();
 
   private constructor(clock: Clock) {
     this.#clock = clock;
@@ -26,50 +28,52 @@
 
   /**
    * @param clock A clock.
-   * @returns A meter that has seen nothing.
+   * @returns A meter without refusals.
    */
   static create(clock: Clock): DemandMeter {
     return new DemandMeter(clock);
   }
 
   /**
-   * @param model A model that a caller wanted and that no server took in time.
+   * Records a refusal.
+   *
+   * @param model The requested model, which no server accepted in time.
    */
   refused({ model, adapter }: { model: string; adapter: string }): void {
     const key = familyKey({ model, adapter });
-    const startedMs = this.#clock.nowMs();
-    const fresh = { model, adapter, startedMs, count: 0, perSecond: 0 };
-    const meter = this.#meters.get(key) ?? fresh;
-    this.#meters.set(key, meter);
-    this.#roll(meter);
-    meter.count++;
+    const windowStartMs = this.#clock.nowMs();
+    const fresh = { model, adapter, windowStartMs, count: 0, perSecond: 0 };
+    const rate = this.#rates.get(key) ?? fresh;
+    this.#rates.set(key, rate);
+    this.#rotateWindow(rate);
+    rate.count++;
   }
 
   /**
-   * @param entryCount Entries among which the balancer spreads the callers.
-   * @param durationMs How long a request runs.
-   * @returns Unserved demand of the whole fleet, estimated from this entry's part.
+   * @param entryCount Number of entries over which the load balancer spreads callers.
+   * @param durationMs Run time of a request.
+   * @returns Unserved demand of the whole fleet, extrapolated from this entry's refusals.
    */
   unserved(
     entryCount: number,
     durationMs = DEFAULT_DURATION_MS,
   ): UnservedDemand[] {
     const demands: UnservedDemand[] = [];
-    for (const [key, meter] of this.#meters) {
-      this.#roll(meter);
-      if (meter.perSecond === 0 && meter.count === 0) this.#meters.delete(key);
-      const { model, adapter, perSecond } = meter;
+    for (const [key, rate] of this.#rates) {
+      this.#rotateWindow(rate);
+      if (rate.perSecond === 0 && rate.count === 0) this.#rates.delete(key);
+      const { model, adapter, perSecond } = rate;
       const inFlight = perSecond * entryCount * durationMs / 1000;
       if (inFlight > 0) demands.push({ model, adapter, inFlight });
     }
     return demands;
   }
 
-  #roll(meter: Meter): void {
-    const elapsedMs = this.#clock.nowMs() - meter.startedMs;
+  #rotateWindow(rate: RefusalRate): void {
+    const elapsedMs = this.#clock.nowMs() - rate.windowStartMs;
     if (elapsedMs < WINDOW_MS) return;
-    meter.perSecond = meter.count / elapsedMs * 1000;
-    meter.count = 0;
-    meter.startedMs = this.#clock.nowMs();
+    rate.perSecond = rate.count / elapsedMs * 1000;
+    rate.count = 0;
+    rate.windowStartMs = this.#clock.nowMs();
   }
 }
--- a/src/planner/mod.ts
+++ b/src/planner/mod.ts
@@ -1,16 +1,16 @@
-/** Decides which backend server holds which model, adapter and version. */
+/** Plans which backend server loads which model, adapter and version. */
 export { DemandMeter } from "./demand_meter.ts";
 export { MoveBudget, type MoveBudgetOptions } from "./move_budget.ts";
 export {
+  createPlannedOrder,
   type OrderOutcome,
   type PlannedOrder,
-  planOrder,
   toOrderRequest,
 } from "./order_request.ts";
 export { PendingMoves } from "./pending_moves.ts";
 export { planMoves } from "./plan_moves.ts";
 export {
-  CANDIDATES,
+  MAX_LEASE_CANDIDATES,
   PLANNER_DEFAULTS,
   type PlannerPorts,
   type PlannerState,
--- a/src/planner/move_budget.ts
+++ b/src/planner/move_budget.ts
@@ -1,29 +1,32 @@
 /**
- * Spaces moves, and loads among them. A new holder starts with nothing, so that a change of holder
- * can't exceed the bound: at most `movesPerMinute` in any minute, whoever orders them.
+ * Rate limits of moves, and separately of the loads among them. The buckets of a new lease holder
+ * start empty, so that at most `movesPerMinute` moves are ordered in any minute even if the lease
+ * changes its holder.
  */
 import type { Clock } from "../base/mod.ts";
 import { TokenBucket } from "../limits/mod.ts";
 import type { MoveAllowance } from "./pool_view.ts";
 
-/** Part of a minute's moves that may come at once. */
-const BURST_SHARE = 0.25;
+/** Share of a minute's moves that may be ordered in a burst. */
+const MAX_BURST_SHARE = 0.25;
 
 /** Settings of a {@link MoveBudget}. */
 export interface MoveBudgetOptions {
   clock: Clock;
-  /** Bound on loads and unloads in any minute; at least 2. */
+  /** Bound on loads and unloads together in any minute; at least 2. */
   movesPerMinute: number;
-  /** Bound on loads in any minute: the pool's part of the weight store's rate; at least 2. */
+  /**
+   * Bound on loads in any minute, the pool's share of the weight store's rate limit; at least 2.
+   */
   loadsPerMinute: number;
 }
 
-/** Moves that one holder of a pool's lease may order. */
+/** Limits the moves that one holder of a pool's lease may order. */
 export class MoveBudget {
   readonly #clock: Clock;
   readonly #moves: TokenBucket;
   readonly #loads: TokenBucket;
-  #noLoadsUntilMs = 0;
+  #loadsPausedUntilMs = 0;
 
   private constructor(options: MoveBudgetOptions) {
     this.#clock = options.clock;
@@ -33,15 +36,15 @@
 
   /**
    * @param options Bounds.
-   * @returns A budget with nothing in it.
+   * @returns An empty budget.
    */
   static create(options: MoveBudgetOptions): MoveBudget {
     return new MoveBudget(options);
   }
 
-  /** @returns What may be ordered now. */
+  /** @returns The number of moves that may be ordered now. */
   allowance(): MoveAllowance {
-    const paused = this.#clock.nowMs() < this.#noLoadsUntilMs;
+    const paused = this.#clock.nowMs() < this.#loadsPausedUntilMs;
     return {
       maxMoves: Math.floor(this.#moves.tokens),
       maxLoads: paused ? 0 : Math.floor(this.#loads.tokens),
@@ -49,9 +52,9 @@
   }
 
   /**
-   * Counts an order that is about to be sent, whatever becomes of it.
+   * Charges an order that is about to be sent, regardless of its outcome.
    *
-   * @param kind Its kind.
+   * @param kind Kind of the move.
    */
   spend(kind: "load" | "unload"): void {
     this.#moves.take(1);
@@ -59,17 +62,19 @@
   }
 
   /**
-   * @param retryAfterMs How long the weight store asked to wait.
+   * Suspends loads after the weight store refused one.
+   *
+   * @param retryAfterMs How long to wait.
    */
   pauseLoads(retryAfterMs: number): void {
     const untilMs = this.#clock.nowMs() + retryAfterMs;
-    this.#noLoadsUntilMs = Math.max(this.#noLoadsUntilMs, untilMs);
+    this.#loadsPausedUntilMs = Math.max(this.#loadsPausedUntilMs, untilMs);
   }
 }
 
 function createBucket(clock: Clock, perMinute: number): TokenBucket {
   if (perMinute < 2) throw new RangeError("Expected a bound of at least 2");
-  const burst = Math.max(1, Math.floor(perMinute * BURST_SHARE));
+  const burst = Math.max(1, Math.floor(perMinute * MAX_BURST_SHARE));
   const perSecond = (perMinute - burst) / 60;
   return TokenBucket.create({ clock, perSecond, burst, initial: 0 });
 }
--- a/src/planner/pending_moves.ts
+++ b/src/planner/pending_moves.ts
@@ -1,4 +1,4 @@
-/** Orders that were accepted and that the agents' reports don't show yet. */
+/** Moves that were ordered and that the agents' reports don't show yet. */
 import type { Clock } from "../base/mod.ts";
 import {
   modelKey,
@@ -9,18 +9,18 @@
   type ServerView,
 } from "./pool_view.ts";
 
-/** An order not seen in the reports by then is taken for lost. */
-const PENDING_MS = 30_000;
+/** Time after which an order that doesn't show in the reports counts as lost. */
+const PENDING_TIMEOUT_MS = 30_000;
 
-interface Pending {
+interface PendingMove {
   move: Move;
   untilMs: number;
 }
 
-/** Lays accepted orders over a view, so that none is decided twice. */
+/** Applies pending orders to the reported state, so that no move is planned twice. */
 export class PendingMoves {
   readonly #clock: Clock;
-  #pending: Pending[] = [];
+  #pending: PendingMove[] = [];
 
   private constructor(clock: Clock) {
     this.#clock = clock;
@@ -35,23 +35,28 @@
   }
 
   /**
-   * @param move An order that the agent may be carrying out.
+   * Adds a move.
+   *
+   * @param move A move that the agent may be carrying out.
    */
   add(move: Move): void {
-    this.#pending.push({ move, untilMs: this.#clock.nowMs() + PENDING_MS });
+    this.#pending.push({
+      move,
+      untilMs: this.#clock.nowMs() + PENDING_TIMEOUT_MS,
+    });
   }
 
-  /** Forgets what the reports show by now, and what took too long. */
+  /** Removes moves that the reports show by now or that have timed out. */
   prune(view: PoolView): void {
     const nowMs = this.#clock.nowMs();
     this.#pending = this.#pending.filter(({ move, untilMs }) =>
-      nowMs < untilMs && !isVisible(view, move)
+      nowMs < untilMs && !isReported(view, move)
     );
   }
 
   /**
-   * @param view What the agents report.
-   * @returns The view as it will be reported once the orders show.
+   * @param view The pool as the agents report it.
+   * @returns The pool with the pending moves applied.
    */
   overlay(view: PoolView): PoolView {
     const servers = view.servers.map((server) => this.#overlayServer(server));
@@ -61,14 +66,14 @@
   #overlayServer(server: ServerView): ServerView {
     const replicas = [...server.replicas];
     for (const { move } of this.#pending) {
-      if (move.serverId === server.serverId) applyTo(replicas, move);
+      if (move.serverId === server.serverId) applyMove(replicas, move);
     }
     return { ...server, replicas };
   }
 }
 
-function applyTo(replicas: Replica[], move: Move): void {
-  const index = indexOf(replicas, move);
+function applyMove(replicas: Replica[], move: Move): void {
+  const index = replicaIndex(replicas, move);
   if (move.kind === "load") {
     const { model } = move;
     const loading = { model, state: ReplicaState.Loading, inFlight: 0 };
@@ -79,17 +84,17 @@
   if (held) replicas[index] = { ...held, state: ReplicaState.Unloading };
 }
 
-function isVisible(view: PoolView, move: Move): boolean {
+function isReported(view: PoolView, move: Move): boolean {
   const server = view.servers.find(({ serverId }) =>
     serverId === move.serverId
   );
   if (!server) return true;
-  const held = server.replicas[indexOf(server.replicas, move)];
+  const held = server.replicas[replicaIndex(server.replicas, move)];
   if (move.kind === "load") return held !== undefined;
   return held === undefined || held.state === ReplicaState.Unloading;
 }
 
-function indexOf(replicas: Replica[], move: Move): number {
+function replicaIndex(replicas: Replica[], move: Move): number {
   const key = modelKey(move.model);
   return replicas.findIndex(({ model }) => modelKey(model) === key);
 }
--- a/src/planner/plan_moves.ts
+++ b/src/planner/plan_moves.ts
@@ -1,14 +1,15 @@
 /**
- * Decides which server holds which model, adapter and version. A pure function of what the agents
- * report, so that a successor needs no stored plan.
+ * Plans which server loads which model, adapter and version. The plan is a pure function of the
+ * agents' reports, so that a new lease holder needs no stored plan.
  *
- * Loads come first: minimum replicas, then demand. A surplus is unloaded only to make room. An old
- * version goes once the new one has its replicas, or to make room for it, a quarter at a time. No
- * unload takes a model below its minimum of ready replicas; a roll on servers with one slot hence
- * needs one server more than the minimum.
+ * Loads are planned first, for minimum replicas and then for demand. Surplus replicas are unloaded
+ * only to free slots. Replicas of an old version are unloaded once the new version has its needed
+ * replicas, or to free slots for it, at most a quarter of the needed replicas at a time. No unload
+ * leaves a model with fewer ready replicas than its minimum, so rolling out a version on servers
+ * with one slot requires one server more than the minimum.
  */
 import { PoolDraft } from "./_pool_draft.ts";
-import type { Goal } from "./_goals.ts";
+import type { ReplicaGoal } from "./_goals.ts";
 import type {
   Move,
   MoveAllowance,
@@ -17,10 +18,10 @@
 } from "./pool_view.ts";
 
 /**
- * @param view What the agents report.
- * @param wanted What the branches want.
- * @param allowance How many moves are allowed now.
- * @returns Moves to order now, most urgent first; none when nothing is left to do.
+ * @param view The pool as the agents report it.
+ * @param wanted Models that the teams' branches want in the pool.
+ * @param allowance Number of moves that may be ordered now.
+ * @returns Moves to order now, most urgent first; empty if none is needed or possible.
  */
 export function planMoves(
   view: PoolView,
@@ -29,26 +30,34 @@
 ): Move[] {
   const draft = PoolDraft.create(view, wanted, allowance);
   loadUpTo(draft, (goal) => goal.minReplicas);
-  loadUpTo(draft, (goal) => goal.fewestReplicas);
-  for (const replica of draft.stale()) {
-    if (draft.isRolled(replica)) draft.unload(replica);
+  loadUpTo(draft, (goal) => goal.neededReplicas);
+  for (const replica of draft.staleReplicas()) {
+    if (draft.isSuperseded(replica)) draft.unload(replica);
   }
   return draft.moves;
 }
 
-/** Adds one replica a round to each model that lacks some, so that none waits for another. */
-function loadUpTo(draft: PoolDraft, countOf: (goal: Goal) => number): void {
-  let open = draft.goals.filter((goal) => draft.present(goal) < countOf(goal));
-  while (open.length > 0) {
-    open = open.filter((goal) =>
-      addReplica(draft, goal) && draft.present(goal) < countOf(goal)
+/** Adds replicas round-robin, one per model and round, so that no model waits for another. */
+function loadUpTo(
+  draft: PoolDraft,
+  countOf: (goal: ReplicaGoal) => number,
+): void {
+  let unfinished = draft.goals.filter((goal) =>
+    draft.presentReplicas(goal) < countOf(goal)
+  );
+  while (unfinished.length > 0) {
+    unfinished = unfinished.filter((goal) =>
+      tryAddReplica(draft, goal) && draft.presentReplicas(goal) < countOf(goal)
     );
   }
 }
 
-/** Loads one, or unloads another to make room; false: nothing more can be done for this model. */
-function addReplica(draft: PoolDraft, goal: Goal): boolean {
+/**
+ * Loads a replica, or else tries to free a slot for it. Returns false if the model has to wait for
+ * a later plan.
+ */
+function tryAddReplica(draft: PoolDraft, goal: ReplicaGoal): boolean {
   if (draft.load(goal)) return true;
-  draft.makeRoom(goal);
+  draft.freeSlotFor(goal);
   return false;
 }
--- a/src/planner/plan_moves_test.ts
+++ b/src/planner/plan_moves_test.ts
@@ -19,7 +19,7 @@
 
 const SEED = 20261202;
 const RUNS = 300;
-const AMPLE = { maxMoves: 100, maxLoads: 100 };
+const LARGE_ALLOWANCE = { maxMoves: 100, maxLoads: 100 };
 
 const MODEL = fc.tuple(
   fc.constantFrom("a", "b", "c"),
@@ -63,52 +63,59 @@
 );
 const ALLOWANCE = fc.record({ maxMoves: fc.nat(5), maxLoads: fc.nat(3) });
 
-test("never exceeds the allowance", () => {
-  check(fc.property(VIEW, WANTED, ALLOWANCE, (view, wanted, allowance) => {
-    const moves = planMoves(view, wanted, allowance);
-    assert.ok(moves.length <= allowance.maxMoves);
-    const loads = moves.filter(({ kind }) => kind === "load");
-    assert.ok(loads.length <= allowance.maxLoads);
-  }));
+test("a plan never exceeds the allowance", () => {
+  assertProperty(
+    fc.property(VIEW, WANTED, ALLOWANCE, (view, wanted, allowance) => {
+      const moves = planMoves(view, wanted, allowance);
+      assert.ok(moves.length <= allowance.maxMoves);
+      const loads = moves.filter(({ kind }) => kind === "load");
+      assert.ok(loads.length <= allowance.maxLoads);
+    }),
+  );
 });
 
-test("never unloads below the minimum", () => {
-  check(fc.property(VIEW, WANTED, ALLOWANCE, (view, wanted, allowance) => {
-    const usable = { ...view, servers: view.servers.filter((s) => !s.leaving) };
-    const before = structuredClone(usable);
-    for (const move of planMoves(view, wanted, allowance)) {
-      startMove(usable, move);
-    }
-    for (const { model, minReplicas } of wanted) {
-      const ofVersion = (other: WantedModel["model"]) =>
-        modelKey(other) === modelKey(model);
-      const ofFamily = (other: WantedModel["model"]) =>
-        familyKey(other) === familyKey(model);
-      for (const accept of [ofVersion, ofFamily]) {
-        const attainable = Math.min(minReplicas, usable.servers.length);
-        const floor = Math.min(attainable, countReady(before, accept));
-        assert.ok(countReady(usable, accept) >= floor);
+test("unloads never leave fewer ready replicas than the minimum", () => {
+  assertProperty(
+    fc.property(VIEW, WANTED, ALLOWANCE, (view, wanted, allowance) => {
+      const usable = {
+        ...view,
+        servers: view.servers.filter((s) => !s.leaving),
+      };
+      const before = structuredClone(usable);
+      for (const move of planMoves(view, wanted, allowance)) {
+        startMove(usable, move);
       }
-    }
-  }));
+      for (const { model, minReplicas } of wanted) {
+        const ofVersion = (other: WantedModel["model"]) =>
+          modelKey(other) === modelKey(model);
+        const ofFamily = (other: WantedModel["model"]) =>
+          familyKey(other) === familyKey(model);
+        for (const accept of [ofVersion, ofFamily]) {
+          const attainable = Math.min(minReplicas, usable.servers.length);
+          const floor = Math.min(attainable, countReady(before, accept));
+          assert.ok(countReady(usable, accept) >= floor);
+        }
+      }
+    }),
+  );
 });
 
-test("comes to rest", () => {
-  check(fc.property(VIEW, WANTED, (view, wanted) => {
+test("plans end after a bounded number of rounds", () => {
+  assertProperty(fc.property(VIEW, WANTED, (view, wanted) => {
     for (const server of view.servers) {
       for (const replica of server.replicas) replica.inFlight = 0;
     }
-    settle(view, wanted, 60);
+    runUntilStable(view, wanted, 60);
   }));
 });
 
-test("converges where there is room", () => {
-  check(fc.property(VIEW, ONE_VERSION, (view, wanted) => {
+test("a pool with enough slots reaches its minimum replicas", () => {
+  assertProperty(fc.property(VIEW, ONE_VERSION, (view, wanted) => {
     for (const server of view.servers) {
       server.slots = server.replicas.length + 3;
     }
     view.unserved = [];
-    settle(view, wanted, 60);
+    runUntilStable(view, wanted, 60);
     const usable = { ...view, servers: view.servers.filter((s) => !s.leaving) };
     for (const { model, minReplicas } of wanted) {
       const goal = Math.min(minReplicas, usable.servers.length);
@@ -121,7 +128,7 @@
   }));
 });
 
-test("rolls a version in place on full servers", () => {
+test("a new version replaces the old one on full servers", () => {
   const servers = [0, 1, 2, 3].map((index) =>
     testServer(index, {
       slots: 1,
@@ -130,14 +137,14 @@
   );
   const view: PoolView = { servers, unserved: [] };
   const wanted = [{ model: testModel("a", "2"), minReplicas: 3 }];
-  settle(view, wanted, 20, () => {
+  runUntilStable(view, wanted, 20, () => {
     assert.ok(countReady(view, () => true) >= 3);
   });
   assert.equal(countReady(view, (model) => model.weightsVersion === "2"), 3);
   assert.equal(countReady(view, (model) => model.weightsVersion === "1"), 0);
 });
 
-test("keeps the minimum on full servers, though a new version waits", () => {
+test("full servers keep the minimum of the old version although a new one is wanted", () => {
   const servers = [0, 1, 2, 3].map((index) =>
     testServer(index, {
       slots: 1,
@@ -145,52 +152,55 @@
     })
   );
   const wanted = [{ model: testModel("a", "2"), minReplicas: 4 }];
-  assert.deepEqual(planMoves({ servers, unserved: [] }, wanted, AMPLE), []);
+  assert.deepEqual(
+    planMoves({ servers, unserved: [] }, wanted, LARGE_ALLOWANCE),
+    [],
+  );
 });
 
-test("unloads the old version though there is room for both", () => {
+test("an old version is unloaded even if there is a slot for both", () => {
   const old = readyReplica(testModel("a", "1"));
   const replicas = [old, readyReplica(testModel("a", "2"))];
   const servers = [testServer(0, { slots: 4, replicas })];
   const wanted = [{ model: testModel("a", "2"), minReplicas: 1 }];
-  const moves = planMoves({ servers, unserved: [] }, wanted, AMPLE);
+  const moves = planMoves({ servers, unserved: [] }, wanted, LARGE_ALLOWANCE);
   assert.deepEqual(moves.map(({ kind, model }) => [kind, model]), [
     ["unload", old.model],
   ]);
 });
 
-test("spreads over zones and follows demand", () => {
+test("loads follow demand and are spread over zones", () => {
   const servers = Array.from({ length: 6 }, (_, index) => testServer(index));
   const unserved = [{ model: "a", adapter: "", inFlight: 16 }];
   const moves = planMoves({ servers, unserved }, [
     { model: testModel("a", "1"), minReplicas: 1 },
-  ], AMPLE);
+  ], LARGE_ALLOWANCE);
   assert.deepEqual(moves.map(({ serverId }) => serverId), ["s0", "s1", "s2"]);
 });
 
-test("leaves a server that did not report alone", () => {
+test("a server without a recent report gets no moves", () => {
   const servers = [testServer(0, { ageMs: 60_000 }), testServer(1)];
   const wanted = [{ model: testModel("a", "1"), minReplicas: 2 }];
-  const moves = planMoves({ servers, unserved: [] }, wanted, AMPLE);
+  const moves = planMoves({ servers, unserved: [] }, wanted, LARGE_ALLOWANCE);
   assert.deepEqual(moves.map(({ serverId }) => serverId), ["s1"]);
 });
 
-function settle(
+function runUntilStable(
   view: PoolView,
   wanted: WantedModel[],
   rounds: number,
-  look = () => {},
+  checkStarted = () => {},
 ): void {
   for (let round = 0; round < rounds; round++) {
     const moves = planMoves(view, wanted, { maxMoves: 4, maxLoads: 2 });
     if (moves.length === 0) return;
     for (const move of moves) startMove(view, move);
-    look();
+    checkStarted();
     finishMoves(view);
   }
-  assert.fail("Expected the plan to come to rest");
+  assert.fail("Expected no more moves after the last round");
 }
 
-function check(property: fc.IRawProperty<unknown>): void {
+function assertProperty(property: fc.IRawProperty<unknown>): void {
   fc.assert(property, { seed: SEED, numRuns: RUNS });
 }
--- a/src/planner/pool_planner.ts
+++ b/src/planner/pool_planner.ts
@@ -1,9 +1,11 @@
 /**
- * Looks after one pool: takes its lease, plans from what the agents report, and sends the orders.
- * Runs beside serving and never in its path: without the store or the lease there are no moves.
+ * Manages one pool: acquires its lease, plans moves from the agents' reports and orders them. Runs
+ * in the background, outside the request path: without the store or the lease, no moves are
+ * ordered.
  *
- * Calls to the store: a holder renews some 12 to 15 times a minute; each of the other
- * {@link CANDIDATES} reads the lease twice a minute; everyone else makes none.
+ * Store calls: the lease holder renews the lease about 12 to 15 times a minute, each of the other
+ * {@link MAX_LEASE_CANDIDATES} candidates reads it at least twice a minute, and other entries make
+ * no calls.
  */
 import type { Result } from "true-myth";
 import type { Clock, Logger } from "../base/mod.ts";
@@ -11,35 +13,37 @@
 import type { KeyValueStore } from "../store/store.ts";
 import { MoveBudget } from "./move_budget.ts";
 import {
+  createPlannedOrder,
   type OrderOutcome,
   type PlannedOrder,
-  planOrder,
 } from "./order_request.ts";
 import { PendingMoves } from "./pending_moves.ts";
 import { planMoves } from "./plan_moves.ts";
 import type { Move, PoolView, WantedModel } from "./pool_view.ts";
 
-/** Entries that stand for a pool's lease. */
-export const CANDIDATES = 3;
+/** Number of entries that try to acquire a pool's lease. */
+export const MAX_LEASE_CANDIDATES = 3;
 const LEASE_PREFIX = "/cicadahitch/leases/pools/";
-const CANDIDATE_PAUSE_MS = 30_000;
-const JITTER = 0.5;
+/** Longest time between two attempts to acquire the lease. */
+const ACQUIRE_INTERVAL_MS = 30_000;
+/** Largest share by which jitter shortens or lengthens a time. */
+const JITTER_SHARE = 0.5;
 
-/** Why the agents' reports are not at hand. */
+/** The reason why the agents' reports are unavailable. */
 export type ViewFailure = { kind: "unavailable"; message: string };
 
-/** What a planner needs of the process around it. */
+/** Functions that the surrounding process provides to a planner. */
 export interface PlannerPorts {
-  /** What the agents of the pool report now. */
+  /** Collects the current reports of the pool's agents. */
   readView(signal: AbortSignal): Promise<Result<PoolView, ViewFailure>>;
   /**
-   * What the branches in force want of the pool; see `wantedModels`. Run no planner before all
-   * branches are known: a model that no known branch names may have to make room.
+   * The models that the branches in force want in the pool; see `wantedModels`. The planner must
+   * not run before all branches are known, because it may unload models that no known branch names.
    */
   readWanted(): WantedModel[];
-  /** Ids of the entries known to live. */
+  /** Ids of the entries that are known to be alive. */
   listEntries(): string[];
-  /** Sends one order to an agent, within the order's timeout. */
+  /** Sends an order to an agent and waits for the outcome, at most for the order timeout. */
   sendOrder(order: PlannedOrder, signal: AbortSignal): Promise<OrderOutcome>;
 }
 
@@ -50,7 +54,7 @@
   entryId: string;
   leaseTtlMs: number;
   planIntervalMs: number;
-  /** The lease must be held this long when an order is sent. */
+  /** Bound on an order; the lease must remain valid at least this long when an order is sent. */
   orderTimeoutMs: number;
   movesPerMinute: number;
   loadsPerMinute: number;
@@ -59,7 +63,7 @@
   random?: () => number;
 }
 
-/** Settings that need no thought for a first deployment. */
+/** Default settings, suitable for a first deployment. */
 export const PLANNER_DEFAULTS = {
   leaseTtlMs: 15_000,
   planIntervalMs: 5000,
@@ -68,7 +72,7 @@
   loadsPerMinute: 8,
 } as const;
 
-/** State of a planner, for dumps. */
+/** State of a planner, for state dumps. */
 export interface PlannerState {
   pool: string;
   lease: LeaseState | undefined;
@@ -76,7 +80,7 @@
   ordersByOutcome: Record<OrderOutcome["kind"], number>;
 }
 
-/** Plans for one pool. */
+/** Plans and orders the moves of one pool. */
 export class PoolPlanner {
   readonly #store: KeyValueStore;
   readonly #ports: PlannerPorts;
@@ -102,10 +106,10 @@
   }
 
   /**
-   * @param store Where the lease lives.
-   * @param ports Reports, wishes and orders.
+   * @param store The store that keeps the lease.
+   * @param ports Functions of the surrounding process.
    * @param options Settings.
-   * @returns A planner that does nothing until `run`.
+   * @returns A planner that is idle until `run` is called.
    */
   static create(
     store: KeyValueStore,
@@ -116,19 +120,19 @@
   }
 
   /**
-   * Stands for the lease and plans while it is held; a task for a `Lifecycle`.
+   * Tries to acquire the lease and plans while it is held. Meant to run as a task of a `Lifecycle`.
    *
-   * @param signal Ends it; the lease is released.
+   * @param signal Stops the planner and releases the lease.
    */
   async run(signal: AbortSignal): Promise<void> {
     const { clock } = this.#options;
     while (!signal.aborted) {
-      if (this.#isCandidate()) await this.#stand(signal);
-      await clock.sleep(this.#jitter(CANDIDATE_PAUSE_MS), signal);
+      if (this.#isCandidate()) await this.#acquireLease(signal);
+      await clock.sleep(this.#jitterDown(ACQUIRE_INTERVAL_MS), signal);
     }
   }
 
-  /** @returns The state, for dumps. */
+  /** @returns The state, for state dumps. */
   state(): PlannerState {
     return {
       pool: this.#options.pool,
@@ -141,10 +145,12 @@
   #isCandidate(): boolean {
     const { pool, entryId } = this.#options;
     const ids = new Set([...this.#ports.listEntries(), entryId]);
-    return rankProcesses(pool, [...ids]).slice(0, CANDIDATES).includes(entryId);
+    return rankProcesses(pool, [...ids]).slice(0, MAX_LEASE_CANDIDATES)
+      .includes(entryId);
   }
 
-  async #stand(signal: AbortSignal): Promise<void> {
+  /** Acquires the lease, plans until its end and releases it. */
+  async #acquireLease(signal: AbortSignal): Promise<void> {
     const { pool, entryId, leaseTtlMs, clock, random, log } = this.#options;
     const acquired = await FencedLease.acquire(this.#store, {
       key: `${LEASE_PREFIX}${pool}`,
@@ -156,62 +162,69 @@
     if (acquired.isErr) return;
     this.#lease = acquired.value;
     const { fencingNumber } = acquired.value;
-    log.info({ pool, fencingNumber: String(fencingNumber) }, "Plans the pool");
-    await this.#hold(acquired.value, signal);
+    log.info(
+      { pool, fencingNumber: String(fencingNumber) },
+      "Acquired the lease of the pool",
+    );
+    await this.#planWhileHeld(acquired.value, signal);
     this.#lease = undefined;
     await acquired.value.release();
   }
 
-  /** Plans until the lease is lost or a later holder shows. */
-  async #hold(lease: FencedLease, signal: AbortSignal): Promise<void> {
+  /** Plans until the lease is lost or a later holder has sent orders. */
+  async #planWhileHeld(lease: FencedLease, signal: AbortSignal): Promise<void> {
     const { clock, planIntervalMs } = this.#options;
-    const ended = new AbortController();
-    const either = AbortSignal.any([signal, ended.signal]);
-    const renewals = lease.keepRenewed(either);
+    const termEnd = new AbortController();
+    const stopSignal = AbortSignal.any([signal, termEnd.signal]);
+    const renewals = lease.keepRenewed(stopSignal);
     const budget = MoveBudget.create(this.#options);
     const pending = PendingMoves.create(clock);
     while (!signal.aborted && lease.isHeldFor(0)) {
-      const goOn = await this.#plan({ lease, budget, pending }, signal);
-      if (!goOn) break;
-      await clock.sleep(this.#jitter(planIntervalMs), signal);
+      const mayContinue = await this.#planOnce(
+        { lease, budget, pending },
+        signal,
+      );
+      if (!mayContinue) break;
+      await clock.sleep(this.#jitterDown(planIntervalMs), signal);
     }
-    ended.abort();
+    termEnd.abort();
     await renewals;
   }
 
-  /** Plans once; false: a later holder has given orders. */
-  async #plan(term: Term, signal: AbortSignal): Promise<boolean> {
+  /** Plans once and orders the moves. Returns false if a later holder has sent orders. */
+  async #planOnce(term: LeaseTerm, signal: AbortSignal): Promise<boolean> {
     const view = await this.#ports.readView(signal);
     if (view.isErr) return true;
     term.pending.prune(view.value);
-    const seen = term.pending.overlay(view.value);
+    const projected = term.pending.overlay(view.value);
     const allowance = term.budget.allowance();
-    const moves = planMoves(seen, this.#ports.readWanted(), allowance);
+    const moves = planMoves(projected, this.#ports.readWanted(), allowance);
     this.#lastMoves = moves;
     for (const move of moves) {
       if (signal.aborted) return true;
-      // Right before each order, and again by the agent's gate: a pause may come at any point.
+      // The process may be suspended at any point, so the lease is checked right before each order.
+      // The agent's fencing gate refuses an order that a suspension delays after this check.
       if (!term.lease.isHeldFor(this.#options.orderTimeoutMs)) return true;
-      const outcome = await this.#order(term, move, signal);
+      const outcome = await this.#sendOrder(term, move, signal);
       if (outcome.kind === "fenced") return false;
       if (outcome.kind === "rate_limited") return true;
     }
     return true;
   }
 
-  async #order(
-    term: Term,
+  async #sendOrder(
+    term: LeaseTerm,
     move: Move,
     signal: AbortSignal,
   ): Promise<OrderOutcome> {
     term.budget.spend(move.kind);
-    const order = planOrder(term.lease, move);
+    const order = createPlannedOrder(term.lease, move);
     const outcome = await this.#ports.sendOrder(order, signal);
     this.#outcomes[outcome.kind]++;
     const { serverId, kind, model } = move;
     this.#options.log.info(
       { serverId, order: kind, model, outcome: outcome.kind },
-      "Ordered a move",
+      "Sent an order to an agent",
     );
     switch (outcome.kind) {
       case "accepted":
@@ -228,12 +241,12 @@
     return outcome;
   }
 
-  #jitter(ms: number): number {
-    return ms * (1 - JITTER * this.#random());
+  #jitterDown(ms: number): number {
+    return ms * (1 - JITTER_SHARE * this.#random());
   }
 
   #jitterUp(ms: number): number {
-    return ms * (1 + JITTER * this.#random());
+    return ms * (1 + JITTER_SHARE * this.#random());
   }
 
   #random(): number {
@@ -241,8 +254,8 @@
   }
 }
 
-/** What a holder keeps while it holds the lease; a successor starts anew. */
-interface Term {
+/** State of one term of the lease, not passed on to the next holder. */
+interface LeaseTerm {
   lease: FencedLease;
   budget: MoveBudget;
   pending: PendingMoves;
--- a/src/planner/pool_planner_test.ts
+++ b/src/planner/pool_planner_test.ts
@@ -77,7 +77,7 @@
   return { clock, store, pool, orders, deliver, start, run, ready };
 }
 
-test("moves stay within the bound in any minute", async () => {
+test("loads stay within the bound in any minute, also when the lease changes its holder", async () => {
   const wanted = [{ model: NEW, minReplicas: 0 }];
   const { clock, orders, start, run, ready } = setUp(60, wanted);
   let holder = start("e1");
@@ -100,7 +100,7 @@
   assert.ok(holders.size > 3);
 });
 
-test("rolls a version: loads, then unloads", async () => {
+test("a new version is loaded before the old one is unloaded", async () => {
   const wanted = [{ model: NEW, minReplicas: 4 }];
   const { pool, orders, start, run, ready } = setUp(4, wanted);
   for (const server of pool.servers) server.replicas = [readyReplica(OLD)];
@@ -112,7 +112,7 @@
   assert.equal(kinds.lastIndexOf("load") < kinds.indexOf("unload"), true);
 });
 
-test("no moves while the store is down", async () => {
+test("no moves are ordered while the store is down", async () => {
   const wanted = [{ model: NEW, minReplicas: 2 }];
   const { store, orders, start, run, ready } = setUp(2, wanted);
   store.faults.down = true;
@@ -125,7 +125,7 @@
   assert.equal(ready(NEW), 2);
 });
 
-test("no orders after the lease can't be renewed", async () => {
+test("no orders are sent once the lease can't be renewed and expires", async () => {
   const wanted = [{ model: NEW, minReplicas: 60 }];
   const { clock, store, orders, start, run } = setUp(60, wanted);
   start("e1");
@@ -136,13 +136,13 @@
   assert.ok(orders.every(({ atMs }) => atMs < lastMs));
 });
 
-test("successor of a crashed holder goes on from the agents' reports", async () => {
+test("a new lease holder continues from the agents' reports after a crash", async () => {
   const wanted = [{ model: NEW, minReplicas: 6 }];
   const { store, orders, deliver, start, run, ready } = setUp(6, wanted);
   const crashed = new Promise<never>(() => {});
   const hasCrashed = () => orders.length === 2;
   start("e1", {
-    store: freezable(store, () => hasCrashed() ? crashed : undefined),
+    store: pausableStore(store, () => hasCrashed() ? crashed : undefined),
     sendOrder: (order) => {
       deliver(order);
       return hasCrashed() ? crashed : Promise.resolve({ kind: "accepted" });
@@ -156,14 +156,14 @@
   assert.equal(orders.length, 6);
 });
 
-test("paused planner that wakes mid-order is refused by its number", async () => {
+test("an order delayed by a suspended planner is refused by its fencing number", async () => {
   const wanted = [{ model: NEW, minReplicas: 4 }];
   const { store, orders, deliver, start, run, ready } = setUp(4, wanted);
-  let wake = () => {};
-  const pause = new Promise<void>((resolve) => wake = resolve);
+  let resume = () => {};
+  const pause = new Promise<void>((resolve) => resume = resolve);
   let paused = false;
-  const paused1 = start("e1", {
-    store: freezable(store, () => paused ? pause : undefined),
+  const pausedEntry = start("e1", {
+    store: pausableStore(store, () => paused ? pause : undefined),
     sendOrder: async (order) => {
       paused = true;
       await pause;
@@ -175,15 +175,15 @@
   start("e2");
   await run(300);
   assert.equal(ready(NEW), 4);
-  wake();
+  resume();
   await run(10);
   const last = orders.at(-1)!;
   assert.equal(last.outcome, "fenced");
-  assert.equal(paused1.planner.state().ordersByOutcome.fenced, 1);
+  assert.equal(pausedEntry.planner.state().ordersByOutcome.fenced, 1);
   assert.equal(ready(NEW), 4);
 });
 
-test("waits as long as the weight store asks", async () => {
+test("no loads are ordered until the weight store's retry delay is over", async () => {
   const wanted = [{ model: NEW, minReplicas: 4 }];
   const { clock, orders, deliver, start, run } = setUp(4, wanted);
   let refusedAtMs = 0;
@@ -199,17 +199,17 @@
   assert.ok(orders.every(({ atMs }) => atMs >= refusedAtMs + 60_000));
 });
 
-/** A store whose calls for renewal and release wait like those of a stopped process. */
-function freezable(
+/** A store whose calls wait while `waitWhilePaused` does, as in a suspended process. */
+function pausableStore(
   store: MemoryStore,
-  freeze: () => Promise<unknown> | undefined,
+  waitWhilePaused: () => Promise<unknown> | undefined,
 ): KeyValueStore {
   return new Proxy(store, {
     get(target, name) {
       const member = Reflect.get(target, name, target);
       if (typeof member !== "function") return member;
       return async (...args: unknown[]) => {
-        await freeze();
+        await waitWhilePaused();
         return member.apply(target, args);
       };
     },
--- a/src/planner/pool_view.ts
+++ b/src/planner/pool_view.ts
@@ -1,7 +1,7 @@
-/** What a planner sees of a pool, and the moves it can decide on. */
+/** The state of a pool as a planner sees it, and the moves that it can plan. */
 import type { LoadedModel } from "../backends/engine.ts";
 
-/** States of a model on a server. */
+/** State of a model on a server. */
 export const ReplicaState = {
   Loading: "loading",
   Ready: "ready",
@@ -10,11 +10,11 @@
 /** One of {@link ReplicaState}. */
 export type ReplicaState = (typeof ReplicaState)[keyof typeof ReplicaState];
 
-/** A model on one server, as the agent reports it. */
+/** A model on one server, as its agent reports it. */
 export interface Replica {
   model: LoadedModel;
   state: ReplicaState;
-  /** Requests running and waiting for it. */
+  /** Requests that run on it or wait for it. */
   inFlight: number;
 }
 
@@ -25,36 +25,36 @@
   address: string;
   zone: string;
   leaving: boolean;
-  /** How long ago the agent reported. */
+  /** Age of the agent's last report. */
   ageMs: number;
-  /** Models it can hold at once. */
+  /** Number of models that the server can hold at once. */
   slots: number;
-  /** Requests it runs at once. */
+  /** Number of requests that the server can run at once. */
   maxRunning: number;
   replicas: Replica[];
 }
 
-/** Demand that no server took, learned from refusals in own traffic. */
+/** Demand that no server accepted, estimated from refusals in the entry's own traffic. */
 export interface UnservedDemand {
   model: string;
   adapter: string;
-  /** Requests that would be in flight if they had been taken. */
+  /** Requests that would be in flight if servers had accepted them. */
   inFlight: number;
 }
 
-/** A pool at one moment. */
+/** Snapshot of a pool. */
 export interface PoolView {
   servers: ServerView[];
   unserved: UnservedDemand[];
 }
 
-/** A model that the teams' branches name for a pool. */
+/** A model that the teams' branches want in a pool. */
 export interface WantedModel {
   model: LoadedModel;
   minReplicas: number;
 }
 
-/** One order to one server. */
+/** A load or unload of a model on one server. */
 export interface Move {
   kind: "load" | "unload";
   serverId: string;
@@ -62,17 +62,17 @@
   model: LoadedModel;
 }
 
-/** How many moves a plan may have. */
+/** Bounds on the moves of a plan. */
 export interface MoveAllowance {
-  /** Loads and unloads. */
+  /** Loads and unloads together. */
   maxMoves: number;
-  /** Loads among them. */
+  /** Loads only. */
   maxLoads: number;
 }
 
 /**
  * @param model A model.
- * @returns A key that is equal for equal model, adapter and version only.
+ * @returns A key that identifies the model, adapter and version.
  */
 export function modelKey(model: LoadedModel): string {
   return JSON.stringify([model.model, model.adapter, model.weightsVersion]);
@@ -80,7 +80,7 @@
 
 /**
  * @param model A model of any version.
- * @returns A key that is equal for all versions of one model and adapter.
+ * @returns A key that identifies the model and adapter, equal for all versions.
  */
 export function familyKey(model: { model: string; adapter: string }): string {
   return JSON.stringify([model.model, model.adapter]);
