--- a/src/config/_spread_bench.ts
+++ b/src/config/_spread_bench.ts
@@ -1,7 +1,8 @@
 /**
- * Measures the spread of configuration among nodes in one process: time until a change is in force
- * everywhere, and messages and bytes at rest and per change. Bytes are those of the messages
- * themselves; gRPC, TCP and the processor time of both are not in it. Prints JSON.
+ * Benchmarks how configuration changes propagate among nodes in one process: the time until a
+ * change is in effect on every node, and the messages and bytes sent while idle and per change.
+ * Bytes are those of the encoded messages; gRPC and TCP, also their CPU time, are excluded. Prints
+ * JSON.
  *
  * Usage: node --import tsx src/config/_spread_bench.ts [nodes…]
  */
@@ -13,19 +14,19 @@
 import { LocalFleet } from "./local_fleet.ts";
 import { encodeBranch, teamKey } from "./stored_branch.ts";
 
-const NODE_COUNTS = [10, 30, 100, 300];
+const DEFAULT_NODE_COUNTS = [10, 30, 100, 300];
 const TEAM_COUNT = 300;
-const CHANGES = 40;
-const CHANGE_INTERVAL_MS = 250;
-const REST_MS = 5000;
-const ONE_WAY_MS = 1;
-const STORE_MS = 2;
-const WATCH_DELAY_MS = 20;
-const DEADLINE_MS = 20_000;
-const WORKSPACES = 9;
+const CHANGE_COUNT = 40;
+const MEAN_CHANGE_INTERVAL_MS = 250;
+const IDLE_MS = 5000;
+const ONE_WAY_DELAY_MS = 1;
+const STORE_DELAY_MS = 2;
+const MAX_WATCH_DELAY_MS = 20;
+const CHANGE_TIMEOUT_MS = 20_000;
+const WORKSPACE_COUNT = 9;
 const KEYS_PER_WORKSPACE = 4;
 
-/** Who follows the store. */
+/** Which nodes follow the store: all of them, or only the first. */
 const SCENARIOS = ["all_watch", "one_watches"] as const;
 type Scenario = (typeof SCENARIOS)[number];
 
@@ -41,7 +42,7 @@
   teams: number;
   branchBytes: number;
   changes: number;
-  /** Changes that were not everywhere in time. */
+  /** Changes that had not reached every node before the timeout. */
   missed: number;
   inForceEverywhereMs: Record<"p50" | "p99" | "max", number>;
   atRestPerNodeSecond: Record<"messages" | "bytes" | "cpuMs", number>;
@@ -51,7 +52,7 @@
 
 const counts = process.argv.slice(2).map(Number);
 for (const scenario of SCENARIOS) {
-  for (const nodes of counts.length > 0 ? counts : NODE_COUNTS) {
+  for (const nodes of counts.length > 0 ? counts : DEFAULT_NODE_COUNTS) {
     console.log(JSON.stringify(await measure(scenario, nodes)));
   }
 }
@@ -61,19 +62,19 @@
   nodes: number,
 ): Promise<Measurement> {
   const store = MemoryStore.create();
-  store.faults.slowMs = STORE_MS;
-  const value = branchValue();
-  for (let at = 0; at < TEAM_COUNT; at++) put(store, `team-${at}`, value);
+  store.faults.slowMs = STORE_DELAY_MS;
+  const value = encodeTestBranch();
+  for (let i = 0; i < TEAM_COUNT; i++) put(store, `team-${i}`, value);
   const fleet = LocalFleet.create({
     store: withWatchDelay(store),
-    oneWayMs: ONE_WAY_MS,
+    oneWayDelayMs: ONE_WAY_DELAY_MS,
   });
   const started = Array.from(
     { length: nodes },
-    (_, at) => fleet.start(`node-${at}`),
+    (_, i) => fleet.start(`node-${i}`),
   );
   await Promise.all(started.map(({ sync }) => sync.ready));
-  await until(() => started.every(({ sync }) => sync.knowsAllTeams));
+  await waitUntil(() => started.every(({ sync }) => sync.knowsAllTeams));
   if (scenario === "one_watches") {
     for (const node of started.slice(1)) node.store.open = false;
   }
@@ -82,17 +83,17 @@
     ...fleet.counters,
     storeReads: store.counters.reads,
   });
-  const rest = await measureRest(traffic);
+  const idle = await measureIdle(traffic);
   const before = traffic();
   const startedMs = performance.now();
   const times = build({ numberOfSignificantValueDigits: 3 });
-  const missed = await makeChanges(store, fleet, times);
+  const missed = await commitChanges(store, fleet, times);
   const tookMs = performance.now() - startedMs;
   const after = traffic();
   const perChange = (field: "messages" | "bytes") =>
-    (after[field] - before[field] - rest[field] * tookMs / REST_MS) /
-    CHANGES / nodes;
-  const perNodeSecond = (total: number) => total / nodes / (REST_MS / 1000);
+    (after[field] - before[field] - idle[field] * tookMs / IDLE_MS) /
+    CHANGE_COUNT / nodes;
+  const perNodeSecond = (total: number) => total / nodes / (IDLE_MS / 1000);
   await fleet.stopAll();
   store.close();
   return {
@@ -100,7 +101,7 @@
     nodes,
     teams: TEAM_COUNT,
     branchBytes: value.length,
-    changes: CHANGES,
+    changes: CHANGE_COUNT,
     missed,
     inForceEverywhereMs: {
       p50: times.getValueAtPercentile(50),
@@ -108,24 +109,26 @@
       max: times.maxValue,
     },
     atRestPerNodeSecond: {
-      messages: round(perNodeSecond(rest.messages)),
-      bytes: round(perNodeSecond(rest.bytes)),
-      cpuMs: round(perNodeSecond(rest.cpuMs)),
+      messages: roundToHundredths(perNodeSecond(idle.messages)),
+      bytes: roundToHundredths(perNodeSecond(idle.bytes)),
+      cpuMs: roundToHundredths(perNodeSecond(idle.cpuMs)),
     },
     perChangePerNode: {
-      messages: round(perChange("messages")),
-      bytes: round(perChange("bytes")),
+      messages: roundToHundredths(perChange("messages")),
+      bytes: roundToHundredths(perChange("bytes")),
     },
-    storeReadsPerNodeSecondAtRest: round(perNodeSecond(rest.storeReads)),
+    storeReadsPerNodeSecondAtRest: roundToHundredths(
+      perNodeSecond(idle.storeReads),
+    ),
   };
 }
 
-async function measureRest(
+async function measureIdle(
   traffic: () => Traffic,
 ): Promise<Traffic & { cpuMs: number }> {
   const before = traffic();
   const cpuBefore = process.cpuUsage();
-  await systemClock.sleep(REST_MS);
+  await systemClock.sleep(IDLE_MS);
   const cpu = process.cpuUsage(cpuBefore);
   const after = traffic();
   return {
@@ -136,25 +139,30 @@
   };
 }
 
-/** Each change is one operator's; the next comes a moment after it is everywhere. */
-async function makeChanges(
+/**
+ * Commits one change at a time. The next change follows at a random interval after the last one has
+ * reached every node or timed out.
+ *
+ * @returns The number of changes that timed out.
+ */
+async function commitChanges(
   store: MemoryStore,
   fleet: LocalFleet,
   times: Histogram,
 ): Promise<number> {
   let missed = 0;
-  for (let change = 0; change < CHANGES; change++) {
+  for (let change = 0; change < CHANGE_COUNT; change++) {
     const team = `team-${change}`;
     const changedMs = performance.now();
-    const revision = put(store, team, branchValue());
+    const revision = put(store, team, encodeTestBranch());
     const isEverywhere = () =>
       [...fleet.nodes.values()].every(({ branches }) =>
         branches.revisionOf(team) >= revision
       );
-    if (await until(isEverywhere)) {
+    if (await waitUntil(isEverywhere)) {
       times.recordValue(performance.now() - changedMs);
     } else missed++;
-    await systemClock.sleep(CHANGE_INTERVAL_MS * Math.random() * 2);
+    await systemClock.sleep(MEAN_CHANGE_INTERVAL_MS * Math.random() * 2);
   }
   return missed;
 }
@@ -164,26 +172,26 @@
   return store.table.commit([], [{ kind: "put", key, value }]).revision;
 }
 
-function branchValue(): Uint8Array {
+function encodeTestBranch(): Uint8Array {
   const workspaces: Record<string, unknown> = {};
-  for (let at = 0; at < WORKSPACES; at++) {
+  for (let i = 0; i < WORKSPACE_COUNT; i++) {
     const keys = Array.from({ length: KEYS_PER_WORKSPACE }, (_, key) => ({
       id: `key-${key}`,
       sha256: "0".repeat(64),
     }));
-    workspaces[`workspace-${at}`] = { defaultClass: "desk", keys };
+    workspaces[`workspace-${i}`] = { defaultClass: "desk", keys };
   }
   const classes = { desk: { priority: "urgent", deadlineMs: 2000 } };
   return encodeBranch({ format: 1, classes, workspaces });
 }
 
-/** Events reach each watcher after a delay of its own. */
+/** Delays each watch event by a random time, drawn separately for every watcher. */
 function withWatchDelay(store: MemoryStore): KeyValueStore {
   async function* watch(
     ...args: Parameters<KeyValueStore["watch"]>
   ): AsyncGenerator<Result<WatchStep, StoreFailure>> {
     for await (const step of store.watch(...args)) {
-      await systemClock.sleep(Math.random() * WATCH_DELAY_MS);
+      await systemClock.sleep(Math.random() * MAX_WATCH_DELAY_MS);
       yield step;
     }
   }
@@ -199,15 +207,15 @@
   };
 }
 
-async function until(holds: () => boolean): Promise<boolean> {
-  const lateMs = performance.now() + DEADLINE_MS;
-  while (!holds()) {
-    if (performance.now() > lateMs) return false;
+async function waitUntil(isMet: () => boolean): Promise<boolean> {
+  const timeoutAtMs = performance.now() + CHANGE_TIMEOUT_MS;
+  while (!isMet()) {
+    if (performance.now() > timeoutAtMs) return false;
     await systemClock.sleep(2);
   }
   return true;
 }
 
-function round(value: number): number {
+function roundToHundredths(value: number): number {
   return Math.round(value * 100) / 100;
 }
--- a/src/config/branch.ts
+++ b/src/config/branch.ts
@@ -1,18 +1,18 @@
 /**
- * A team's branch of the settings tree: its schema, and validation of a whole branch that reports
- * every error at once.
+ * Schema of a team's branch of the settings tree. Validation covers the whole branch and reports
+ * all errors at once.
  */
 import { Result } from "true-myth";
 import { z } from "zod";
 
-/** Format of branches that this version writes. */
+/** Branch format that this version of the software reads and writes. */
 export const BRANCH_FORMAT = 1;
 
 const NAME = z.string().regex(/^[a-z0-9][a-z0-9_-]{0,62}$/, {
   error:
     "Expected 1 to 63 of a-z, 0-9, - and _, starting with a letter or digit",
 });
-/** Names of teams, and of what a branch names. */
+/** Syntax of team names; names within a branch, such as pools and workspaces, share it. */
 export const TEAM_NAME = NAME;
 const MODEL_NAME = z.string().regex(/^[A-Za-z0-9][A-Za-z0-9._:/-]{0,126}$/, {
   error: "Expected a model name of 1 to 127 letters, digits and . _ : / -",
@@ -33,14 +33,17 @@
 
 const POOL = z.strictObject({
   kind: z.enum(["engine", "service"]),
-  /** `enforced`: the servers refuse an old fencing number; `ignored`: the agent is the only gate. */
+  /**
+   * `enforced`: the backend servers reject old fencing numbers. `ignored`: they don't check them,
+   * so only the agent rejects stale calls.
+   */
   fencing: z.enum(["enforced", "ignored"]),
 });
 
 const SERVICE = z.strictObject({
   pool: NAME,
   timeoutMs: DURATION_MS.default(10_000),
-  /** Calls that may be repeated; all others run at most once. */
+  /** Calls that are safe to repeat; all other calls run at most once. */
   repeatable: z.array(z.strictObject({
     method: z.enum([
       "GET",
@@ -53,23 +56,29 @@
     ]),
     pathPrefix: z.string().startsWith("/"),
   })).default([]),
-  /** What becomes of at-most-once calls while the claims journal can't be written. */
+  /**
+   * How at-most-once calls are handled while the claims journal can't be written: `refuse` rejects
+   * them, `memory` records their claims in memory only.
+   */
   whenStoreDown: z.enum(["refuse", "memory"]).default("refuse"),
-  /** How long a repeat of an idempotency key is recognised. */
+  /** How long a repeated idempotency key is recognised as a duplicate. */
   retryWindowMs: DURATION_MS.default(600_000),
 });
 
 const CLASS = z.strictObject({
   priority: PRIORITY,
   deadlineMs: DURATION_MS,
-  /** Price of a recomputed token in ms of waiting; 0 lets tails suffer from needless prefill. */
+  /**
+   * Cost of recomputing one token, expressed in ms of queueing delay. At 0, unnecessary prefill
+   * increases tail latency.
+   */
   recomputePriceMs: z.number().min(0).max(1000).default(0.3),
 });
 
 const WORKSPACE = z.strictObject({
   keys: z.array(z.strictObject({
     id: NAME,
-    /** SHA-256 of the whole bearer key, in hex. */
+    /** SHA-256 of the complete bearer key, in hex. */
     sha256: z.string().regex(/^[0-9a-f]{64}$/, {
       error: "Expected 64 hex digits",
     }),
@@ -83,11 +92,11 @@
   maxBodyBytes: z.int().min(1024).max(64 * 1024 * 1024).default(
     4 * 1024 * 1024,
   ),
-  /** Retries as a share of first tries. */
+  /** Retry budget: retries allowed, as a fraction of first attempts. */
   retryShare: z.number().min(0).max(1).default(0.1),
 });
 
-/** Schema of a whole branch. Unknown fields are refused. */
+/** Schema of a complete branch; unknown fields are rejected. */
 export const TEAM_BRANCH = z.strictObject({
   format: z.literal(BRANCH_FORMAT),
   models: z.record(MODEL_NAME, MODEL).default({}),
@@ -98,32 +107,32 @@
   limits: LIMITS.prefault({}),
 }).check((context) => checkReferences(context));
 
-/** A team's branch, complete and valid. */
+/** A validated branch with all defaults filled in. */
 export type TeamBranch = z.infer<typeof TEAM_BRANCH>;
-/** Priority names of callers and settings. */
+/** Request priority, as named by clients and in settings. */
 export type PriorityName = z.infer<typeof PRIORITY>;
 
-/** One thing that is wrong with a branch. */
+/** A validation error in a branch. */
 export interface BranchProblem {
-  /** Path below the branch, joined by dots. */
+  /** Path of the invalid field within the branch, joined by dots. */
   path: string;
-  /** What is wrong and what is allowed. */
+  /** Describes the error and the allowed values. */
   message: string;
-  /** The value found, as JSON, cut at 80 characters. */
+  /** The invalid value as JSON, truncated to 80 characters; `nothing` if it is absent. */
   value: string;
 }
 
-/** All that is wrong with a branch. */
+/** All validation errors of a branch. */
 export interface InvalidBranch {
   kind: "invalid_branch";
   problems: BranchProblem[];
 }
 
 /**
- * Validates a branch as a whole.
+ * Validates a complete branch.
  *
  * @param input The parsed JSON.
- * @returns The branch with defaults filled in, or every problem found.
+ * @returns The branch with defaults filled in, or all validation errors.
  */
 export function parseBranch(input: unknown): Result<TeamBranch, InvalidBranch> {
   const parsed = TEAM_BRANCH.safeParse(input);
@@ -131,7 +140,7 @@
   const problems = parsed.error.issues.map((issue) => ({
     path: issue.path.join("."),
     message: issue.message,
-    value: valueAt(input, issue.path),
+    value: formatValueAt(input, issue.path),
   }));
   return Result.err({ kind: "invalid_branch", problems });
 }
@@ -144,12 +153,13 @@
   workspaces: Record<string, { defaultClass: string }>;
 }>;
 
+/** Checks that every pool and class that the branch refers to is defined in it. */
 function checkReferences({ value, issues }: RefinementContext): void {
-  const refuse = (path: string[], message: string, input: unknown) =>
+  const addIssue = (path: string[], message: string, input: unknown) =>
     issues.push({ code: "custom", path, message, input });
   for (const [name, model] of Object.entries(value.models)) {
     if (value.pools[model.pool]?.kind === "engine") continue;
-    refuse(
+    addIssue(
       ["models", name, "pool"],
       "Expected a pool of kind engine in this branch",
       model.pool,
@@ -157,7 +167,7 @@
   }
   for (const [name, service] of Object.entries(value.services)) {
     if (value.pools[service.pool]?.kind === "service") continue;
-    refuse(
+    addIssue(
       ["services", name, "pool"],
       "Expected a pool of kind service in this branch",
       service.pool,
@@ -165,7 +175,7 @@
   }
   for (const [name, workspace] of Object.entries(value.workspaces)) {
     if (value.classes[workspace.defaultClass]) continue;
-    refuse(
+    addIssue(
       ["workspaces", name, "defaultClass"],
       "Expected a class of this branch",
       workspace.defaultClass,
@@ -173,11 +183,14 @@
   }
 }
 
-function valueAt(input: unknown, path: PropertyKey[]): string {
-  let at: unknown = input;
-  for (const step of path) {
-    if (typeof at !== "object" || at === null) return "nothing";
-    at = (at as Record<PropertyKey, unknown>)[step];
+/** Returns the value at a path as truncated JSON, or `nothing` if there is none. */
+function formatValueAt(input: unknown, path: PropertyKey[]): string {
+  let current: unknown = input;
+  for (const key of path) {
+    if (typeof current !== "object" || current === null) return "nothing";
+    current = (current as Record<PropertyKey, unknown>)[key];
   }
-  return at === undefined ? "nothing" : JSON.stringify(at).slice(0, 80);
+  return current === undefined
+    ? "nothing"
+    : JSON.stringify(current).slice(0, 80);
 }
--- a/src/config/branch_set.ts
+++ b/src/config/branch_set.ts
@@ -1,9 +1,9 @@
 /**
- * The branches a process has in force: the highest revision of each, never an older one.
+ * The newest known version of each team's branch. Older versions never replace newer ones.
  *
- * The set also knows up to which store revision it is complete. That tells a deleted team, which no
- * listing shows, from one that was never heard of: whatever isn't held and isn't newer than that
- * revision is gone for good.
+ * The set also tracks the store revision up to which it is complete. This distinguishes a deleted
+ * team, which listings omit, from a team that is not known yet: if a team is not in the set, all
+ * its versions up to that revision have been deleted.
  */
 import { Result } from "true-myth";
 import type { Listing } from "../store/store.ts";
@@ -12,42 +12,45 @@
 import { decodeStored, teamOfKey } from "./stored_branch.ts";
 import { hashVersion } from "./version_hash.ts";
 
-/** A branch in force. */
+/** The newest known version of a team's branch, or the tombstone of a deleted team. */
 export interface BranchInForce {
   team: string;
-  /** Store revision of the write that made it. */
+  /** Store revision of the write that created this version. */
   revision: bigint;
-  /** Undefined: the team was deleted at this revision, or no version of it could be read. */
+  /** Undefined if the team was deleted at this revision, or was never readable. */
   branch: TeamBranch | undefined;
-  /** The stored JSON, unchanged; empty for a deleted team. */
+  /** The stored JSON, unmodified; empty for a deleted team. */
   json: Uint8Array;
   /**
-   * Why `json` is not what is in force: a newer process wrote it. It is spread unchanged, and
-   * `branch` is the last version that could be read.
+   * Why `json` can't be read, for example because a newer software version wrote it. `json` is
+   * still sent to peers unmodified, and `branch` remains the last readable version.
    */
   unread?: ApplyFailure;
-  /** Counts the changes of this set; higher came later. */
+  /** Sequence number of this change within the set. */
   change: number;
 }
 
-/** Why a branch was not taken into force. */
+/** Why a version of a branch was not applied. */
 export type ApplyFailure =
   | { kind: "older"; revision: bigint }
   | { kind: "unreadable"; message: string }
   | InvalidBranch;
 
-/** Called after a branch came into force. */
+/** Called after a new version or a deletion has been stored in the set. */
 export type BranchListener = (change: BranchInForce) => void;
 
-/** Deleted teams remembered one by one; older ones only by the revision of completeness. */
+/**
+ * Maximum number of tombstones. Older deletions are covered by the revision up to which the set is
+ * complete.
+ */
 const MAX_TOMBSTONES = 1024;
-const NOTHING = new Uint8Array();
+const EMPTY_JSON = new Uint8Array();
 
-/** Holds the highest revision of each team's branch. */
+/** Stores the newest known version of each team's branch. */
 export class BranchSet {
   readonly #branches = new Map<string, BranchInForce>();
   readonly #tombstones = new Set<string>();
-  readonly #unread = new Set<string>();
+  readonly #unreadTeams = new Set<string>();
   readonly #listeners = new Set<BranchListener>();
   #completeTo = 0n;
   #hash = 0n;
@@ -60,29 +63,29 @@
     return new BranchSet();
   }
 
-  /** Every write up to this store revision is known; 0: nothing is known to be complete. */
+  /** Store revision up to which all writes are known; 0 if the set was never complete. */
   get completeTo(): bigint {
     return this.#completeTo;
   }
 
-  /** Hash over team and revision of all teams that exist. */
+  /** Hash over the teams and revisions of all branches, without deleted teams. */
   get hash(): bigint {
     return this.#hash;
   }
 
-  /** Branches that are held and spread but can't be read here. */
+  /** Number of branches that are sent to peers but whose newest version can't be read here. */
   get unreadCount(): number {
-    return this.#unread.size;
+    return this.#unreadTeams.size;
   }
 
-  /** Number of changes so far. */
+  /** Number of changes to this set, including tombstones and unreadable versions. */
   get changes(): number {
     return this.#changes;
   }
 
   /**
    * @param team The team's name.
-   * @returns Its branch, unless it is unknown, deleted, or was never readable.
+   * @returns Its record; undefined if the team is unknown or deleted, or was never readable.
    */
   get(team: string): BranchInForce | undefined {
     const found = this.#branches.get(team);
@@ -91,20 +94,20 @@
 
   /**
    * @param team The team's name.
-   * @returns What is held of it, deleted and unreadable branches included.
+   * @returns Its record, also if the team is deleted or its branch can't be read.
    */
   held(team: string): BranchInForce | undefined {
     return this.#branches.get(team);
   }
 
-  /** @returns Every branch, deleted ones included. */
+  /** @returns The records of all teams, including tombstones. */
   all(): BranchInForce[] {
     return [...this.#branches.values()];
   }
 
   /**
-   * @param above Only versions above this revision.
-   * @returns Team and revision of every branch, deleted ones included.
+   * @param above Only versions above this revision are included.
+   * @returns Team and revision of all branches, including deleted teams.
    */
   versions(above = 0n): BranchVersion[] {
     const versions: BranchVersion[] = [];
@@ -114,7 +117,7 @@
     return versions;
   }
 
-  /** @returns Team and revision of the deleted teams that are remembered. */
+  /** @returns A branch with empty JSON for every tombstone in the set. */
   tombstones(): Branch[] {
     return [...this.#tombstones].map((team) => ({
       team,
@@ -125,7 +128,7 @@
 
   /**
    * @param team The team's name.
-   * @returns The highest revision held, 0 for an unknown team.
+   * @returns The revision of its newest known version; 0 if the team is unknown.
    */
   revisionOf(team: string): bigint {
     return this.#branches.get(team)?.revision ?? 0n;
@@ -133,48 +136,48 @@
 
   /**
    * @param team The team's name.
-   * @returns No version up to this revision can be news.
+   * @returns The revision up to which all versions of the team are known or superseded.
    */
   knownTo(team: string): bigint {
     const held = this.#branches.get(team);
     if (!held) return this.#completeTo;
-    if (isLive(held) || held.revision > this.#completeTo) return held.revision;
+    if (exists(held) || held.revision > this.#completeTo) return held.revision;
     return this.#completeTo;
   }
 
   /**
-   * Takes a branch into force if it is newer than what is held. One that can't be read is held and
-   * spread all the same, and what was in force stays so.
+   * Applies a version of a branch if it is newer than the known one. An unreadable version is
+   * stored and sent to peers as well, but the last readable version remains in effect.
    *
-   * @param stored A branch as the store or a peer has it.
-   * @returns The branch in force, or why nothing changed.
+   * @param stored A branch as received from the store or a peer.
+   * @returns The new record, or why the version did not take effect.
    */
   apply(stored: Branch): Result<BranchInForce, ApplyFailure> {
     const knownTo = this.knownTo(stored.team);
     if (stored.revision <= knownTo) {
       return Result.err({ kind: "older", revision: knownTo });
     }
-    const read = readBranch(stored);
-    const before = this.#branches.get(stored.team)?.branch;
+    const decoded = decodeBranch(stored);
+    const previous = this.#branches.get(stored.team)?.branch;
     const change: BranchInForce = {
       team: stored.team,
       revision: stored.revision,
-      branch: read.isOk ? read.value : before,
+      branch: decoded.isOk ? decoded.value : previous,
       json: stored.json,
       change: ++this.#changes,
     };
-    if (read.isErr) change.unread = read.error;
-    this.#hold(change);
-    return read.isOk ? Result.ok(change) : Result.err(read.error);
+    if (decoded.isErr) change.unread = decoded.error;
+    this.#storeRecord(change);
+    return decoded.isOk ? Result.ok(change) : Result.err(decoded.error);
   }
 
   /**
-   * Takes a whole listing of the team branches. A team that is held, isn't listed, and isn't newer
-   * than the listing has been deleted: it is held as deleted at the listing's revision, since
-   * whatever comes after that delete is newer than the listing.
+   * Applies a complete listing of the team branches. A team that is not listed, and whose version
+   * is not newer than the listing, has been deleted. Its tombstone gets the listing's revision,
+   * since every later write to the team has a higher revision.
    *
-   * @param listing All keys of team branches, as of one revision; it may be an old one.
-   * @returns What could not be taken into force, other than for being older.
+   * @param listing All keys of team branches at one revision, which may be outdated.
+   * @returns The versions that can't be read; outdated versions are omitted.
    */
   applyListing(listing: Listing): UnappliedBranch[] {
     const unapplied: UnappliedBranch[] = [];
@@ -189,60 +192,66 @@
       }
     }
     this.deleteUnlisted(listed, listing.revision);
-    this.completeUpTo(listing.revision);
+    this.markCompleteTo(listing.revision);
     return unapplied;
   }
 
   /**
-   * Holds as deleted each team that is not listed and not newer than the list.
+   * Replaces each unlisted team by a tombstone, unless its version is newer than the list.
    *
    * @param listed All teams that existed at the revision.
-   * @param revision Store revision up to which the list is complete.
+   * @param revision Store revision of the list.
    */
   deleteUnlisted(listed: ReadonlySet<string>, revision: bigint): void {
     for (const held of this.all()) {
-      if (!isLive(held) || listed.has(held.team)) continue;
+      if (!exists(held) || listed.has(held.team)) continue;
       if (held.revision > revision) continue;
       const change = ++this.#changes;
       const team = held.team;
-      this.#hold({ team, revision, branch: undefined, json: NOTHING, change });
+      this.#storeRecord({
+        team,
+        revision,
+        branch: undefined,
+        json: EMPTY_JSON,
+        change,
+      });
     }
   }
 
   /**
-   * Notes that every write up to a revision is known. The caller vouches for it.
+   * Records that the set reflects all writes up to a revision. The caller must ensure this.
    *
-   * @param revision Store revision.
+   * @param revision Store revision; a lower one than before has no effect.
    */
-  completeUpTo(revision: bigint): void {
+  markCompleteTo(revision: bigint): void {
     if (revision > this.#completeTo) this.#completeTo = revision;
   }
 
   /**
    * @param listener Called after each change.
-   * @returns Stops the calls.
+   * @returns A function that removes the listener.
    */
   onChange(listener: BranchListener): () => void {
     this.#listeners.add(listener);
     return () => this.#listeners.delete(listener);
   }
 
-  #hold(change: BranchInForce): void {
+  #storeRecord(change: BranchInForce): void {
     const { team } = change;
-    const before = this.#branches.get(team);
-    if (before && isLive(before)) this.#hash ^= hashVersion(before);
-    if (isLive(change)) this.#hash ^= hashVersion(change);
+    const previous = this.#branches.get(team);
+    if (previous && exists(previous)) this.#hash ^= hashVersion(previous);
+    if (exists(change)) this.#hash ^= hashVersion(change);
     this.#branches.set(team, change);
     this.#tombstones.delete(team);
-    this.#unread.delete(team);
-    if (!isLive(change)) this.#tombstones.add(team);
-    if (change.unread) this.#unread.add(team);
-    if (this.#tombstones.size > MAX_TOMBSTONES) this.#forgetTombstone();
+    this.#unreadTeams.delete(team);
+    if (!exists(change)) this.#tombstones.add(team);
+    if (change.unread) this.#unreadTeams.add(team);
+    if (this.#tombstones.size > MAX_TOMBSTONES) this.#dropOldestTombstone();
     for (const listener of this.#listeners) listener(change);
   }
 
-  /** Forgets the oldest delete, if completeness stands for it. */
-  #forgetTombstone(): void {
+  /** Drops the oldest tombstone, unless its revision is above {@link completeTo}. */
+  #dropOldestTombstone(): void {
     const [oldest] = this.#tombstones;
     if (oldest === undefined) return;
     if (this.revisionOf(oldest) > this.#completeTo) return;
@@ -251,18 +260,18 @@
   }
 }
 
-/** A branch that is held but not in force. */
+/** A version of a branch that was stored but can't be read. */
 export interface UnappliedBranch {
   team: string;
   revision: bigint;
   failure: ApplyFailure;
 }
 
-function isLive(held: BranchInForce): boolean {
+function exists(held: BranchInForce): boolean {
   return held.json.length > 0;
 }
 
-function readBranch(
+function decodeBranch(
   stored: Branch,
 ): Result<TeamBranch | undefined, ApplyFailure> {
   if (stored.json.length === 0) return Result.ok(undefined);
--- a/src/config/branch_set_test.ts
+++ b/src/config/branch_set_test.ts
@@ -4,20 +4,20 @@
 import { encodeBranch, teamKey } from "./stored_branch.ts";
 
 const BRANCH = { format: 1, classes: {}, workspaces: {} };
-const JSON_BYTES = Buffer.from(encodeBranch(BRANCH));
-const NEWER_FORMAT = Buffer.from(encodeBranch({ format: 2, classes: {} }));
-const DELETED = Buffer.alloc(0);
+const STORED_JSON = Buffer.from(encodeBranch(BRANCH));
+const NEWER_FORMAT_JSON = Buffer.from(encodeBranch({ format: 2, classes: {} }));
+const NO_JSON = Buffer.alloc(0);
 
-const at = (revision: bigint, json = JSON_BYTES, team = "a") => ({
+const branchAt = (revision: bigint, json = STORED_JSON, team = "a") => ({
   team,
   revision,
   json,
 });
-const listing = (revision: bigint, ...teams: [string, bigint][]) => ({
+const listingOf = (revision: bigint, ...teams: [string, bigint][]) => ({
   revision,
   entries: teams.map(([team, modRevision]) => ({
     key: teamKey(team),
-    value: JSON_BYTES,
+    value: STORED_JSON,
     modRevision,
     createRevision: modRevision,
   })),
@@ -25,80 +25,80 @@
 
 test("the highest revision wins", () => {
   const set = BranchSet.create();
-  assert(set.apply(at(5n)).isOk);
-  assert(set.apply(at(4n)).isErr);
-  assert(set.apply(at(5n)).isErr);
+  assert(set.apply(branchAt(5n)).isOk);
+  assert(set.apply(branchAt(4n)).isErr);
+  assert(set.apply(branchAt(5n)).isErr);
   assert.equal(set.revisionOf("a"), 5n);
 });
 
-test("a listing deletes what it doesn't show", () => {
+test("a listing deletes teams that it omits", () => {
   const set = BranchSet.create();
-  set.apply(at(5n));
-  set.applyListing(listing(9n, ["b", 7n]));
+  set.apply(branchAt(5n));
+  set.applyListing(listingOf(9n, ["b", 7n]));
   assert.equal(set.get("a"), undefined);
   assert.equal(set.revisionOf("a"), 9n);
   assert.equal(set.revisionOf("b"), 7n);
 });
 
-test("a lagging listing deletes nothing newer", () => {
+test("a stale listing does not delete newer branches", () => {
   const set = BranchSet.create();
-  set.apply(at(12n));
-  set.applyListing(listing(9n));
+  set.apply(branchAt(12n));
+  set.applyListing(listingOf(9n));
   assert.equal(set.get("a")?.revision, 12n);
 });
 
-test("a lagging listing doesn't resurrect", () => {
+test("a stale listing does not restore a deleted team", () => {
   const set = BranchSet.create();
-  set.apply(at(5n));
-  set.apply(at(8n, DELETED));
-  set.applyListing(listing(6n, ["a", 5n]));
+  set.apply(branchAt(5n));
+  set.apply(branchAt(8n, NO_JSON));
+  set.applyListing(listingOf(6n, ["a", 5n]));
   assert.equal(set.get("a"), undefined);
 });
 
-test("a delete before the listing stays one", () => {
+test("an unlisted team rejects versions older than the listing", () => {
   const set = BranchSet.create();
-  set.applyListing(listing(9n));
-  assert(set.apply(at(5n)).isErr);
-  assert(set.apply(at(10n)).isOk);
+  set.applyListing(listingOf(9n));
+  assert(set.apply(branchAt(5n)).isErr);
+  assert(set.apply(branchAt(10n)).isOk);
 });
 
-test("a version between two deletes stays gone", () => {
+test("a listing supersedes versions between an earlier deletion and itself", () => {
   const set = BranchSet.create();
-  set.apply(at(5n));
-  set.apply(at(6n, DELETED));
-  set.applyListing(listing(20n));
-  assert(set.apply(at(12n)).isErr);
+  set.apply(branchAt(5n));
+  set.apply(branchAt(6n, NO_JSON));
+  set.applyListing(listingOf(20n));
+  assert(set.apply(branchAt(12n)).isErr);
 });
 
 test("a deleted team can be created again", () => {
   const set = BranchSet.create();
-  set.apply(at(5n));
-  set.applyListing(listing(9n));
-  assert(set.apply(at(11n)).isOk);
+  set.apply(branchAt(5n));
+  set.applyListing(listingOf(9n));
+  assert(set.apply(branchAt(11n)).isOk);
   assert.equal(set.get("a")?.revision, 11n);
 });
 
-test("equal teams have equal hashes", () => {
+test("sets with the same teams have equal hashes", () => {
   const one = BranchSet.create();
-  one.apply(at(5n));
-  one.apply(at(6n, JSON_BYTES, "b"));
-  one.apply(at(7n, DELETED));
+  one.apply(branchAt(5n));
+  one.apply(branchAt(6n, STORED_JSON, "b"));
+  one.apply(branchAt(7n, NO_JSON));
   const other = BranchSet.create();
-  other.applyListing(listing(9n, ["b", 6n]));
+  other.applyListing(listingOf(9n, ["b", 6n]));
   assert.equal(one.hash, other.hash);
-  other.apply(at(10n));
+  other.apply(branchAt(10n));
   assert.notEqual(one.hash, other.hash);
 });
 
-test("a newer format is held, not in force", () => {
+test("a branch of a newer format is stored but does not take effect", () => {
   const set = BranchSet.create();
-  set.apply(at(5n));
-  const applied = set.apply(at(6n, NEWER_FORMAT));
+  set.apply(branchAt(5n));
+  const applied = set.apply(branchAt(6n, NEWER_FORMAT_JSON));
   assert(applied.isErr && applied.error.kind === "invalid_branch");
   assert.equal(set.revisionOf("a"), 6n);
-  assert.deepEqual(set.held("a")?.json, NEWER_FORMAT);
+  assert.deepEqual(set.held("a")?.json, NEWER_FORMAT_JSON);
   assert.equal(set.get("a")?.branch?.format, 1);
   assert.equal(set.unreadCount, 1);
-  set.apply(at(7n));
+  set.apply(branchAt(7n));
   assert.equal(set.unreadCount, 0);
 });
--- a/src/config/freshness.ts
+++ b/src/config/freshness.ts
@@ -1,10 +1,10 @@
-/** How current the held configuration is known to be, and whether the process is cut off. */
+/** Tracks how current the local configuration is and when the store or a peer last answered. */
 import type { Clock } from "../base/mod.ts";
 
-/** Age reported when nothing was ever confirmed; the largest the wire carries. */
-export const NEVER_CONFIRMED_MS = 0xffff_ffff;
+/** Age reported before the first confirmation: the largest value of the protocol's uint32 field. */
+export const UNCONFIRMED_AGE_MS = 0xffff_ffff;
 
-/** Keeps the times of the last contact and of the last confirmation by the store. */
+/** Records the times of the last answer and of the last confirmation by the store. */
 export class Freshness {
   readonly #clock: Clock;
   #contactAtMs = -Infinity;
@@ -16,46 +16,46 @@
 
   /**
    * @param clock Source of time.
-   * @returns Freshness without any contact so far.
+   * @returns A tracker that has not seen any answer yet.
    */
   static create(clock: Clock): Freshness {
     return new Freshness(clock);
   }
 
-  /** Time since the store or a peer last answered. */
+  /** Time since the store, a peer or an agent last answered; infinite before the first answer. */
   get contactAgeMs(): number {
     return this.#clock.nowMs() - this.#contactAtMs;
   }
 
-  /** Time since the store confirmed what is held, here or at a peer that holds the same. */
+  /** Time since the store confirmed the local configuration, directly or through an equal peer. */
   get confirmedAgeMs(): number {
     const ageMs = this.#clock.nowMs() - this.#confirmedAtMs;
-    return Math.min(Math.max(0, Math.ceil(ageMs)), NEVER_CONFIRMED_MS);
+    return Math.min(Math.max(0, Math.ceil(ageMs)), UNCONFIRMED_AGE_MS);
   }
 
-  /** Notes that the store or a peer answered. */
-  noteContact(): void {
+  /** Records that the store, a peer or an agent answered. */
+  recordContact(): void {
     this.#contactAtMs = this.#clock.nowMs();
   }
 
   /**
-   * Notes that the store vouched for what is held.
+   * Records that the store confirmed the local configuration.
    *
-   * @param atMs When it was asked.
+   * @param atMs Monotonic time as of which the state is confirmed.
    */
-  noteConfirmed(atMs: number): void {
-    this.noteContact();
+  recordConfirmation(atMs: number): void {
+    this.recordContact();
     this.#confirmedAtMs = Math.max(this.#confirmedAtMs, atMs);
   }
 
   /**
-   * Takes over a confirmation from a peer that holds the same.
+   * Adopts the confirmation of a peer that has the same configuration.
    *
-   * @param ageMs Age that the peer reported.
-   * @param askedAtMs When the peer was asked.
+   * @param ageMs Age of the confirmation as the peer reported it.
+   * @param askedAtMs Monotonic time at which the peer was asked.
    */
-  adopt(ageMs: number, askedAtMs: number): void {
-    if (ageMs >= NEVER_CONFIRMED_MS) return;
+  recordPeerConfirmation(ageMs: number, askedAtMs: number): void {
+    if (ageMs >= UNCONFIRMED_AGE_MS) return;
     this.#confirmedAtMs = Math.max(this.#confirmedAtMs, askedAtMs - ageMs);
   }
 }
--- a/src/config/gossip.ts
+++ b/src/config/gossip.ts
@@ -1,6 +1,7 @@
 /**
- * Comparing versions with other entries and fetching what is newer there. The store's watch is the
- * main way of a change; this covers lost watches, an unreachable store, and a process that wakes.
+ * Gossip between entries: a process compares version digests with its peers and fetches newer
+ * branches. Changes normally arrive by the store's watch; gossip covers broken watches, an
+ * unreachable store, and processes that resume after a pause.
  */
 import { Result } from "true-myth";
 import type { Clock, Logger } from "../base/mod.ts";
@@ -14,63 +15,64 @@
 } from "../wire/gen/cicadahitch.ts";
 import type { BranchSet } from "./branch_set.ts";
 import type { Freshness } from "./freshness.ts";
-import { PeerBook } from "./peer_book.ts";
+import { PeerTable } from "./peer_book.ts";
 import type { PeerCalls } from "./peer_calls.ts";
 
 /** Settings of {@link Gossip}. */
 export interface GossipOptions {
-  /** Changes with each start of the process. */
+  /** Identifies this run of the process; differs after a restart. */
   processId: string;
-  /** This process's own peer address, as the others know it. */
+  /** Returns this process's own peer address, as other entries reach it. */
   address: () => string;
   branches: BranchSet;
   freshness: Freshness;
   peers: PeerCalls;
   clock: Clock;
   log: Logger;
-  /** Adds to each digest what other parts of the process have to say. */
-  extend: (digest: VersionDigest) => VersionDigest;
-  /** Is given each digest of a peer. */
-  hear: (digest: VersionDigest) => void;
+  /** Adds the data of other components to each outgoing digest. */
+  extendDigest: (digest: VersionDigest) => VersionDigest;
+  /** Called with each digest received from a peer. */
+  onPeerDigest: (digest: VersionDigest) => void;
 }
 
-/** What an exchange came to. */
+/** Result of an exchange with a peer. */
 export interface ExchangeOutcome {
-  /** The peer gave something: branches, or that it holds the same, non-empty set. */
-  informed: boolean;
-  /** Branches that came into force. */
+  /** Whether branches were applied, or the peer's set is complete up to some store revision. */
+  hasConfig: boolean;
+  /** Number of branch changes that were applied. */
   appliedCount: number;
 }
 
-type Fetch = (
+type FetchBranches = (
   teams: string[],
 ) => Promise<Result<FetchBranchesReply, CallFailure>>;
 
-/** Teams asked for in one call. */
-const FETCH_BATCH = 64;
+/** Maximum number of teams per fetch call. */
+const FETCH_BATCH_SIZE = 64;
 
-/** Exchanges versions with peers. */
+/** Exchanges version digests with peers and fetches newer branches from them. */
 export class Gossip {
-  readonly book: PeerBook;
+  readonly peerTable: PeerTable;
   readonly #options: GossipOptions;
 
   private constructor(options: GossipOptions) {
     this.#options = options;
-    this.book = PeerBook.create(options.branches);
+    this.peerTable = PeerTable.create(options.branches);
   }
 
   /**
-   * @param options Own identity, branches and calls.
-   * @returns Gossip that waits for {@link exchangeWith}.
+   * @param options The process's identity, its branches, and the calls to peers.
+   * @returns An instance that calls peers only in {@link exchangeWith}.
    */
   static create(options: GossipOptions): Gossip {
     return new Gossip(options);
   }
 
-  /** @returns What this process holds, without the list of versions. */
+  /** @returns A digest of the local branches, without the list of versions. */
   digest(): VersionDigest {
-    const { branches, freshness, processId, address, extend } = this.#options;
-    return extend({
+    const { branches, freshness, processId, address, extendDigest } =
+      this.#options;
+    return extendDigest({
       processId,
       address: address(),
       versions: [],
@@ -84,147 +86,162 @@
   /**
    * Answers a peer's digest.
    *
-   * @param asked The peer's digest.
-   * @returns Own digest, with versions above the peer's revision where the hashes differ.
+   * @param peerDigest The peer's digest.
+   * @returns The local digest; if the hashes differ, with all versions above the peer's revision.
    */
-  answer(asked: VersionDigest): VersionDigest {
+  answer(peerDigest: VersionDigest): VersionDigest {
     const { branches, clock } = this.#options;
-    this.#note(asked, clock.nowMs());
+    this.#recordPeerDigest(peerDigest, clock.nowMs());
     const digest = this.digest();
-    if (asked.hash === digest.hash) return digest;
-    return { ...digest, versions: branches.versions(asked.revision) };
+    if (peerDigest.hash === digest.hash) return digest;
+    return { ...digest, versions: branches.versions(peerDigest.revision) };
   }
 
   /**
-   * Compares versions with a peer and takes over what is newer there.
+   * Compares versions with a peer and fetches the peer's newer branches.
    *
-   * @param address The peer.
-   * @returns What came of it, or why the peer gave no answer.
+   * @param address The peer's address.
+   * @returns The result of the exchange, or why the call failed.
    */
   async exchangeWith(
     address: string,
   ): Promise<Result<ExchangeOutcome, CallFailure>> {
     const { branches, freshness, processId } = this.#options;
-    const before = branches.changes;
-    const first = await this.#ask(address, this.digest());
-    if (first.isErr) return Result.err(first.error);
-    // A list may show this process under another address; it is no peer of its own.
-    if (first.value.digest.processId === processId) {
-      return Result.ok({ informed: false, appliedCount: 0 });
+    const changesBefore = branches.changes;
+    const firstReply = await this.#sendDigest(address, this.digest());
+    if (firstReply.isErr) return Result.err(firstReply.error);
+    // The list of peers may contain this process under another address.
+    if (firstReply.value.digest.processId === processId) {
+      return Result.ok({ hasConfig: false, appliedCount: 0 });
     }
-    freshness.noteContact();
-    if (!this.#agrees(first.value)) {
-      await this.#catchUp(address, first.value);
+    freshness.recordContact();
+    if (!this.#confirmIfEqual(firstReply.value)) {
+      await this.#fetchMissing(address, firstReply.value);
     }
-    const appliedCount = branches.changes - before;
-    const informed = appliedCount > 0 || first.value.digest.revision > 0n;
-    return Result.ok({ informed, appliedCount });
+    const appliedCount = branches.changes - changesBefore;
+    const hasConfig = appliedCount > 0 ||
+      firstReply.value.digest.revision > 0n;
+    return Result.ok({ hasConfig, appliedCount });
   }
 
   /**
-   * Fetches those of the listed versions that are newer than what is held.
+   * Fetches the listed versions that are newer than the local ones.
    *
-   * @param versions Versions that the other side says to have.
-   * @param fetch Reads branches there.
-   * @returns Whether all that was newer has arrived.
+   * @param versions Versions that the remote process reports.
+   * @param fetch Reads branches from the remote process.
+   * @returns Whether all newer versions were received.
    */
-  async fetchNewer(versions: BranchVersion[], fetch: Fetch): Promise<boolean> {
+  async fetchNewer(
+    versions: BranchVersion[],
+    fetch: FetchBranches,
+  ): Promise<boolean> {
     const { branches } = this.#options;
-    const lacking = () =>
+    const missing = () =>
       versions.filter(({ team, revision }) =>
         revision > branches.knownTo(team)
       );
-    const wanted = lacking().map(({ team }) => team);
-    for (let from = 0; from < wanted.length; from += FETCH_BATCH) {
-      const reply = await fetch(wanted.slice(from, from + FETCH_BATCH));
+    const wanted = missing().map(({ team }) => team);
+    for (let start = 0; start < wanted.length; start += FETCH_BATCH_SIZE) {
+      const reply = await fetch(wanted.slice(start, start + FETCH_BATCH_SIZE));
       if (reply.isErr) return false;
-      this.take(reply.value.branches);
+      this.applyReceived(reply.value.branches);
     }
-    return lacking().length === 0;
+    return missing().length === 0;
   }
 
   /**
-   * Takes branches into force where they are newer.
+   * Applies those of the received branches that are newer than the local ones.
    *
-   * @param received Branches of another process.
-   * @returns How many came into force.
+   * @param received Branches from another process.
+   * @returns The number of changes applied.
    */
-  take(received: Branch[]): number {
+  applyReceived(received: Branch[]): number {
     const { branches, log } = this.#options;
-    const before = branches.changes;
+    const changesBefore = branches.changes;
     for (const { team, revision, json } of received) {
       const applied = branches.apply({ team, revision, json });
       if (applied.isOk || applied.error.kind === "older") continue;
       const failure = applied.error;
-      log.error({ team, revision: String(revision), failure }, "branch unread");
+      log.error(
+        { team, revision: String(revision), failure },
+        "cannot read branch; its last readable version stays in effect",
+      );
     }
-    return branches.changes - before;
+    return branches.changes - changesBefore;
   }
 
-  async #ask(
+  async #sendDigest(
     address: string,
     digest: VersionDigest,
-  ): Promise<Result<PeerAnswer, CallFailure>> {
+  ): Promise<Result<PeerReply, CallFailure>> {
     const { peers, clock } = this.#options;
     const askedAtMs = clock.nowMs();
     const reply = await peers.exchange(address, digest);
     return reply.map((digest) => {
-      this.#note({ ...digest, address }, clock.nowMs());
+      this.#recordPeerDigest({ ...digest, address }, clock.nowMs());
       return { digest, askedAtMs };
     });
   }
 
-  /** Fetches what is newer; when hashes differ still, asks for the whole list. */
-  async #catchUp(address: string, answer: PeerAnswer): Promise<void> {
+  /**
+   * Fetches the versions that the peer listed. If the hashes still differ and the peer's set is
+   * complete up to a higher revision, requests all of its versions and deletes the teams that are
+   * missing from that list.
+   */
+  async #fetchMissing(address: string, answer: PeerReply): Promise<void> {
     const { branches, peers } = this.#options;
-    const fetch: Fetch = (teams) => peers.fetchFromPeer(address, teams);
+    const fetch: FetchBranches = (teams) => peers.fetchFromPeer(address, teams);
     await this.fetchNewer(answer.digest.versions, fetch);
-    if (this.#agrees(answer)) return;
+    if (this.#confirmIfEqual(answer)) return;
     if (answer.digest.revision <= branches.completeTo) return;
-    const question = { ...this.digest(), revision: 0n };
-    const second = await this.#ask(address, question);
-    if (second.isErr || this.#agrees(second.value)) return;
-    const list = second.value.digest;
-    // Nothing is listed for a question with the same hash, whatever changed here since.
-    if (list.hash === question.hash) return;
-    if (!await this.fetchNewer(list.versions, fetch)) return;
-    const listed = new Set(list.versions.map(({ team }) => team));
-    branches.deleteUnlisted(listed, list.revision);
-    this.#adopt(second.value);
+    const fullRequest = { ...this.digest(), revision: 0n };
+    const fullReply = await this.#sendDigest(address, fullRequest);
+    if (fullReply.isErr || this.#confirmIfEqual(fullReply.value)) return;
+    const fullDigest = fullReply.value.digest;
+    // A peer whose hash equals that of the request lists no versions. The local set may have
+    // changed in the meantime, but the empty list must not delete teams.
+    if (fullDigest.hash === fullRequest.hash) return;
+    if (!await this.fetchNewer(fullDigest.versions, fetch)) return;
+    const listed = new Set(fullDigest.versions.map(({ team }) => team));
+    branches.deleteUnlisted(listed, fullDigest.revision);
+    this.#adoptPeerState(fullReply.value);
   }
 
-  /** When both hold the same, each is as complete and as fresh as the other. */
-  #agrees(answer: PeerAnswer): boolean {
+  /**
+   * Compares the peer's hash with the local one. Equal sets share the higher complete revision and
+   * the latest confirmation, so these are adopted from the peer.
+   */
+  #confirmIfEqual(answer: PeerReply): boolean {
     if (answer.digest.hash !== this.#options.branches.hash) return false;
-    this.#adopt(answer);
+    this.#adoptPeerState(answer);
     return true;
   }
 
-  #adopt({ digest, askedAtMs }: PeerAnswer): void {
+  #adoptPeerState({ digest, askedAtMs }: PeerReply): void {
     const { branches, freshness } = this.#options;
-    branches.completeUpTo(digest.revision);
-    freshness.adopt(digest.confirmedAgeMs, askedAtMs);
+    branches.markCompleteTo(digest.revision);
+    freshness.recordPeerConfirmation(digest.confirmedAgeMs, askedAtMs);
   }
 
-  #note(digest: VersionDigest, nowMs: number): void {
+  #recordPeerDigest(digest: VersionDigest, nowMs: number): void {
     const isPeer = digest.processId !== this.#options.processId;
-    if (isPeer) this.#options.hear(digest);
-    if (isPeer && digest.address !== "") this.book.note(digest, nowMs);
+    if (isPeer) this.#options.onPeerDigest(digest);
+    if (isPeer && digest.address !== "") this.peerTable.update(digest, nowMs);
   }
 }
 
-/** A peer's digest, and when it was asked for. */
-interface PeerAnswer {
+/** A peer's digest and the time at which it was requested. */
+interface PeerReply {
   digest: VersionDigest;
   askedAtMs: number;
 }
 
 /**
- * Answers a request for branches, on entries and agents alike.
+ * Answers a request for branches; used by entries and agents.
  *
- * @param branches What is held.
- * @param request Which teams; none: all.
- * @returns The branches, deleted ones included.
+ * @param branches The local branches.
+ * @param request The requested teams; an empty list requests all teams.
+ * @returns The requested branches, including those of deleted teams.
  */
 export function selectBranches(
   branches: BranchSet,
--- a/src/config/local_fleet.ts
+++ b/src/config/local_fleet.ts
@@ -1,4 +1,4 @@
-/** Nodes in one process that spread configuration among themselves; for tests and benchmarks. */
+/** Simulated nodes in one process that exchange configuration; for tests and benchmarks. */
 import { Result } from "true-myth";
 import {
   type Clock,
@@ -19,13 +19,13 @@
 import { ConfigSync } from "./sync.ts";
 import type { ConfigSyncOptions } from "./sync_options.ts";
 
-/** One process's part. */
+/** A simulated entry with its own branches, store connection and lifecycle. */
 export interface FleetNode {
   address: string;
   branches: BranchSet;
   sync: ConfigSync;
   lifecycle: Lifecycle;
-  /** The node's own way to the store. */
+  /** The node's connection to the store, which can be closed. */
   store: GatedStore;
 }
 
@@ -34,19 +34,25 @@
   store: KeyValueStore;
   clock: Clock;
   random: () => number;
-  /** Waited before and after each call between nodes, in ms. */
-  oneWayMs: number;
+  /** One-way network delay of calls between nodes, in ms. */
+  oneWayDelayMs: number;
   sync: Partial<ConfigSyncOptions>;
 }
 
-const UNREACHABLE: CallFailure = { kind: "unreachable", message: "Cut off" };
-const UNAVAILABLE: StoreFailure = { kind: "unavailable", message: "Cut off" };
+const PEER_UNREACHABLE: CallFailure = {
+  kind: "unreachable",
+  message: "Disconnected by the test",
+};
+const STORE_UNAVAILABLE: StoreFailure = {
+  kind: "unavailable",
+  message: "Disconnected by the test",
+};
 
-/** Nodes, the links between them, and agents that only hold branches. */
+/** Simulated nodes, the network between them, and agents that only store branches. */
 export class LocalFleet {
   readonly nodes = new Map<string, FleetNode>();
   readonly agents = new Map<string, BranchSet>();
-  /** Nodes that reach no other, and aren't reached. */
+  /** Addresses of nodes and agents that the simulated network isolates from all others. */
   readonly cutOff = new Set<string>();
   readonly counters = { messages: 0, bytes: 0 };
   readonly #options: LocalFleetOptions;
@@ -56,7 +62,7 @@
   }
 
   /**
-   * @param options The store, and what differs from the defaults.
+   * @param options The store, and settings that differ from the defaults.
    * @returns A fleet without nodes.
    */
   static create(
@@ -65,18 +71,18 @@
     return new LocalFleet({
       clock: systemClock,
       random: Math.random,
-      oneWayMs: 0,
+      oneWayDelayMs: 0,
       sync: {},
       ...options,
     });
   }
 
   /**
-   * Starts a node; one at the same address must have been stopped.
+   * Starts a node. A previous node at the same address must have been stopped.
    *
-   * @param address Its peer address.
-   * @param overrides Settings that differ from the fleet's.
-   * @returns The node.
+   * @param address The node's peer address, also used as its process id.
+   * @param overrides Settings that differ from those of the fleet.
+   * @returns The started node.
    */
   start(
     address: string,
@@ -91,7 +97,7 @@
       address: () => address,
       store: gated,
       branches,
-      peers: this.callsOf(address),
+      peers: this.createCallsFrom(address),
       peerAddresses: () => [...this.nodes.keys()],
       lifecycle,
       log: createSilentLogger(),
@@ -105,7 +111,7 @@
     return node;
   }
 
-  /** Stops a node and forgets it. */
+  /** Stops a node and removes it from the fleet. */
   async stop(address: string): Promise<void> {
     const node = this.nodes.get(address);
     this.nodes.delete(address);
@@ -117,77 +123,78 @@
     await Promise.all([...this.nodes.keys()].map((at) => this.stop(at)));
   }
 
-  /** @returns Calls as the node at this address makes them. */
-  callsOf(from: string): PeerCalls {
+  /** @returns Peer calls that originate from this address. */
+  createCallsFrom(from: string): PeerCalls {
     return {
       exchange: (to, digest) =>
         this.#call(from, to, () => {
-          this.#count(VersionDigest.encode(digest).finish().length);
+          this.#countMessage(VersionDigest.encode(digest).finish().length);
           const answer = this.nodes.get(to)?.sync.answer(digest);
-          if (!answer) return this.#missing(to);
-          this.#count(VersionDigest.encode(answer).finish().length);
+          if (!answer) return this.#failUnknown(to);
+          this.#countMessage(VersionDigest.encode(answer).finish().length);
           return Result.ok(answer);
         }),
       fetchFromPeer: (to, teams) =>
         this.#call(from, to, () => {
           const node = this.nodes.get(to);
-          if (!node) return this.#missing(to);
+          if (!node) return this.#failUnknown(to);
           return Result.ok(this.#fetch(node.branches, teams));
         }),
       fetchFromAgent: (to, teams) =>
         this.#call(from, to, () => {
           const agent = this.agents.get(to);
-          if (!agent) return this.#missing(to);
+          if (!agent) return this.#failUnknown(to);
           return Result.ok(this.#fetch(agent, teams));
         }),
       pushToAgent: (to, branches) =>
         this.#call(from, to, () => {
           const agent = this.agents.get(to);
-          if (!agent) return this.#missing(to);
+          if (!agent) return this.#failUnknown(to);
           for (const branch of branches) {
-            this.#count(Branch.encode(branch).finish().length);
+            this.#countMessage(Branch.encode(branch).finish().length);
             agent.apply(branch);
           }
-          return Result.ok(agentDigest(to, agent));
+          return Result.ok(createAgentDigest(to, agent));
         }),
     };
   }
 
+  /** Simulates a call over the network; fails if either side is isolated. */
   async #call<A>(
     from: string,
     to: string,
-    body: () => Result<A, CallFailure>,
+    handler: () => Result<A, CallFailure>,
   ): Promise<Result<A, CallFailure>> {
-    const { clock, oneWayMs } = this.#options;
-    await clock.sleep(oneWayMs);
+    const { clock, oneWayDelayMs } = this.#options;
+    await clock.sleep(oneWayDelayMs);
     if (this.cutOff.has(from) || this.cutOff.has(to)) {
-      return Result.err(UNREACHABLE);
+      return Result.err(PEER_UNREACHABLE);
     }
-    const answer = body();
-    await clock.sleep(oneWayMs);
-    return this.cutOff.has(from) ? Result.err(UNREACHABLE) : answer;
+    const answer = handler();
+    await clock.sleep(oneWayDelayMs);
+    return this.cutOff.has(from) ? Result.err(PEER_UNREACHABLE) : answer;
   }
 
   #fetch(branches: BranchSet, teams: string[]): FetchBranchesReply {
     const reply = selectBranches(branches, { teams });
-    this.#count(teams.join("  ").length + 2);
-    this.#count(FetchBranchesReply.encode(reply).finish().length);
+    this.#countMessage(teams.join("  ").length + 2);
+    this.#countMessage(FetchBranchesReply.encode(reply).finish().length);
     return reply;
   }
 
-  #count(bytes: number): void {
+  #countMessage(bytes: number): void {
     this.counters.messages++;
     this.counters.bytes += bytes;
   }
 
-  #missing<A>(address: string): Result<A, CallFailure> {
+  #failUnknown<A>(address: string): Result<A, CallFailure> {
     const known = this.agents.has(address) || this.nodes.has(address);
-    const message = "Not here";
+    const message = "No such node or agent at this address";
     return Result.err({ kind: known ? "rejected" : "unreachable", message });
   }
 }
 
-function agentDigest(address: string, agent: BranchSet): VersionDigest {
+function createAgentDigest(address: string, agent: BranchSet): VersionDigest {
   return {
     processId: address,
     address,
@@ -198,7 +205,7 @@
   };
 }
 
-/** A store as one node reaches it: cut off and reconnected on demand. */
+/** A node's connection to the store, which tests can close and reopen. */
 export class GatedStore implements KeyValueStore {
   readonly #store: KeyValueStore;
   #gate = new AbortController();
@@ -208,14 +215,14 @@
   }
 
   /**
-   * @param store The store behind the gate.
-   * @returns An open gate.
+   * @param store The store that calls are forwarded to.
+   * @returns An open connection.
    */
   static create(store: KeyValueStore): GatedStore {
     return new GatedStore(store);
   }
 
-  /** False: no call gets through, and watches end. */
+  /** While false, all calls fail and watches end. */
   get open(): boolean {
     return !this.#gate.signal.aborted;
   }
@@ -226,19 +233,19 @@
   }
 
   get(key: string): ReturnType<KeyValueStore["get"]> {
-    return this.#through(() => this.#store.get(key));
+    return this.#callIfOpen(() => this.#store.get(key));
   }
 
   list(prefix: string): ReturnType<KeyValueStore["list"]> {
-    return this.#through(() => this.#store.list(prefix));
+    return this.#callIfOpen(() => this.#store.list(prefix));
   }
 
   commit(
     ...args: Parameters<KeyValueStore["commit"]>
   ): ReturnType<KeyValueStore["commit"]> {
-    return this.#through(
+    return this.#callIfOpen(
       () => this.#store.commit(...args),
-      { kind: "effect_unknown", message: "Cut off" },
+      { kind: "effect_unknown", message: "Disconnected by the test" },
     );
   }
 
@@ -248,37 +255,39 @@
     signal: AbortSignal,
   ): AsyncGenerator<Result<WatchStep, StoreFailure>> {
     const gate = this.#gate.signal;
-    if (gate.aborted) return yield Result.err(UNAVAILABLE);
-    const either = AbortSignal.any([signal, gate]);
-    for await (const step of this.#store.watch(prefix, fromRevision, either)) {
+    if (gate.aborted) return yield Result.err(STORE_UNAVAILABLE);
+    const anySignal = AbortSignal.any([signal, gate]);
+    for await (
+      const step of this.#store.watch(prefix, fromRevision, anySignal)
+    ) {
       if (gate.aborted) break;
       yield step;
     }
-    if (!signal.aborted) yield Result.err(UNAVAILABLE);
+    if (!signal.aborted) yield Result.err(STORE_UNAVAILABLE);
   }
 
   grantLease(ttlMs: number): ReturnType<KeyValueStore["grantLease"]> {
-    return this.#through(() => this.#store.grantLease(ttlMs));
+    return this.#callIfOpen(() => this.#store.grantLease(ttlMs));
   }
 
   renewLease(leaseId: bigint): ReturnType<KeyValueStore["renewLease"]> {
-    return this.#through(() => this.#store.renewLease(leaseId));
+    return this.#callIfOpen(() => this.#store.renewLease(leaseId));
   }
 
   revokeLease(leaseId: bigint): ReturnType<KeyValueStore["revokeLease"]> {
-    return this.#through(() => this.#store.revokeLease(leaseId));
+    return this.#callIfOpen(() => this.#store.revokeLease(leaseId));
   }
 
   close(): void {}
 
-  /** A gate that closes during a call takes the answer. */
-  async #through<A>(
+  /** Forwards a call if the connection is open. Closing it during the call discards the answer. */
+  async #callIfOpen<A>(
     call: () => Promise<Result<A, StoreFailure>>,
-    lost: StoreFailure = UNAVAILABLE,
+    failureIfClosed: StoreFailure = STORE_UNAVAILABLE,
   ): Promise<Result<A, StoreFailure>> {
     const gate = this.#gate.signal;
-    if (gate.aborted) return Result.err(UNAVAILABLE);
+    if (gate.aborted) return Result.err(STORE_UNAVAILABLE);
     const answer = await call();
-    return gate.aborted ? Result.err(lost) : answer;
+    return gate.aborted ? Result.err(failureIfClosed) : answer;
   }
 }
--- a/src/config/mod.ts
+++ b/src/config/mod.ts
@@ -1,4 +1,4 @@
-/** The settings tree: its schema, the branches in force, and their spread. */
+/** Configuration: the schema of team branches, the set of known branches, and synchronization. */
 export {
   BRANCH_FORMAT,
   type BranchProblem,
@@ -17,7 +17,7 @@
   type UnappliedBranch,
 } from "./branch_set.ts";
 export { selectBranches } from "./gossip.ts";
-export { PeerBook, type PeerRecord } from "./peer_book.ts";
+export { type PeerRecord, PeerTable as PeerBook } from "./peer_book.ts";
 export {
   GrpcPeerCalls,
   type GrpcPeerCallsOptions,
--- a/src/config/peer_book.ts
+++ b/src/config/peer_book.ts
@@ -1,28 +1,31 @@
-/** What each other entry is known to have in force. */
+/** Tracks which branch versions each other entry is known to have. */
 import type { VersionDigest } from "../wire/gen/cicadahitch.ts";
 import type { BranchSet } from "./branch_set.ts";
 
-/** What is known of one peer; a peer never goes back, so all of it stays true until it restarts. */
+/**
+ * The known state of a peer. Peers never revert to older versions, so recorded versions stay valid
+ * until the peer restarts.
+ */
 export interface PeerRecord {
   processId: string;
   address: string;
-  /** Every write up to this store revision is known there. */
+  /** Store revision up to which the peer knows all writes. */
   completeTo: bigint;
-  /** It held all that this process held after this many changes. */
-  sameAfterChange: number;
-  /** Versions it listed, by team. */
+  /** Number of the latest local change after which the peer had the same branches; 0 if never. */
+  equalAtChange: number;
+  /** Revisions that the peer listed, by team; cleared when both sides are equal. */
   versions: Map<string, bigint>;
   confirmedAgeMs: number;
-  /** Branches it holds but can't read. */
+  /** Number of the peer's branches whose newest version it can't read. */
   unreadCount: number;
   seenAtMs: number;
 }
 
-/** Versions taken from one digest; a longer list comes from a peer that was far apart. */
-const MAX_NOTED_VERSIONS = 64;
+/** Maximum number of versions recorded per digest; only a peer that differs widely sends more. */
+const MAX_RECORDED_VERSIONS = 64;
 
-/** Records of peers, by address. */
-export class PeerBook {
+/** Keeps a record of each known peer, by address. */
+export class PeerTable {
   readonly #branches: BranchSet;
   readonly #records = new Map<string, PeerRecord>();
 
@@ -31,79 +34,79 @@
   }
 
   /**
-   * @param branches What this process has in force.
-   * @returns An empty book.
+   * @param branches The local branches.
+   * @returns An empty table.
    */
-  static create(branches: BranchSet): PeerBook {
-    return new PeerBook(branches);
+  static create(branches: BranchSet): PeerTable {
+    return new PeerTable(branches);
   }
 
-  /** @returns All records. */
+  /** @returns The records of all known peers. */
   all(): PeerRecord[] {
     return [...this.#records.values()];
   }
 
-  /** @returns The record of the peer at this address, if it was ever heard of. */
+  /** @returns The record of the peer at this address; undefined if the peer is not known. */
   get(address: string): PeerRecord | undefined {
     return this.#records.get(address);
   }
 
   /**
-   * Notes what a peer said of itself.
+   * Updates a peer's record from its digest.
    *
    * @param digest The peer's digest.
-   * @param nowMs Monotonic time.
+   * @param nowMs Current monotonic time.
    */
-  note(digest: VersionDigest, nowMs: number): void {
-    const record = this.#recordOf(digest);
+  update(digest: VersionDigest, nowMs: number): void {
+    const record = this.#getOrCreateRecord(digest);
     record.seenAtMs = nowMs;
     record.confirmedAgeMs = digest.confirmedAgeMs;
     record.unreadCount = digest.unreadCount ?? 0;
     if (digest.revision > record.completeTo) {
       record.completeTo = digest.revision;
     }
-    const noted = digest.versions.slice(0, MAX_NOTED_VERSIONS);
-    for (const { team, revision } of noted) {
+    const recorded = digest.versions.slice(0, MAX_RECORDED_VERSIONS);
+    for (const { team, revision } of recorded) {
       if (revision > (record.versions.get(team) ?? 0n)) {
         record.versions.set(team, revision);
       }
     }
-    if (digest.hash === this.#branches.hash) this.#noteSame(record);
+    if (digest.hash === this.#branches.hash) this.#recordEqualSets(record);
   }
 
   /**
-   * @param record A peer.
+   * @param record The peer's record.
    * @param team The team's name.
-   * @param revision A version of its branch.
-   * @returns Whether that or a newer version is known to be in force there.
+   * @param revision Revision of a version of the team's branch.
+   * @returns Whether the peer is known to have this version or a newer one.
    */
   has(record: PeerRecord, team: string, revision: bigint): boolean {
     if (record.completeTo >= revision) return true;
     if ((record.versions.get(team) ?? 0n) >= revision) return true;
     const held = this.#branches.held(team);
     if (!held || held.json.length === 0) return false;
-    return held.revision >= revision && held.change <= record.sameAfterChange;
+    return held.revision >= revision && held.change <= record.equalAtChange;
   }
 
   /**
-   * Drops peers that were not heard of for a while.
+   * Removes peers whose last digest was received before a given time.
    *
    * @param beforeMs Monotonic time.
    */
-  forgetUnseen(beforeMs: number): void {
+  removeStale(beforeMs: number): void {
     for (const [address, { seenAtMs }] of this.#records) {
       if (seenAtMs < beforeMs) this.#records.delete(address);
     }
   }
 
-  #recordOf({ address, processId }: VersionDigest): PeerRecord {
+  #getOrCreateRecord({ address, processId }: VersionDigest): PeerRecord {
     const known = this.#records.get(address);
     if (known?.processId === processId) return known;
     const record: PeerRecord = {
       processId,
       address,
       completeTo: 0n,
-      sameAfterChange: 0,
+      equalAtChange: 0,
       versions: new Map(),
       confirmedAgeMs: 0,
       unreadCount: 0,
@@ -113,10 +116,10 @@
     return record;
   }
 
-  /** Whoever holds the same teams knows as much as this process does, and the other way round. */
-  #noteSame(record: PeerRecord): void {
+  /** Records that the peer has the same branches, and so knows all writes known locally. */
+  #recordEqualSets(record: PeerRecord): void {
     const { changes, completeTo } = this.#branches;
-    record.sameAfterChange = changes;
+    record.equalAtChange = changes;
     if (completeTo > record.completeTo) record.completeTo = completeTo;
     record.versions.clear();
   }
--- a/src/config/peer_calls.ts
+++ b/src/config/peer_calls.ts
@@ -1,4 +1,4 @@
-/** Calls about configuration to other entries and to agents. */
+/** Configuration calls to other entries and to agents. */
 import type { Result } from "true-myth";
 import type { Clock } from "../base/mod.ts";
 import {
@@ -14,24 +14,24 @@
   VersionDigest,
 } from "../wire/gen/cicadahitch.ts";
 
-/** How branches travel between processes; tests put their own in place of gRPC. */
+/** Transport of branches between processes; tests replace the gRPC implementation. */
 export interface PeerCalls {
   /** Compares versions with another entry. */
   exchange(
     address: string,
     digest: VersionDigest,
   ): Promise<Result<VersionDigest, CallFailure>>;
-  /** Reads branches of another entry; no team named: all. */
+  /** Reads branches of another entry; an empty list reads the branches of all teams. */
   fetchFromPeer(
     address: string,
     teams: string[],
   ): Promise<Result<FetchBranchesReply, CallFailure>>;
-  /** Reads branches of an agent; no team named: all. */
+  /** Reads branches of an agent; an empty list reads the branches of all teams. */
   fetchFromAgent(
     address: string,
     teams: string[],
   ): Promise<Result<FetchBranchesReply, CallFailure>>;
-  /** Gives branches to an agent; its answer lists its versions of these teams, or more. */
+  /** Sends branches to an agent. The answer lists its versions of at least these teams. */
   pushToAgent(
     address: string,
     branches: Branch[],
@@ -42,13 +42,13 @@
 export interface GrpcPeerCallsOptions {
   channels: ChannelPool;
   clock: Clock;
-  /** A call without an answer for this long has failed, in ms. */
+  /** Timeout of a call, in ms. */
   timeoutMs?: number;
 }
 
 const DEFAULT_TIMEOUT_MS = 1000;
 
-/** {@link PeerCalls} over gRPC. */
+/** Implements {@link PeerCalls} over gRPC. */
 export class GrpcPeerCalls implements PeerCalls {
   readonly #channels: ChannelPool;
   readonly #timeoutMs: number;
@@ -59,8 +59,8 @@
   }
 
   /**
-   * @param options Channels and deadline.
-   * @returns Calls over these channels.
+   * @param options The channels and the timeout.
+   * @returns Peer calls over these channels.
    */
   static create(options: GrpcPeerCallsOptions): GrpcPeerCalls {
     return new GrpcPeerCalls(options);
@@ -106,7 +106,7 @@
     );
   }
 
-  /** Calls once; a connection that stayed silent is replaced for whoever calls next. */
+  /** Calls once, without retries. A timeout replaces the connection for later calls. */
   async #call<Q, A>(
     address: string,
     request: Q,
--- a/src/config/peer_service_test.ts
+++ b/src/config/peer_service_test.ts
@@ -10,7 +10,7 @@
 import { ConfigSync } from "./sync.ts";
 
 const SECURITY = { kind: "plain" } as const;
-const VALUE = Buffer.from(
+const STORED_JSON = Buffer.from(
   encodeBranch({ format: 1, classes: {}, workspaces: {} }),
 );
 
@@ -45,10 +45,10 @@
   return { listener, branches, sync, stop };
 }
 
-test("two entries exchange over gRPC", async () => {
+test("two entries exchange branches over gRPC", async () => {
   const one = startNode("one", []);
-  one.branches.apply({ team: "a", revision: 7n, json: VALUE });
-  one.branches.completeUpTo(9n);
+  one.branches.apply({ team: "a", revision: 7n, json: STORED_JSON });
+  one.branches.markCompleteTo(9n);
   assert((await one.listener.start()).isOk);
   const two = startNode("two", [one.listener.address]);
   assert((await two.listener.start()).isOk);
--- a/src/config/random.ts
+++ b/src/config/random.ts
@@ -1,28 +1,31 @@
-/** Random choices, from a source that tests can seed. */
+/** Random helpers whose source of randomness is a parameter, so that tests can seed it. */
 
-/** @returns Eight hex digits. */
+/** @returns A random suffix of eight hex digits. */
 export function randomSuffix(random: () => number): string {
   return Math.floor(random() * 0xffff_ffff).toString(16).padStart(8, "0");
 }
 
 /**
- * Draws without repetition.
+ * Samples without replacement.
  *
- * @param from What to draw from; it stays as it is.
- * @param count How many to draw.
- * @param random Returns 0 to 1.
- * @returns Up to `count` of them.
+ * @param items The items to sample from; not modified.
+ * @param count The number of items to sample.
+ * @param random Returns a number from 0 to 1.
+ * @returns At most `count` distinct items.
  */
-export function choose<T>(
-  from: readonly T[],
+export function sample<T>(
+  items: readonly T[],
   count: number,
   random: () => number,
 ): T[] {
-  const left = [...from];
-  const chosen: T[] = [];
-  while (chosen.length < count && left.length > 0) {
-    const at = Math.min(Math.floor(random() * left.length), left.length - 1);
-    chosen.push(...left.splice(at, 1));
+  const remaining = [...items];
+  const sampled: T[] = [];
+  while (sampled.length < count && remaining.length > 0) {
+    const index = Math.min(
+      Math.floor(random() * remaining.length),
+      remaining.length - 1,
+    );
+    sampled.push(...remaining.splice(index, 1));
   }
-  return chosen;
+  return sampled;
 }
--- a/src/config/store_follower.ts
+++ b/src/config/store_follower.ts
@@ -1,4 +1,4 @@
-/** Keeps a branch set up to date from the key-value service: one listing, then a watch. */
+/** Keeps a branch set up to date from the key-value service, by a listing followed by a watch. */
 import type { Clock, Logger } from "../base/mod.ts";
 import type { KeyValueStore, StoreFailure, WatchStep } from "../store/store.ts";
 import type { BranchSet } from "./branch_set.ts";
@@ -12,52 +12,52 @@
   freshness: Freshness;
   clock: Clock;
   log: Logger;
-  /** Returns 0 to 1; for jitter. */
+  /** Returns a number from 0 to 1; used for jitter. */
   random: () => number;
-  /** Upper bound of the first wait, so that processes that start together spread their reads. */
+  /** Maximum delay of the first call, so that processes started together don't read at once. */
   startJitterMs: number;
-  /** Called after each answer of the store. */
+  /** Called after each successful answer or watch step of the store. */
   onAnswer: () => void;
 }
 
-/** Calls made so far. */
+/** Numbers of calls and failures since the start. */
 export interface FollowerCounters {
   lists: number;
   watches: number;
   failures: number;
 }
 
-const FIRST_BACKOFF_MS = 100;
+const INITIAL_BACKOFF_MS = 100;
 const MAX_BACKOFF_MS = 5000;
 
-/** Follows the team branches in the store. */
+/** Replicates the team branches of the store into a branch set. */
 export class StoreFollower {
   readonly counters: FollowerCounters = { lists: 0, watches: 0, failures: 0 };
   readonly #options: StoreFollowerOptions;
-  #failuresInRow = 0;
-  #mustList = false;
+  #consecutiveFailures = 0;
+  #relistRequired = false;
 
   private constructor(options: StoreFollowerOptions) {
     this.#options = options;
   }
 
   /**
-   * @param options Store, branches and pace.
-   * @returns A follower that waits for {@link run}.
+   * @param options The store, the branch set, and the settings of delays.
+   * @returns A follower that makes no calls before {@link run}.
    */
   static create(options: StoreFollowerOptions): StoreFollower {
     return new StoreFollower(options);
   }
 
-  /** True while the last call failed. */
+  /** Whether the store has failed since its last answer. */
   get failing(): boolean {
-    return this.#failuresInRow > 0;
+    return this.#consecutiveFailures > 0;
   }
 
   /**
-   * Follows until the signal is aborted.
+   * Follows the store until the signal is aborted, and retries failures with exponential backoff.
    *
-   * @param signal Ends it.
+   * @param signal Stops the follower.
    */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, random, startJitterMs } = this.#options;
@@ -65,21 +65,25 @@
     while (!signal.aborted) {
       const failure = await this.#followOnce(signal);
       if (signal.aborted) return;
-      this.#noteFailure(failure);
+      this.#recordFailure(failure);
       await clock.sleep(this.#backoffMs(), signal);
     }
   }
 
-  /** @returns Why following ended. */
+  /**
+   * Lists the branches if necessary, then watches them.
+   *
+   * @returns The failure that ended the listing or the watch.
+   */
   async #followOnce(signal: AbortSignal): Promise<StoreFailure> {
-    if (this.#mustList || this.#options.branches.completeTo === 0n) {
+    if (this.#relistRequired || this.#options.branches.completeTo === 0n) {
       const failure = await this.#list();
       if (failure) return failure;
     }
     return await this.#watch(signal);
   }
 
-  /** Lists all branches; a store that lags only shows less, since older versions are refused. */
+  /** Lists all branches. A stale listing reverts nothing: outdated versions are not applied. */
   async #list(): Promise<StoreFailure | undefined> {
     const { store, branches, clock, log } = this.#options;
     const askedAtMs = clock.nowMs();
@@ -88,10 +92,13 @@
     if (listing.isErr) return listing.error;
     const unapplied = branches.applyListing(listing.value);
     for (const { team, revision, failure } of unapplied) {
-      log.error({ team, revision: String(revision), failure }, "branch unread");
+      log.error(
+        { team, revision: String(revision), failure },
+        "cannot read branch; its last readable version stays in effect",
+      );
     }
-    this.#mustList = false;
-    this.#noteAnswer(askedAtMs);
+    this.#relistRequired = false;
+    this.#recordAnswer(askedAtMs);
   }
 
   async #watch(signal: AbortSignal): Promise<StoreFailure> {
@@ -100,30 +107,34 @@
     const from = branches.completeTo + 1n;
     for await (const step of store.watch(TEAMS_PREFIX, from, signal)) {
       if (step.isErr) return step.error;
-      this.#take(step.value);
-      this.#noteAnswer(clock.nowMs());
+      this.#handleWatchStep(step.value);
+      this.#recordAnswer(clock.nowMs());
     }
     return { kind: "unavailable", message: "The watch ended" };
   }
 
-  #take(step: WatchStep): void {
+  #handleWatchStep(step: WatchStep): void {
     const { branches } = this.#options;
     switch (step.kind) {
       case "put": {
         const { key, value, modRevision } = step.entry;
-        this.#apply(teamOfKey(key), modRevision, value);
-        // More changes of the same revision may follow.
-        return branches.completeUpTo(modRevision - 1n);
+        this.#applyVersion(teamOfKey(key), modRevision, value);
+        // More events of the same revision may follow, so only the previous one is complete.
+        return branches.markCompleteTo(modRevision - 1n);
       }
       case "delete":
-        this.#apply(teamOfKey(step.key), step.revision, new Uint8Array());
-        return branches.completeUpTo(step.revision - 1n);
+        this.#applyVersion(
+          teamOfKey(step.key),
+          step.revision,
+          new Uint8Array(),
+        );
+        return branches.markCompleteTo(step.revision - 1n);
       case "progress":
-        return branches.completeUpTo(step.revision);
+        return branches.markCompleteTo(step.revision);
     }
   }
 
-  #apply(team: string, revision: bigint, value: Uint8Array): void {
+  #applyVersion(team: string, revision: bigint, value: Uint8Array): void {
     const { branches, log } = this.#options;
     const applied = branches.apply({
       team,
@@ -132,29 +143,32 @@
     });
     if (applied.isOk || applied.error.kind === "older") return;
     const failure = applied.error;
-    log.error({ team, revision: String(revision), failure }, "branch unread");
+    log.error(
+      { team, revision: String(revision), failure },
+      "cannot read branch; its last readable version stays in effect",
+    );
   }
 
-  #noteAnswer(atMs: number): void {
+  #recordAnswer(atMs: number): void {
     const { freshness, onAnswer } = this.#options;
-    this.#failuresInRow = 0;
-    freshness.noteConfirmed(atMs);
+    this.#consecutiveFailures = 0;
+    freshness.recordConfirmation(atMs);
     onAnswer();
   }
 
-  #noteFailure(failure: StoreFailure): void {
-    this.#failuresInRow++;
+  #recordFailure(failure: StoreFailure): void {
+    this.#consecutiveFailures++;
     this.counters.failures++;
-    if (failure.kind === "compacted") this.#mustList = true;
-    if (this.#failuresInRow > 1) return;
+    if (failure.kind === "compacted") this.#relistRequired = true;
+    if (this.#consecutiveFailures > 1) return;
     const { kind } = failure;
     this.#options.log.warn({ kind }, "lost the key-value service");
   }
 
   #backoffMs(): number {
-    const doublings = Math.min(this.#failuresInRow - 1, 10);
+    const doublings = Math.min(this.#consecutiveFailures - 1, 10);
     const ceilingMs = Math.min(
-      FIRST_BACKOFF_MS * 2 ** doublings,
+      INITIAL_BACKOFF_MS * 2 ** doublings,
       MAX_BACKOFF_MS,
     );
     return ceilingMs * (0.5 + this.#options.random() / 2);
--- a/src/config/sync.ts
+++ b/src/config/sync.ts
@@ -1,44 +1,44 @@
 /**
- * Keeps a process's branches in step with the fleet: from the key-value service while it answers,
- * from other entries always, and from agents when nobody else answers at a start.
+ * Synchronizes a process's branches: from the key-value service while it is reachable, by gossip
+ * with other entries at all times, and from agents if nothing else answers at startup.
  */
 import type { Result } from "true-myth";
 import type { CallFailure } from "../wire/mod.ts";
 import type { VersionDigest } from "../wire/gen/cicadahitch.ts";
 import { Freshness } from "./freshness.ts";
 import { Gossip } from "./gossip.ts";
-import type { PeerBook } from "./peer_book.ts";
-import { choose, randomSuffix } from "./random.ts";
+import type { PeerTable } from "./peer_book.ts";
+import { randomSuffix, sample } from "./random.ts";
 import { StoreFollower } from "./store_follower.ts";
 import { type ConfigSyncOptions, withDefaults } from "./sync_options.ts";
 import { type ConfigSyncState, describeState } from "./sync_state.ts";
 
-/** Who gave a starting process its configuration. */
+/** The first source that answered a starting process; `nobody` if `maxStartMs` passed first. */
 export type ReadyOutcome = { source: "store" | "peer" | "agent" | "nobody" };
 
-const SEED_RETRY_MS = 250;
-const SEEDS_AT_ONCE = 16;
-const PEER_MEMORY_MS = 300_000;
-/** Upper bound of the wait before a change is announced; until then, most have it by watch. */
-const ANNOUNCE_MS = 200;
-/** Shortest time between two questions back to the same peer. */
-const PULL_PAUSE_MS = 100;
+const MEAN_SEED_RETRY_MS = 250;
+const SEED_FANOUT = 16;
+const PEER_RETENTION_MS = 300_000;
+/** Maximum delay before a change is announced; most peers receive it by watch in the meantime. */
+const MAX_ANNOUNCE_DELAY_MS = 200;
+/** Minimum time between two pulls from the same peer. */
+const MIN_PULL_INTERVAL_MS = 100;
 const PROBE_KEY = "/cicadahitch/probe";
-const PROBED_AGENTS = 2;
+const AGENTS_PER_PROBE = 2;
 
-/** Keeps branches in step. */
+/** Synchronizes the local branches with the store, other entries and agents. */
 export class ConfigSync {
-  /** Resolves on the first useful answer, and no later than `maxStartMs`. */
+  /** Resolves with the first useful answer, or after `maxStartMs`. */
   readonly ready: Promise<ReadyOutcome>;
   readonly #options: Required<ConfigSyncOptions>;
   readonly #freshness: Freshness;
   readonly #gossip: Gossip;
   readonly #follower: StoreFollower | undefined;
-  readonly #pulling = new Set<string>();
-  readonly #pulledAtMs = new Map<string, number>();
-  #announcing = false;
+  readonly #activePulls = new Set<string>();
+  readonly #lastPullAtMs = new Map<string, number>();
+  #announcementPending = false;
   #resolveReady: (outcome: ReadyOutcome) => void = () => {};
-  #answered = false;
+  #hasAnswer = false;
 
   private constructor(options: Required<ConfigSyncOptions>) {
     const { clock, branches, log, peers, address, store, random } = options;
@@ -53,8 +53,8 @@
       peers,
       clock,
       log,
-      extend: options.extend,
-      hear: options.hear,
+      extendDigest: options.extend,
+      onPeerDigest: options.hear,
     });
     this.#follower = store && StoreFollower.create({
       store,
@@ -64,15 +64,15 @@
       log,
       random,
       startJitterMs: options.startJitterMs,
-      onAnswer: () => this.#noteReady("store"),
+      onAnswer: () => this.#markReady("store"),
     });
   }
 
   /**
-   * Starts following the store and exchanging with peers, as tasks of the life cycle.
+   * Starts following the store and exchanging with peers, as tasks of the lifecycle.
    *
-   * @param options Where to look, and how often.
-   * @returns The sync; wait for {@link ready} before serving.
+   * @param options Data sources, intervals and dependencies.
+   * @returns The running instance; await {@link ready} before serving requests.
    */
   static create(options: ConfigSyncOptions): ConfigSync {
     const sync = new ConfigSync(withDefaults(options));
@@ -80,30 +80,30 @@
     return sync;
   }
 
-  /** What other entries are known to have in force. */
-  get book(): PeerBook {
-    return this.#gossip.book;
+  /** The versions that other entries are known to have. */
+  get book(): PeerTable {
+    return this.#gossip.peerTable;
   }
 
-  /** False: a team that isn't held may exist all the same, so it must not be called unknown. */
+  /** Whether the set of teams was ever complete; if not, a missing team may still exist. */
   get knowsAllTeams(): boolean {
     return this.#options.branches.completeTo > 0n;
   }
 
-  /** Peer addresses of the other entries, as now known. */
+  /** Currently known peer addresses of the other entries. */
   get peerAddresses(): string[] {
     return this.#peers();
   }
 
-  /** Time since the store confirmed what is held, here or at a peer that holds the same. */
+  /** Time since the store confirmed the local configuration, directly or through an equal peer. */
   get confirmedAgeMs(): number {
     return this.#freshness.confirmedAgeMs;
   }
 
   /**
-   * True once neither the store, nor a peer, nor an agent answered for `isolationLimitMs`. A process
-   * without store and peer in its settings is never isolated. Agents count, since whoever has a
-   * newer version gives it to them, and their answers carry it.
+   * Whether neither the store nor any peer or agent has answered for `isolationLimitMs`. A process
+   * configured without a store and peers is never isolated. Answers of agents count, since other
+   * entries push newer versions to agents, and an agent's answer lists them.
    */
   get isolated(): boolean {
     const { store, isolationLimitMs } = this.#options;
@@ -112,49 +112,49 @@
   }
 
   /**
-   * Answers another entry's digest; where the sets differ, asks that entry in turn.
+   * Answers the digest of another entry. If the sets differ, also pulls from that entry.
    *
-   * @param asked The other entry's digest.
-   * @returns Own digest.
+   * @param peerDigest The other entry's digest.
+   * @returns The local digest.
    */
-  answer(asked: VersionDigest): VersionDigest {
-    const reply = this.#gossip.answer(asked);
-    if (reply.hash !== asked.hash && asked.address !== "") {
-      void this.#pullFrom(asked.address);
+  answer(peerDigest: VersionDigest): VersionDigest {
+    const reply = this.#gossip.answer(peerDigest);
+    if (reply.hash !== peerDigest.hash && peerDigest.address !== "") {
+      void this.#pullFromPeer(peerDigest.address);
     }
     return reply;
   }
 
-  /** @returns What this process holds, without the list of versions. */
+  /** @returns A digest of the local branches, without the list of versions. */
   digest(): VersionDigest {
     return this.#gossip.digest();
   }
 
   /**
-   * Compares versions with one peer now and takes over what is newer there.
+   * Compares versions with a peer immediately and fetches the peer's newer branches.
    *
    * @param address The peer's address.
-   * @returns Whether it answered.
+   * @returns Whether the peer answered.
    */
   async exchangeWith(address: string): Promise<boolean> {
     const exchanged = await this.#gossip.exchangeWith(address);
-    if (exchanged.isOk && exchanged.value.informed) this.#noteReady("peer");
+    if (exchanged.isOk && exchanged.value.hasConfig) this.#markReady("peer");
     return exchanged.isOk;
   }
 
-  /** Compares versions with a few peers now, without waiting for the next round. */
+  /** Exchanges with `fanout` random peers immediately instead of waiting for the next round. */
   async exchangeNow(): Promise<void> {
     const { fanout, random } = this.#options;
-    const chosen = choose(this.#peers(), fanout, random);
-    await Promise.all(chosen.map((address) => this.exchangeWith(address)));
+    const sampled = sample(this.#peers(), fanout, random);
+    await Promise.all(sampled.map((address) => this.exchangeWith(address)));
   }
 
   /**
-   * Gives an agent branches that it lacks, with all known deletes; takes over what is newer there.
+   * Sends an agent its missing branches and all tombstones, then fetches its newer branches.
    *
-   * @param address The agent.
-   * @param teams Teams whose branches it lacks.
-   * @returns The agent's versions, or why it gave no answer.
+   * @param address The agent's address.
+   * @param teams Teams whose branches the agent is missing.
+   * @returns The agent's digest, or why the call failed.
    */
   async pushTo(
     address: string,
@@ -170,36 +170,36 @@
     }
     const reply = await peers.pushToAgent(address, pushed);
     if (reply.isErr) return reply;
-    this.#freshness.noteContact();
+    this.#freshness.recordContact();
     await this.#gossip.fetchNewer(
       reply.value.versions,
-      (lacking) => peers.fetchFromAgent(address, lacking),
+      (missing) => peers.fetchFromAgent(address, missing),
     );
     return reply;
   }
 
   /**
-   * Takes over what an agent has newer.
+   * Fetches and applies an agent's newer branches.
    *
-   * @param address The agent.
-   * @param teams Which teams; none: all.
-   * @returns How many branches came into force, or why the agent gave no answer.
+   * @param address The agent's address.
+   * @param teams The teams to fetch; an empty list fetches all teams.
+   * @returns The number of changes applied, or why the call failed.
    */
   async fetchFrom(
     address: string,
     teams: string[] = [],
   ): Promise<Result<number, CallFailure>> {
     const reply = await this.#options.peers.fetchFromAgent(address, teams);
-    if (reply.isOk) this.#freshness.noteContact();
-    return reply.map(({ branches }) => this.#gossip.take(branches));
+    if (reply.isOk) this.#freshness.recordContact();
+    return reply.map(({ branches }) => this.#gossip.applyReceived(branches));
   }
 
-  /** @returns State for a dump; it holds no keys. */
+  /** @returns The state for a state dump, without API keys. */
   state(): ConfigSyncState {
     return describeState({
       branches: this.#options.branches,
       freshness: this.#freshness,
-      book: this.book,
+      peerTable: this.book,
       follower: this.#follower,
       isolated: this.isolated,
       nowMs: this.#options.clock.nowMs(),
@@ -210,89 +210,93 @@
     const { lifecycle, clock, branches, maxStartMs } = this.#options;
     const follower = this.#follower;
     if (follower) lifecycle.task("config-store", (end) => follower.run(end));
-    lifecycle.task("config-seeds", (end) => this.#askSeeds(end));
-    lifecycle.task("config-gossip", (end) => this.#exchangeRounds(end));
+    lifecycle.task("config-seeds", (end) => this.#querySeeds(end));
+    lifecycle.task("config-gossip", (end) => this.#runExchangeRounds(end));
     const unsubscribe = branches.onChange(() => void this.#announce());
     lifecycle.own({ name: "config-announcements", close: unsubscribe });
     lifecycle.task("config-start", async (end) => {
       await clock.sleep(maxStartMs, end);
-      this.#noteReady("nobody");
+      this.#markReady("nobody");
     });
   }
 
-  /** Asks seeds until one of them, a peer or the store has answered. */
-  async #askSeeds(end: AbortSignal): Promise<void> {
+  /** Queries random seeds and peers until one of them or the store has given a useful answer. */
+  async #querySeeds(signal: AbortSignal): Promise<void> {
     const { clock, random, seedAddresses, address } = this.#options;
-    while (!end.aborted && !this.#answered) {
+    while (!signal.aborted && !this.#hasAnswer) {
       const seeds = new Set([...seedAddresses(), ...this.#peers()]);
       seeds.delete(address());
-      const chosen = choose([...seeds], SEEDS_AT_ONCE, random);
-      await Promise.all(chosen.map((seed) => this.#askSeed(seed)));
-      if (this.#answered) return;
-      await clock.sleep(SEED_RETRY_MS * (0.5 + random()), end);
+      const sampled = sample([...seeds], SEED_FANOUT, random);
+      await Promise.all(sampled.map((seed) => this.#querySeed(seed)));
+      if (this.#hasAnswer) return;
+      await clock.sleep(MEAN_SEED_RETRY_MS * (0.5 + random()), signal);
     }
   }
 
-  /** A seed is an entry or an agent; only asking tells. */
-  async #askSeed(address: string): Promise<void> {
+  /** Queries a seed as an entry; if it rejects the call, it is an agent and is queried as one. */
+  async #querySeed(address: string): Promise<void> {
     const exchanged = await this.#gossip.exchangeWith(address);
     if (exchanged.isOk) {
-      if (exchanged.value.informed) this.#noteReady("peer");
+      if (exchanged.value.hasConfig) this.#markReady("peer");
       return;
     }
     if (exchanged.error.kind !== "rejected") return;
     const fetched = await this.fetchFrom(address);
-    if (fetched.isOk && fetched.value > 0) this.#noteReady("agent");
+    if (fetched.isOk && fetched.value > 0) this.#markReady("agent");
   }
 
-  async #exchangeRounds(end: AbortSignal): Promise<void> {
+  /** Exchanges with random peers in periodic rounds and removes the records of stale peers. */
+  async #runExchangeRounds(signal: AbortSignal): Promise<void> {
     const { clock, random, exchangeIntervalMs } = this.#options;
-    while (!end.aborted) {
-      await clock.sleep(exchangeIntervalMs * (0.5 + random()), end);
-      if (end.aborted) return;
+    while (!signal.aborted) {
+      await clock.sleep(exchangeIntervalMs * (0.5 + random()), signal);
+      if (signal.aborted) return;
       await this.exchangeNow();
-      await this.#probe();
-      this.#forgetOldPeers(clock.nowMs() - PEER_MEMORY_MS);
+      await this.#probeConnectivity();
+      this.#removeStalePeers(clock.nowMs() - PEER_RETENTION_MS);
     }
   }
 
-  /** A quiet watch says nothing; before calling itself isolated, a process asks around. */
-  async #probe(): Promise<void> {
+  /**
+   * Queries the store, then some agents, if nothing has answered for half the isolation limit. A
+   * watch without events doesn't show whether the store is reachable.
+   */
+  async #probeConnectivity(): Promise<void> {
     const { store, isolationLimitMs, random, seedAddresses } = this.#options;
     if (this.#freshness.contactAgeMs < isolationLimitMs / 2) return;
     const probed = await store?.get(PROBE_KEY);
-    if (probed?.isOk) return this.#freshness.noteContact();
-    const agents = choose(seedAddresses(), PROBED_AGENTS, random);
+    if (probed?.isOk) return this.#freshness.recordContact();
+    const agents = sample(seedAddresses(), AGENTS_PER_PROBE, random);
     await Promise.all(agents.map((address) => this.pushTo(address, [])));
   }
 
-  #forgetOldPeers(beforeMs: number): void {
-    this.book.forgetUnseen(beforeMs);
-    for (const [address, atMs] of this.#pulledAtMs) {
-      if (atMs < beforeMs) this.#pulledAtMs.delete(address);
+  #removeStalePeers(beforeMs: number): void {
+    this.book.removeStale(beforeMs);
+    for (const [address, atMs] of this.#lastPullAtMs) {
+      if (atMs < beforeMs) this.#lastPullAtMs.delete(address);
     }
   }
 
-  /** Soon after changes, shows a few peers the new hash; they ask back if they lack something. */
+  /** Sends the new hash to a few peers shortly after a change; peers whose hash differs pull it. */
   async #announce(): Promise<void> {
     const { clock, lifecycle, random } = this.#options;
-    if (this.#announcing) return;
-    this.#announcing = true;
-    await clock.sleep(random() * ANNOUNCE_MS, lifecycle.signal);
-    this.#announcing = false;
+    if (this.#announcementPending) return;
+    this.#announcementPending = true;
+    await clock.sleep(random() * MAX_ANNOUNCE_DELAY_MS, lifecycle.signal);
+    this.#announcementPending = false;
     if (!lifecycle.stopping) await this.exchangeNow();
   }
 
-  /** Asks back whoever showed a different set, unless it was asked a moment ago. */
-  async #pullFrom(address: string): Promise<void> {
+  /** Pulls from a peer whose digest differs, at most once per {@link MIN_PULL_INTERVAL_MS}. */
+  async #pullFromPeer(address: string): Promise<void> {
     const { clock, lifecycle } = this.#options;
-    const lastMs = this.#pulledAtMs.get(address) ?? -Infinity;
-    if (this.#pulling.has(address) || lifecycle.stopping) return;
-    if (clock.nowMs() - lastMs < PULL_PAUSE_MS) return;
-    this.#pulling.add(address);
-    this.#pulledAtMs.set(address, clock.nowMs());
+    const lastMs = this.#lastPullAtMs.get(address) ?? -Infinity;
+    if (this.#activePulls.has(address) || lifecycle.stopping) return;
+    if (clock.nowMs() - lastMs < MIN_PULL_INTERVAL_MS) return;
+    this.#activePulls.add(address);
+    this.#lastPullAtMs.set(address, clock.nowMs());
     await this.exchangeWith(address);
-    this.#pulling.delete(address);
+    this.#activePulls.delete(address);
   }
 
   #peers(): string[] {
@@ -301,8 +305,8 @@
     return peerAddresses().filter((peer) => peer !== own);
   }
 
-  #noteReady(source: ReadyOutcome["source"]): void {
-    if (source !== "nobody") this.#answered = true;
+  #markReady(source: ReadyOutcome["source"]): void {
+    if (source !== "nobody") this.#hasAnswer = true;
     this.#resolveReady({ source });
   }
 }
--- a/src/config/sync_options.ts
+++ b/src/config/sync_options.ts
@@ -1,4 +1,4 @@
-/** Settings of the spread of configuration, and their defaults. */
+/** Settings of configuration synchronization, and their defaults. */
 import type { Clock, Lifecycle, Logger } from "../base/mod.ts";
 import type { KeyValueStore } from "../store/store.ts";
 import type { VersionDigest } from "../wire/gen/cicadahitch.ts";
@@ -13,42 +13,45 @@
 
 /** Settings of `ConfigSync`. */
 export interface ConfigSyncOptions {
-  /** The process's id; each start is told apart by a suffix of its own. */
+  /** The process's id; a random suffix distinguishes each start of the process. */
   processId: string;
-  /** Own peer address, as others reach it; called late, since a port may be chosen on start. */
+  /**
+   * Returns the process's own peer address, as others reach it. A function, since the port may be
+   * assigned only when the process starts to listen.
+   */
   address: () => string;
-  /** Undefined: no key-value service is configured. */
+  /** The key-value service; undefined if none is configured. */
   store: KeyValueStore | undefined;
   branches: BranchSet;
   peers: PeerCalls;
-  /** Peer addresses of the other entries, as now known. */
+  /** Returns the currently known peer addresses of the other entries. */
   peerAddresses: () => string[];
-  /** Entries and agents to ask on start. */
+  /** Returns the entries and agents to query at startup. */
   seedAddresses?: () => string[];
   lifecycle: Lifecycle;
   log: Logger;
   clock: Clock;
-  /** Returns 0 to 1; for jitter and the choice of peers. */
+  /** Returns a number from 0 to 1; used for jitter and the selection of peers. */
   random?: () => number;
-  /** `ready` resolves after this long, whoever answered, in ms. */
+  /** Time after which `ready` resolves even without an answer, in ms. */
   maxStartMs?: number;
-  /** Upper bound of the wait before the first call to the store, in ms. */
+  /** Maximum delay of the first call to the store, in ms. */
   startJitterMs?: number;
-  /** Mean time between rounds of exchanges, in ms. */
+  /** Mean interval between gossip rounds, in ms. */
   exchangeIntervalMs?: number;
-  /** Peers asked in a round. */
+  /** Number of peers contacted per gossip round. */
   fanout?: number;
-  /** Adds to what peers are told what other parts of the process have to say. */
+  /** Adds the data of other components to each outgoing digest. */
   extend?: (digest: VersionDigest) => VersionDigest;
-  /** Is given what peers tell. */
+  /** Called with each digest received from a peer. */
   hear?: (digest: VersionDigest) => void;
-  /** Without an answer from store, peer or agent for this long, the process is isolated, in ms. */
+  /** Time without any answer of store, peers or agents until the process is isolated, in ms. */
   isolationLimitMs?: number;
 }
 
 /**
- * @param options What differs from the defaults.
- * @returns All settings.
+ * @param options Required settings, and those that differ from the defaults.
+ * @returns The complete settings.
  */
 export function withDefaults(
   options: ConfigSyncOptions,
--- a/src/config/sync_state.ts
+++ b/src/config/sync_state.ts
@@ -1,27 +1,27 @@
-/** What a state dump shows of the spread of configuration; it holds no keys. */
+/** Configuration synchronization as shown in state dumps, without API keys. */
 import type { BranchSet } from "./branch_set.ts";
 import type { Freshness } from "./freshness.ts";
-import type { PeerBook } from "./peer_book.ts";
+import type { PeerTable } from "./peer_book.ts";
 import type { FollowerCounters, StoreFollower } from "./store_follower.ts";
 
 /** State of a {@link ConfigSync}. */
 export interface ConfigSyncState {
-  /** Every write up to this store revision is known. */
+  /** Store revision up to which all writes are known. */
   completeTo: string;
   confirmedAgeMs: number;
-  /** Since the store or a peer answered; undefined: never. */
+  /** Time since the store, a peer or an agent last answered; undefined if none ever did. */
   contactAgeMs: number | undefined;
   isolated: boolean;
   storeFailing: boolean;
   storeCalls: FollowerCounters | undefined;
-  /** Revision by team, deleted teams included. */
+  /** Revision by team, including deleted teams. */
   versions: Record<string, string>;
-  /** Teams held in a version that this process can't read. */
+  /** Teams whose newest known version this process can't read. */
   unreadTeams: string[];
   peers: PeerState[];
 }
 
-/** What is known of one peer. */
+/** State of a peer, as last reported by the peer. */
 export interface PeerState {
   processId: string;
   address: string;
@@ -29,22 +29,22 @@
   seenAgeMs: number;
 }
 
-/** Parts that {@link describeState} reads. */
+/** Components whose state {@link describeState} reads. */
 export interface StateSources {
   branches: BranchSet;
   freshness: Freshness;
-  book: PeerBook;
+  peerTable: PeerTable;
   follower: StoreFollower | undefined;
   isolated: boolean;
   nowMs: number;
 }
 
 /**
- * @param sources Parts of a sync.
- * @returns Their state.
+ * @param sources Components of a {@link ConfigSync}.
+ * @returns Their combined state.
  */
 export function describeState(sources: StateSources): ConfigSyncState {
-  const { branches, freshness, book, follower, isolated, nowMs } = sources;
+  const { branches, freshness, peerTable, follower, isolated, nowMs } = sources;
   const { contactAgeMs, confirmedAgeMs } = freshness;
   return {
     completeTo: String(branches.completeTo),
@@ -58,7 +58,7 @@
     ),
     unreadTeams: branches.all().filter(({ unread }) => unread)
       .map(({ team }) => team),
-    peers: book.all().map((peer) => ({
+    peers: peerTable.all().map((peer) => ({
       processId: peer.processId,
       address: peer.address,
       completeTo: String(peer.completeTo),
--- a/src/config/sync_test.ts
+++ b/src/config/sync_test.ts
@@ -7,12 +7,20 @@
 import { encodeBranch, teamKey } from "./stored_branch.ts";
 
 const BRANCH = { format: 1, classes: {}, workspaces: {} };
-const VALUE = encodeBranch(BRANCH);
-const HANG_MS = 60_000;
-const FAST = { startJitterMs: 0, exchangeIntervalMs: 20, maxStartMs: 60_000 };
+const STORED_VALUE = encodeBranch(BRANCH);
+const WAIT_TIMEOUT_MS = 60_000;
+const FAST_OPTIONS = {
+  startJitterMs: 0,
+  exchangeIntervalMs: 20,
+  maxStartMs: 60_000,
+};
 
 function put(store: MemoryStore, team: string): bigint {
-  const write = { kind: "put" as const, key: teamKey(team), value: VALUE };
+  const write = {
+    kind: "put" as const,
+    key: teamKey(team),
+    value: STORED_VALUE,
+  };
   return revisionOf(store.table.commit([], [write]));
 }
 
@@ -25,10 +33,13 @@
   return outcome.revision;
 }
 
-async function until(holds: () => boolean): Promise<void> {
-  const hungAtMs = performance.now() + HANG_MS;
-  while (!holds()) {
-    assert(performance.now() < hungAtMs, "Never came to hold");
+async function waitUntil(isMet: () => boolean): Promise<void> {
+  const timeoutAtMs = performance.now() + WAIT_TIMEOUT_MS;
+  while (!isMet()) {
+    assert(
+      performance.now() < timeoutAtMs,
+      "Condition was not met before the timeout",
+    );
     await systemClock.sleep(2);
   }
 }
@@ -40,7 +51,10 @@
 
 function setUp(sync = {}) {
   const store = MemoryStore.create({ progressMs: 10 });
-  const fleet = LocalFleet.create({ store, sync: { ...FAST, ...sync } });
+  const fleet = LocalFleet.create({
+    store,
+    sync: { ...FAST_OPTIONS, ...sync },
+  });
   return { store, fleet };
 }
 
@@ -48,36 +62,36 @@
   const { store, fleet } = setUp();
   const first = put(store, "a");
   const nodes = ["n1", "n2", "n3"].map((at) => fleet.start(at));
-  for (const node of nodes) await until(holds(node, "a", first));
+  for (const node of nodes) await waitUntil(holds(node, "a", first));
   const second = put(store, "a");
-  for (const node of nodes) await until(holds(node, "a", second));
+  for (const node of nodes) await waitUntil(holds(node, "a", second));
   remove(store, "a");
-  for (const node of nodes) await until(lacks(node, "a"));
+  for (const node of nodes) await waitUntil(lacks(node, "a"));
   await fleet.stopAll();
 });
 
-test("a node without the store learns from peers", async () => {
+test("a node without a store connection receives changes from peers", async () => {
   const { store, fleet } = setUp();
   const a = put(store, "a");
   put(store, "b");
   const near = fleet.start("near");
   const far = fleet.start("far");
-  await until(holds(far, "a", a));
+  await waitUntil(holds(far, "a", a));
   far.store.open = false;
   const second = put(store, "a");
   remove(store, "b");
-  await until(holds(far, "a", second));
-  await until(lacks(far, "b"));
-  await until(() => far.branches.completeTo >= second);
+  await waitUntil(holds(far, "a", second));
+  await waitUntil(lacks(far, "b"));
+  await waitUntil(() => far.branches.completeTo >= second);
   assert.equal(far.branches.hash, near.branches.hash);
   await fleet.stopAll();
 });
 
-test("a start during an outage takes a peer's word", async () => {
+test("a node that starts during a store outage gets branches from a peer", async () => {
   const { store, fleet } = setUp();
   const a = put(store, "a");
   const first = fleet.start("first");
-  await until(holds(first, "a", a));
+  await waitUntil(holds(first, "a", a));
   store.faults.down = true;
   const second = fleet.start("second");
   assert.deepEqual(await second.sync.ready, { source: "peer" });
@@ -86,11 +100,11 @@
   await fleet.stopAll();
 });
 
-test("a start without entries takes an agent's word", async () => {
+test("a node that starts without store and peers gets branches from an agent", async () => {
   const { store, fleet } = setUp();
   store.faults.down = true;
   const agent = BranchSet.create();
-  agent.apply({ team: "a", revision: 7n, json: Buffer.from(VALUE) });
+  agent.apply({ team: "a", revision: 7n, json: Buffer.from(STORED_VALUE) });
   fleet.agents.set("agent", agent);
   const node = fleet.start("node", { seedAddresses: () => ["agent"] });
   assert.deepEqual(await node.sync.ready, { source: "agent" });
@@ -99,7 +113,7 @@
   await fleet.stopAll();
 });
 
-test("a start with nobody waits no longer than set", async () => {
+test("a node that starts without any source waits at most maxStartMs", async () => {
   const { store, fleet } = setUp({ maxStartMs: 30 });
   store.faults.down = true;
   const node = fleet.start("node");
@@ -108,16 +122,16 @@
   await fleet.stopAll();
 });
 
-test("an agent gets branches with deletes, and gives newer", async () => {
+test("a push sends branches and deletions to an agent and fetches newer branches", async () => {
   const { store, fleet } = setUp();
   const a = put(store, "a");
   const gone = put(store, "gone");
   const node = fleet.start("node");
-  await until(holds(node, "a", a));
+  await waitUntil(holds(node, "a", a));
   remove(store, "gone");
-  await until(lacks(node, "gone"));
+  await waitUntil(lacks(node, "gone"));
   const agent = BranchSet.create();
-  const json = Buffer.from(VALUE);
+  const json = Buffer.from(STORED_VALUE);
   agent.apply({ team: "gone", revision: gone, json });
   agent.apply({ team: "b", revision: 99n, json });
   fleet.agents.set("agent", agent);
@@ -128,53 +142,53 @@
   await fleet.stopAll();
 });
 
-test("a compacted watch lists again", async () => {
+test("a compacted watch causes a new listing", async () => {
   const { store, fleet } = setUp();
   const a = put(store, "a");
   const b = put(store, "b");
   const node = fleet.start("node");
-  await until(holds(node, "a", a));
-  await until(holds(node, "b", b));
+  await waitUntil(holds(node, "a", a));
+  await waitUntil(holds(node, "b", b));
   node.store.open = false;
   remove(store, "a");
   const second = put(store, "b");
   store.table.compact(second);
   node.store.open = true;
-  await until(holds(node, "b", second));
+  await waitUntil(holds(node, "b", second));
   assert.equal(node.branches.get("a"), undefined);
   assert.equal(node.sync.state().storeCalls?.lists, 2);
   await fleet.stopAll();
 });
 
-test("a listing by a lagging store reverts nothing", async () => {
+test("a stale listing does not revert newer versions", async () => {
   const store = MemoryStore.create({ progressMs: 10 });
   put(store, "a");
   const old = await store.list(teamKey(""));
   const lagging = GatedStore.create(store);
   lagging.list = () => Promise.resolve(old);
-  const fleet = LocalFleet.create({ store: lagging, sync: FAST });
+  const fleet = LocalFleet.create({ store: lagging, sync: FAST_OPTIONS });
   const second = put(store, "a");
   const node = fleet.start("node");
   const seen: bigint[] = [];
   node.branches.onChange(({ revision }) => seen.push(revision));
-  await until(holds(node, "a", second));
+  await waitUntil(holds(node, "a", second));
   assert.deepEqual(seen, seen.toSorted((x, y) => Number(x - y)));
   await fleet.stopAll();
 });
 
-test("isolation: neither store nor peer for longer than the limit", async () => {
+test("a node without store and peers for longer than the limit is isolated", async () => {
   const { store, fleet } = setUp({ isolationLimitMs: 10_000 });
   const a = put(store, "a");
   let nowMs = 0;
   const clock = { ...systemClock, nowMs: () => nowMs };
   const node = fleet.start("node", { clock });
   const other = fleet.start("other");
-  await until(holds(node, "a", a));
+  await waitUntil(holds(node, "a", a));
   node.store.open = false;
-  await until(() => other.sync.book.get("node") !== undefined);
+  await waitUntil(() => other.sync.book.get("node") !== undefined);
   assert(!node.sync.isolated);
   nowMs += 10_001;
-  await until(() => !node.sync.isolated);
+  await waitUntil(() => !node.sync.isolated);
   fleet.cutOff.add("node");
   nowMs += 10_000;
   assert(!node.sync.isolated);
@@ -184,18 +198,18 @@
   assert(!other.sync.isolated);
   const second = put(store, "a");
   fleet.cutOff.delete("node");
-  await until(() => !node.sync.isolated);
-  await until(holds(node, "a", second));
+  await waitUntil(() => !node.sync.isolated);
+  await waitUntil(holds(node, "a", second));
   await fleet.stopAll();
 });
 
-test("the book says who has a version", async () => {
+test("the peer table tells whether a peer has a version", async () => {
   const { store, fleet } = setUp();
   const a = put(store, "a");
   const one = fleet.start("one");
   const two = fleet.start("two");
-  await until(holds(one, "a", a));
-  await until(holds(two, "a", a));
+  await waitUntil(holds(one, "a", a));
+  await waitUntil(holds(two, "a", a));
   await one.sync.exchangeWith("two");
   const record = one.sync.book.get("two");
   assert(record && one.sync.book.has(record, "a", a));
--- a/src/config/version_hash.ts
+++ b/src/config/version_hash.ts
@@ -1,12 +1,12 @@
-/** Hash of one branch version; combined by exclusive or, so that their order doesn't matter. */
+/** Hash of a branch version; hashes are combined by XOR, so the order doesn't matter. */
 import { createHash } from "node:crypto";
 import type { BranchVersion } from "../wire/gen/cicadahitch.ts";
 
 /**
- * @param version Team and revision.
- * @returns 64 bits of a SHA-256.
+ * @param version The team and the revision.
+ * @returns The first 64 bits of the SHA-256 of both.
  */
 export function hashVersion(version: BranchVersion): bigint {
-  const text = `${version.team}\n${version.revision}`;
-  return createHash("sha256").update(text).digest().readBigUInt64BE(0);
+  const input = `${version.team}\n${version.revision}`;
+  return createHash("sha256").update(input).digest().readBigUInt64BE(0);
 }
--- a/src/mod.ts
+++ b/src/mod.ts
@@ -1,4 +1,4 @@
-/** cicadahitch as a library: the daemons of the command line, and what they are set up with. */
+/** Public API of cicadahitch as a library: the daemons, the admin client, and their options. */
 export { Agent, type AgentOptions, type BackendServer } from "./agent/mod.ts";
 export {
   AdminClient,
