--- a/src/backends/_engine_stream.ts
+++ b/src/backends/_engine_stream.ts
@@ -1,13 +1,13 @@
-/** Reads a run's answer from the engine, event by event. */
+/** Parses the event stream with which an engine answers a run. */
 import { err, ok, type Result } from "true-myth/result";
 import { toCallFailure } from "./_http_call.ts";
 import { SseParser } from "./_sse.ts";
 import type { EngineFailure, EngineStep } from "./engine.ts";
 
 const DONE = Buffer.from("[DONE]");
-const ERROR_HEAD = Buffer.from(`{"error"`);
-/** Quotes inside a text are escaped, so these bytes stand for the field only. */
-const NO_CHOICES = Buffer.from(`"choices":[]`);
+const ERROR_PREFIX = Buffer.from(`{"error"`);
+/** Quotes inside JSON strings are escaped, so these bytes can match only the field itself. */
+const EMPTY_CHOICES = Buffer.from(`"choices":[]`);
 
 interface Usage {
   prompt_tokens?: number;
@@ -15,37 +15,37 @@
   prompt_tokens_details?: { cached_tokens?: number };
 }
 
-/** How a stream is read. */
+/** Options of {@link readEngineStream}. */
 export interface EngineStreamOptions {
-  /** False: the event that carries the usage alone is left out, as the caller did not ask. */
-  passesUsage: boolean;
+  /** False drops the event that carries only the usage, for callers that did not request it. */
+  forwardsUsage: boolean;
 }
 
 /**
- * @param body Body of the engine's answer.
- * @param options Whether the caller wants the usage.
- * @returns Its events; `end` only after the closing event, a failure for any other ending.
+ * @param body Body of the engine's HTTP response.
+ * @param options Whether to forward the usage event.
+ * @returns The steps of the run: `end` after the closing event, a failure on any other ending.
  */
 export async function* readEngineStream(
   body: AsyncIterable<Buffer>,
-  { passesUsage }: EngineStreamOptions,
+  { forwardsUsage }: EngineStreamOptions,
 ): AsyncGenerator<Result<EngineStep, EngineFailure>> {
   const parser = SseParser.create();
-  let last: Buffer | undefined;
+  let lastEvent: Buffer | undefined;
   try {
     for await (const chunk of body) {
       for (const data of parser.push(chunk)) {
-        if (isDone(data)) return yield ok(toEnd(last));
-        if (isError(data)) return yield err(broken(data.toString()));
-        last = data;
-        if (!passesUsage && data.includes(NO_CHOICES)) continue;
+        if (isDone(data)) return yield ok(toEndStep(lastEvent));
+        if (isError(data)) return yield err(toFailure(data.toString()));
+        lastEvent = data;
+        if (!forwardsUsage && data.includes(EMPTY_CHOICES)) continue;
         yield ok({ kind: "piece", data });
       }
     }
-    yield err(broken("The stream ended without its closing event"));
+    yield err(toFailure("The stream ended without its closing event"));
   } catch (error) {
-    // It was sent, so whatever the error says, it may have run.
-    yield err(broken(toCallFailure(error).message));
+    // The request was sent, so it may have run, whatever the error code says.
+    yield err(toFailure(toCallFailure(error).message));
   }
 }
 
@@ -54,13 +54,13 @@
 }
 
 function isError(data: Buffer): boolean {
-  return data.length > ERROR_HEAD.length &&
-    ERROR_HEAD.compare(data, 0, ERROR_HEAD.length) === 0;
+  return data.length > ERROR_PREFIX.length &&
+    ERROR_PREFIX.compare(data, 0, ERROR_PREFIX.length) === 0;
 }
 
-/** The last event before the closing one carries the usage. */
-function toEnd(last: Buffer | undefined): EngineStep {
-  const usage = last ? parseUsage(last) : {};
+/** Reads the token usage from the last event before the closing one. */
+function toEndStep(lastEvent: Buffer | undefined): EngineStep {
+  const usage = lastEvent ? parseUsage(lastEvent) : {};
   return {
     kind: "end",
     promptTokens: usage.prompt_tokens ?? 0,
@@ -78,6 +78,6 @@
   }
 }
 
-function broken(message: string): EngineFailure {
+function toFailure(message: string): EngineFailure {
   return { kind: "broken", message };
 }
--- a/src/backends/_http_call.ts
+++ b/src/backends/_http_call.ts
@@ -1,26 +1,26 @@
-/** What the HTTP adapters share: connections, and why a call failed. */
+/** Connection pools and failure classification, shared by the HTTP adapters. */
 import { Pool } from "undici";
 
-/** How far a failed call got. */
+/** A failed call, classified by whether the server may have executed it. */
 export type CallFailure =
-  /** Nothing was sent. */
+  /** The request was not sent. */
   | { kind: "unreachable"; message: string }
-  /** It may have been carried out. */
+  /** The request may have been executed. */
   | { kind: "broken"; message: string };
 
-/** Times of a pool of connections. */
+/** Timeouts of a connection pool; 0 disables `headMs` and `silenceMs`. */
 export interface HttpPoolOptions {
-  connectMs: number;
-  /** Longest wait for the head of an answer. */
+  connectTimeoutMs: number;
+  /** Timeout for the response headers. */
   headMs: number;
-  /** Longest wait between two parts of a body. */
+  /** Timeout between two chunks of the response body. */
   silenceMs: number;
 }
 
-/** Shorter than what servers usually allow, so that they do not close a connection in use. */
+/** Shorter than usual server timeouts, so that a server does not close a connection just reused. */
 const KEEP_ALIVE_MS = 2000;
 
-/** Codes of errors that come before the request is sent. */
+/** Codes of errors that occur before the request is sent. */
 const UNSENT_CODES: ReadonlySet<string> = new Set([
   "ECONNREFUSED",
   "EHOSTUNREACH",
@@ -33,13 +33,13 @@
 
 /**
  * @param url Base URL of the server.
- * @param options Times.
- * @returns Connections to the server, one for each call in flight.
+ * @param options Timeouts.
+ * @returns A pool with one connection per call in flight.
  */
 export function createPool(url: string, options: HttpPoolOptions): Pool {
   return new Pool(url, {
     pipelining: 1,
-    connect: { timeout: options.connectMs, noDelay: true },
+    connect: { timeout: options.connectTimeoutMs, noDelay: true },
     headersTimeout: options.headMs,
     bodyTimeout: options.silenceMs,
     keepAliveTimeout: KEEP_ALIVE_MS,
@@ -48,8 +48,8 @@
 }
 
 /**
- * @param error What a call threw.
- * @returns How far the call got.
+ * @param error Error that a call threw.
+ * @returns The failure and whether the request may have been executed.
  */
 export function toCallFailure(error: unknown): CallFailure {
   const message = error instanceof Error ? error.message : "The call failed";
--- a/src/backends/_lines.ts
+++ b/src/backends/_lines.ts
@@ -1,17 +1,19 @@
-/** Lines of text, cut from bytes. */
+/** Splits a byte stream into lines of text. */
 
 const LINE_FEED = 0x0a;
 
 /**
- * @param body Bytes in UTF-8.
- * @returns Its lines without their breaks; empty lines as well, a last line without a break not.
+ * @param body Chunks of UTF-8 text.
+ * @returns All lines without line feeds, including empty ones; drops an unterminated last line.
  */
 export async function* readLines(
   body: AsyncIterable<Buffer>,
 ): AsyncGenerator<string> {
-  let rest: Buffer = Buffer.alloc(0);
+  let partialLine: Buffer = Buffer.alloc(0);
   for await (const chunk of body) {
-    const bytes = rest.length === 0 ? chunk : Buffer.concat([rest, chunk]);
+    const bytes = partialLine.length === 0
+      ? chunk
+      : Buffer.concat([partialLine, chunk]);
     let start = 0;
     let end = bytes.indexOf(LINE_FEED, start);
     while (end >= 0) {
@@ -19,6 +21,6 @@
       start = end + 1;
       end = bytes.indexOf(LINE_FEED, start);
     }
-    rest = bytes.subarray(start);
+    partialLine = bytes.subarray(start);
   }
 }
--- a/src/backends/_sse.ts
+++ b/src/backends/_sse.ts
@@ -1,18 +1,18 @@
-/** Server-sent events, cut from bytes. */
+/** Parser for server-sent events. */
 
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
 const SPACE = 0x20;
 const DATA_FIELD = Buffer.from("data:");
-const NOTHING = Buffer.alloc(0);
+const EMPTY_BUFFER = Buffer.alloc(0);
 const LINE_BREAK = Buffer.from("\n");
 
-/** Cuts a stream of bytes into the data of its events. */
+/** Extracts the data of server-sent events from a byte stream that arrives in chunks. */
 export class SseParser {
-  /** Start of a line whose end has not come yet. */
-  #rest: Buffer = NOTHING;
-  /** Data of the event that has not ended yet. */
-  #data: Buffer | undefined;
+  /** Bytes of the last line, whose line feed has not arrived yet. */
+  #partialLine: Buffer = EMPTY_BUFFER;
+  /** Data of the current event; absent until its first data field. */
+  #eventData: Buffer | undefined;
 
   private constructor() {}
 
@@ -22,45 +22,45 @@
   }
 
   /**
-   * @param chunk Next bytes of the stream.
-   * @returns Data of the events that end in it.
+   * @param chunk Next chunk of the stream.
+   * @returns Data of all events that this chunk completes.
    */
   push(chunk: Buffer): Buffer[] {
-    const bytes = this.#rest.length === 0
+    const bytes = this.#partialLine.length === 0
       ? chunk
-      : Buffer.concat([this.#rest, chunk]);
+      : Buffer.concat([this.#partialLine, chunk]);
     const events: Buffer[] = [];
     let start = 0;
     let end = bytes.indexOf(LINE_FEED, start);
     while (end >= 0) {
-      this.#line(withoutReturn(bytes, start, end), events);
+      this.#parseLine(trimCarriageReturn(bytes, start, end), events);
       start = end + 1;
       end = bytes.indexOf(LINE_FEED, start);
     }
-    this.#rest = bytes.subarray(start);
+    this.#partialLine = bytes.subarray(start);
     return events;
   }
 
-  #line(line: Buffer, events: Buffer[]): void {
+  #parseLine(line: Buffer, events: Buffer[]): void {
     if (line.length === 0) {
-      if (this.#data) events.push(this.#data);
-      this.#data = undefined;
+      if (this.#eventData) events.push(this.#eventData);
+      this.#eventData = undefined;
       return;
     }
-    if (!isData(line)) return;
+    if (!isDataField(line)) return;
     const value = fieldValue(line);
-    this.#data = this.#data
-      ? Buffer.concat([this.#data, LINE_BREAK, value])
+    this.#eventData = this.#eventData
+      ? Buffer.concat([this.#eventData, LINE_BREAK, value])
       : value;
   }
 }
 
-function withoutReturn(bytes: Buffer, start: number, end: number): Buffer {
+function trimCarriageReturn(bytes: Buffer, start: number, end: number): Buffer {
   const hasReturn = end > start && bytes[end - 1] === CARRIAGE_RETURN;
   return bytes.subarray(start, hasReturn ? end - 1 : end);
 }
 
-function isData(line: Buffer): boolean {
+function isDataField(line: Buffer): boolean {
   const { length } = DATA_FIELD;
   return line.length >= length &&
     DATA_FIELD.compare(line, 0, length) === 0;
--- a/src/backends/engine.ts
+++ b/src/backends/engine.ts
@@ -1,38 +1,39 @@
 /**
- * A model engine as the agent beside it meets it. The adapter is `http_engine.ts`; see
- * docs/INTERFACES.md for the wire form.
+ * Interface of a model engine as its agent uses it. `http_engine.ts` implements it; see
+ * docs/INTERFACES.md for the wire format.
  */
 import type { Result } from "true-myth/result";
 
-/** Why an engine did not do what was asked. */
+/** Reason why a call to an engine failed. */
 export type EngineFailure =
   /** The connection was refused, so the request never reached the engine. */
   | { kind: "unreachable"; message: string }
   /** The engine answered with an error status and did not run the request. */
   | { kind: "rejected"; status: number; body: string }
-  /** The connection broke or went silent after the request was sent. */
+  /** The connection broke or timed out after the request was sent. */
   | { kind: "broken"; message: string }
-  /** The engine refused an old fencing number. */
+  /** The engine rejected the order because it has seen a higher fencing number. */
   | { kind: "fenced"; highestFencingNumber: bigint };
 
-/** A request as passed to the engine. */
+/** A request to the engine. */
 export interface EngineCall {
   requestId: string;
   api: "chat" | "text";
-  /** The caller's body, parsed; the adapter sets `stream`, `priority` and `cache_salt`. */
+  /** The caller's parsed body; the adapter sets `stream`, `priority` and `cache_salt`. */
   body: Record<string, unknown>;
-  /** Lower runs first. */
+  /** A lower number runs first. */
   priority: number;
-  /** Keeps workspaces apart in the engine's own cache. */
+  /** Isolates workspaces from each other in the engine's prefix cache. */
   cacheSalt: string;
-  /** The only weights that may answer; empty or left out: those loaded last. */
+  /** Required weights version; if empty or absent, the engine uses the weights loaded last. */
   weightsVersion?: string;
 }
 
-/** One thing that an engine says during a run. */
+/** A part of an engine's response stream. */
 export type EngineStep =
-  /** A server-sent event's data, unchanged, without the closing `[DONE]`. */
+  /** Unchanged data of a server-sent event; never the closing `[DONE]`. */
   | { kind: "piece"; data: Uint8Array }
+  /** The response is complete. */
   | {
     kind: "end";
     promptTokens: number;
@@ -40,9 +41,9 @@
     cachedTokens: number;
   };
 
-/** What the engine says about itself. */
+/** Identity and configuration that the engine reports. */
 export interface EngineInfo {
-  /** Changes whenever the engine starts anew, with an empty cache. */
+  /** Changes each time the engine restarts; a restart empties its cache. */
   incarnation: string;
   models: LoadedModel[];
   blockBytes: number;
@@ -52,40 +53,40 @@
   decodeMsPerToken: number;
 }
 
-/** A model, with adapter and weights version, that the engine serves. */
+/** A model that the engine has loaded, with adapter and weights version. */
 export interface LoadedModel {
   model: string;
   adapter: string;
   weightsVersion: string;
 }
 
-/** A report of load; it lags by `ageMs`. */
+/** A load report; its values are `ageMs` old. */
 export interface EngineLoad {
   incarnation: string;
   running: number;
   waiting: number;
-  /** Tokens still to prefill for requests waiting and running. */
+  /** Prompt tokens not yet prefilled, over waiting and running requests. */
   prefillTokensQueued: number;
   ageMs: number;
 }
 
-/** A cache event. `blockKey` values are the engine's own. */
+/** A cache event; the engine chooses the `blockKey` values. */
 export type CacheEvent =
   | {
     kind: "stored";
     seq: number;
     blockKey: string;
-    /** Empty for a first block. */
+    /** Key of the preceding block of the prefix; empty for the first block. */
     parentKey: string;
     cacheSalt: string;
     model: LoadedModel;
-    /** The block's text, `blockBytes` of UTF-8. */
+    /** Text of the block: `blockBytes` bytes of UTF-8. */
     content: string;
   }
   | { kind: "removed"; seq: number; blockKey: string }
   | { kind: "cleared"; seq: number };
 
-/** A step of the event feed. */
+/** A snapshot of the engine's cache, or one event of its cache event feed. */
 export type CacheFeedStep =
   | {
     kind: "snapshot";
@@ -95,7 +96,7 @@
   }
   | { kind: "event"; incarnation: string; event: CacheEvent };
 
-/** An order to the engine, with the fencing number of the lease under which it was decided. */
+/** An order to the engine, with the fencing number of the lease under which it was issued. */
 export interface EngineOrder {
   fencingNumber: bigint;
   order:
@@ -104,20 +105,20 @@
     | { kind: "role"; role: string };
 }
 
-/** Queries and commands of a model engine. */
+/** A model engine. */
 export interface Engine {
   info(): Promise<Result<EngineInfo, EngineFailure>>;
   load(): Promise<Result<EngineLoad, EngineFailure>>;
-  /** Runs a request; aborting the signal cancels it in the engine. */
+  /** Runs a request; aborting the signal cancels the run in the engine. */
   run(
     call: EngineCall,
     signal: AbortSignal,
   ): AsyncIterable<Result<EngineStep, EngineFailure>>;
-  /** Current blocks, to start the picture anew. */
+  /** Returns all blocks currently cached, to rebuild a view of the cache. */
   cacheSnapshot(): Promise<
     Result<Extract<CacheFeedStep, { kind: "snapshot" }>, EngineFailure>
   >;
-  /** Events from `sinceSeq`; sequence numbers may jump where entries were lost. */
+  /** Streams events from `sinceSeq`; a gap in sequence numbers means that events were lost. */
   cacheEvents(
     sinceSeq: number,
     signal: AbortSignal,
--- a/src/backends/http_engine.ts
+++ b/src/backends/http_engine.ts
@@ -1,4 +1,4 @@
-/** A model engine over its OpenAI-compatible HTTP interface; see docs/INTERFACES.md. */
+/** Client of a model engine's OpenAI-compatible HTTP interface; see docs/INTERFACES.md. */
 import { err, ok, type Result } from "true-myth/result";
 import type { Dispatcher, Pool } from "undici";
 import { readEngineStream } from "./_engine_stream.ts";
@@ -16,32 +16,32 @@
   EngineStep,
 } from "./engine.ts";
 
-/** Settings of an {@link HttpEngine}. */
+/** Options of {@link HttpEngine}. */
 export interface HttpEngineOptions {
   /** Base URL, such as `http://127.0.0.1:8000`. */
   url: string;
-  connectMs: number;
-  /** Longest wait for the head of a run's answer; engines may queue a request that long. */
+  connectTimeoutMs: number;
+  /** Timeout for the response headers of a run, including its time in the engine's queue. */
   headMs: number;
-  /** A run whose answer makes no progress for this long is broken. */
+  /** Timeout between two chunks of a run's response; on expiry the run fails as `broken`. */
   silenceMs: number;
-  /** An event feed without any line for this long is broken. */
-  feedSilenceMs: number;
-  /** Deadline of queries and orders. */
-  callMs: number;
-  /** Deadline of an order to load a model. */
-  loadMs: number;
+  /** Timeout between two lines of the cache event feed; on expiry the feed fails as `broken`. */
+  feedTimeoutMs: number;
+  /** Timeout for queries and orders. */
+  callTimeoutMs: number;
+  /** Timeout for an order to load a model. */
+  loadTimeoutMs: number;
 }
 
 type Snapshot = Extract<CacheFeedStep, { kind: "snapshot" }>;
 
 const DEFAULT_OPTIONS = {
-  connectMs: 1000,
+  connectTimeoutMs: 1000,
   headMs: 60_000,
   silenceMs: 20_000,
-  feedSilenceMs: 5000,
-  callMs: 5000,
-  loadMs: 1_800_000,
+  feedTimeoutMs: 5000,
+  callTimeoutMs: 5000,
+  loadTimeoutMs: 1_800_000,
 };
 
 const API_PATHS = {
@@ -53,7 +53,7 @@
 const STATUS_CONFLICT = 409;
 const JSON_HEADERS = { "content-type": "application/json" };
 
-/** {@link Engine} over HTTP. */
+/** Implements {@link Engine} over HTTP. */
 export class HttpEngine implements Engine {
   readonly #options: HttpEngineOptions;
   readonly #pool: Pool;
@@ -64,8 +64,8 @@
   }
 
   /**
-   * @param options URL, and settings that differ from the defaults.
-   * @returns An adapter that connects when it is first used.
+   * @param options URL, and options that override the defaults.
+   * @returns An adapter that connects on its first call.
    */
   static create(
     options: Partial<HttpEngineOptions> & { url: string },
@@ -85,20 +85,20 @@
     call: EngineCall,
     signal: AbortSignal,
   ): AsyncGenerator<Result<EngineStep, EngineFailure>> {
-    const stop = new AbortController();
+    const abortController = new AbortController();
     const answer = await this.#send({
       method: "POST",
       path: API_PATHS[call.api],
       headers: { ...JSON_HEADERS, "x-request-id": call.requestId },
       body: JSON.stringify(toEngineBody(call)),
-      signal: AbortSignal.any([signal, stop.signal]),
+      signal: AbortSignal.any([signal, abortController.signal]),
     });
     if (answer.isErr) return yield err(answer.error);
     const { statusCode, body } = answer.value;
     if (statusCode !== STATUS_OK) {
       return yield err(await toRejection(statusCode, body));
     }
-    const options = { passesUsage: wantsUsage(call.body) };
+    const options = { forwardsUsage: wantsUsage(call.body) };
     let isComplete = false;
     try {
       const chunks = body.iterator({ destroyOnReturn: false });
@@ -107,9 +107,9 @@
         yield step;
       }
     } finally {
-      // A reader that leaves early cancels the run; else the connection is used again.
+      // After a complete response the connection is reused; any other exit cancels the run.
       if (isComplete) body.dump().catch(() => {});
-      else stop.abort();
+      else abortController.abort();
     }
   }
 
@@ -125,8 +125,8 @@
     const answer = await this.#send({
       method: "GET",
       path: `/cache_events?since=${sinceSeq}`,
-      bodyTimeout: this.#options.feedSilenceMs,
-      headersTimeout: this.#options.callMs,
+      bodyTimeout: this.#options.feedTimeoutMs,
+      headersTimeout: this.#options.callTimeoutMs,
       signal,
     });
     if (answer.isErr) return yield err(answer.error);
@@ -134,7 +134,7 @@
     if (statusCode !== STATUS_OK) {
       return yield err(await toRejection(statusCode, body));
     }
-    yield* readFeed(body);
+    yield* readEventFeed(body);
   }
 
   async exportCache(
@@ -153,10 +153,12 @@
 
   async order(order: EngineOrder): Promise<Result<void, EngineFailure>> {
     const { path, body } = toOrderRequest(order);
-    const { loadMs, callMs } = this.#options;
-    const timeoutMs = order.order.kind === "load" ? loadMs : callMs;
+    const { loadTimeoutMs, callTimeoutMs } = this.#options;
+    const timeoutMs = order.order.kind === "load"
+      ? loadTimeoutMs
+      : callTimeoutMs;
     const answer = await this.#command(path, JSON.stringify(body), timeoutMs);
-    return answer.map(() => undefined).mapErr(toFenced);
+    return answer.map(() => undefined).mapErr(toFencedFailure);
   }
 
   close(): void {
@@ -171,7 +173,7 @@
   #command(
     path: string,
     body: string | Uint8Array,
-    timeoutMs = this.#options.callMs,
+    timeoutMs = this.#options.callTimeoutMs,
   ): Promise<Result<Buffer, EngineFailure>> {
     const headers = JSON_HEADERS;
     const headersTimeout = timeoutMs;
@@ -184,7 +186,7 @@
 
   async #call(
     request: Dispatcher.RequestOptions,
-    timeoutMs = this.#options.callMs,
+    timeoutMs = this.#options.callTimeoutMs,
   ): Promise<Result<Buffer, EngineFailure>> {
     const signal = AbortSignal.timeout(timeoutMs);
     const answer = await this.#send({ ...request, signal });
@@ -242,7 +244,7 @@
   }
 }
 
-function toFenced(failure: EngineFailure): EngineFailure {
+function toFencedFailure(failure: EngineFailure): EngineFailure {
   if (failure.kind !== "rejected" || failure.status !== STATUS_CONFLICT) {
     return failure;
   }
@@ -272,8 +274,8 @@
   }
 }
 
-/** The first line names the incarnation; each later one is an event, or empty. */
-async function* readFeed(
+/** Reads the incarnation from the first line and an event from every other non-empty line. */
+async function* readEventFeed(
   body: AsyncIterable<Buffer>,
 ): AsyncGenerator<Result<CacheFeedStep, EngineFailure>> {
   let incarnation: string | undefined;
--- a/src/backends/http_engine_test.ts
+++ b/src/backends/http_engine_test.ts
@@ -7,20 +7,20 @@
 } from "../standin/mod.ts";
 import { type EngineCall, type EngineFailure, HttpEngine } from "./mod.ts";
 
-const LONG_MS = 20_000;
-/** For tests that wait for it. */
-const SHORT_MS = 200;
+const LONG_TIMEOUT_MS = 20_000;
+/** Timeout for tests that wait until it expires. */
+const SHORT_TIMEOUT_MS = 200;
 
-async function open(
+async function openEngine(
   options: Partial<StandinEngineOptions> = {},
-  silenceMs = LONG_MS,
+  silenceMs = LONG_TIMEOUT_MS,
 ) {
   const engine = await StandinEngine.create({ blockBytes: 32, ...options });
   const { url } = engine;
   const adapter = HttpEngine.create({
     url,
     silenceMs,
-    feedSilenceMs: silenceMs,
+    feedTimeoutMs: silenceMs,
   });
   const close = async () => {
     adapter.close();
@@ -35,7 +35,7 @@
   return { requestId, api: "chat", body, priority: 0, cacheSalt: "salon" };
 }
 
-async function collect(adapter: HttpEngine, call: EngineCall) {
+async function collectRun(adapter: HttpEngine, call: EngineCall) {
   const { signal } = new AbortController();
   const failures: EngineFailure[] = [];
   let text = "";
@@ -53,18 +53,18 @@
   return choices[0]?.delta?.content ?? choices[0]?.text ?? "";
 }
 
-test("run gives the whole answer", async () => {
-  const { adapter, close } = await open();
+test("run returns the complete response", async () => {
+  const { adapter, close } = await openEngine();
   const call = chat("r1");
-  const { text, isEnded, failures } = await collect(adapter, call);
+  const { text, isEnded, failures } = await collectRun(adapter, call);
   assert.equal(text, expectedAnswerTo("chat", call.body));
   assert.equal(isEnded, true);
   assert.deepEqual(failures, []);
   await close();
 });
 
-test("usage event comes only where the body asks", async () => {
-  const { adapter, close } = await open();
+test("the usage event is forwarded only if the body requests it", async () => {
+  const { adapter, close } = await openEngine();
   for (const include_usage of [true, false]) {
     const call = chat(`usage-${include_usage}`);
     call.body["stream_options"] = { include_usage };
@@ -79,36 +79,36 @@
   await close();
 });
 
-test("text interface gives the whole answer", async () => {
-  const { adapter, close } = await open();
+test("the text completion interface returns the complete response", async () => {
+  const { adapter, close } = await openEngine();
   const body = { model: "notes", prompt: "Permit 7", max_tokens: 3 };
   const call: EngineCall = { ...chat("r1"), api: "text", body };
-  const { text, isEnded } = await collect(adapter, call);
+  const { text, isEnded } = await collectRun(adapter, call);
   assert.equal(text, expectedAnswerTo("text", body));
   assert.equal(isEnded, true);
   await close();
 });
 
-test("stream that is cut short is broken", async () => {
-  const { engine, adapter, close } = await open();
+test("a truncated stream fails as broken", async () => {
+  const { engine, adapter, close } = await openEngine();
   await engine.setFaults({ cutAfterPieces: 3 });
-  const { isEnded, failures } = await collect(adapter, chat("r1"));
+  const { isEnded, failures } = await collectRun(adapter, chat("r1"));
   assert.equal(isEnded, false);
   assert.deepEqual(failures.map(({ kind }) => kind), ["broken"]);
   await close();
 });
 
-test("stream that stalls is broken", async () => {
-  const { engine, adapter, close } = await open({}, SHORT_MS);
+test("a stalled stream fails as broken", async () => {
+  const { engine, adapter, close } = await openEngine({}, SHORT_TIMEOUT_MS);
   await engine.setFaults({ stallAfterPieces: 3 });
-  const { isEnded, failures } = await collect(adapter, chat("r1"));
+  const { isEnded, failures } = await collectRun(adapter, chat("r1"));
   assert.equal(isEnded, false);
   assert.deepEqual(failures.map(({ kind }) => kind), ["broken"]);
   await close();
 });
 
-test("crash breaks a run", async () => {
-  const { engine, adapter, close } = await open({ decodeMsPerToken: 50 });
+test("a run fails as broken when the engine crashes", async () => {
+  const { engine, adapter, close } = await openEngine({ decodeMsPerToken: 50 });
   const { signal } = new AbortController();
   const kinds: string[] = [];
   for await (const step of adapter.run(chat("r1"), signal)) {
@@ -119,30 +119,30 @@
   await close();
 });
 
-test("engine that is down is unreachable", async () => {
-  const { engine, adapter, close } = await open();
+test("an engine that is down is unreachable", async () => {
+  const { engine, adapter, close } = await openEngine();
   await engine.down();
-  const { failures } = await collect(adapter, chat("r1"));
+  const { failures } = await collectRun(adapter, chat("r1"));
   assert.deepEqual(failures.map(({ kind }) => kind), ["unreachable"]);
   await engine.up();
-  const { isEnded } = await collect(adapter, chat("r2"));
+  const { isEnded } = await collectRun(adapter, chat("r2"));
   assert.equal(isEnded, true);
   assert.deepEqual(engine.executions.map((run) => run.requestId), ["r2"]);
   await close();
 });
 
-test("refused run was not run", async () => {
-  const { engine, adapter, close } = await open();
+test("a rejected run is not executed", async () => {
+  const { engine, adapter, close } = await openEngine();
   await engine.setFaults({ rejectNext: 1 });
-  const { failures } = await collect(adapter, chat("r1"));
+  const { failures } = await collectRun(adapter, chat("r1"));
   assert.ok(failures[0]?.kind === "rejected");
   assert.equal(failures[0].status, 503);
   assert.deepEqual(engine.executions, []);
   await close();
 });
 
-test("abort cancels the run in the engine", async () => {
-  const { engine, adapter, close } = await open({
+test("aborting the signal cancels the run in the engine", async () => {
+  const { engine, adapter, close } = await openEngine({
     maxRunning: 1,
     decodeMsPerToken: 20,
   });
@@ -150,15 +150,15 @@
   for await (const step of adapter.run(chat("r1", 1_000_000), stop.signal)) {
     if (step.isOk) stop.abort();
   }
-  const { isEnded } = await collect(adapter, chat("r2"));
+  const { isEnded } = await collectRun(adapter, chat("r2"));
   assert.equal(isEnded, true);
   assert.deepEqual(engine.executions.map((run) => run.requestId), ["r1", "r2"]);
   await close();
 });
 
-test("old fencing number is refused where the engine checks", async () => {
+test("an old fencing number is refused if the engine enforces fencing", async () => {
   for (const enforceFencing of [true, false]) {
-    const { engine, adapter, close } = await open({ enforceFencing });
+    const { engine, adapter, close } = await openEngine({ enforceFencing });
     const order = { kind: "role", role: "prefill" } as const;
     const newer = await adapter.order({ fencingNumber: 5n, order });
     const older = await adapter.order({ fencingNumber: 4n, order });
@@ -171,12 +171,12 @@
   }
 });
 
-test("event feed shows stored blocks, gaps and the crash", async () => {
-  const { engine, adapter, close } = await open();
+test("the event feed reports stored blocks, gaps and a crash", async () => {
+  const { engine, adapter, close } = await openEngine();
   await engine.setFaults({ loseEvents: 1 });
   const prompt = "x".repeat(100);
   const body = { model: "notes", prompt, max_tokens: 1 };
-  await collect(adapter, { ...chat("r1"), api: "text", body });
+  await collectRun(adapter, { ...chat("r1"), api: "text", body });
   const { incarnation } = engine;
   const { signal } = new AbortController();
   const seen: string[] = [];
@@ -194,8 +194,11 @@
   await close();
 });
 
-test("event feed that says nothing is broken", async () => {
-  const { adapter, close } = await open({ heartbeatMs: 60_000 }, SHORT_MS);
+test("a silent event feed fails as broken", async () => {
+  const { adapter, close } = await openEngine(
+    { heartbeatMs: 60_000 },
+    SHORT_TIMEOUT_MS,
+  );
   const { signal } = new AbortController();
   const seen: string[] = [];
   for await (const step of adapter.cacheEvents(1, signal)) {
--- a/src/backends/http_instance_list.ts
+++ b/src/backends/http_instance_list.ts
@@ -1,4 +1,4 @@
-/** The platform's list of instances over HTTP. */
+/** HTTP client of the platform's instance list. */
 import { err, ok, type Result } from "true-myth/result";
 import type { Pool } from "undici";
 import { createPool, toCallFailure } from "./_http_call.ts";
@@ -8,37 +8,37 @@
   InstanceListFailure,
 } from "./instances.ts";
 
-/** Settings of an {@link HttpInstanceList}. */
+/** Options of {@link HttpInstanceList}. */
 export interface HttpInstanceListOptions {
-  /** Base URL of the platform's list. */
+  /** Base URL of the instance list. */
   url: string;
-  connectMs: number;
-  /** Deadline of a call, beyond the time that it may wait for changes. */
-  callMs: number;
+  connectTimeoutMs: number;
+  /** Timeout for a call, added to the time that the call may wait for changes. */
+  callTimeoutMs: number;
 }
 
-const DEFAULT_OPTIONS = { connectMs: 1000, callMs: 3000 };
+const DEFAULT_OPTIONS = { connectTimeoutMs: 1000, callTimeoutMs: 3000 };
 const STATUS_OK = 200;
 
-/** {@link InstanceList} over HTTP. */
+/** Implements {@link InstanceList} over HTTP. */
 export class HttpInstanceList implements InstanceList {
   readonly #options: HttpInstanceListOptions;
   readonly #pool: Pool;
 
   private constructor(options: HttpInstanceListOptions) {
     this.#options = options;
-    // The deadline of each call bounds all of it.
-    const { connectMs } = options;
+    // The pool has no header and body timeouts: each call has a timeout for its whole duration.
+    const { connectTimeoutMs } = options;
     this.#pool = createPool(options.url, {
-      connectMs,
+      connectTimeoutMs,
       headMs: 0,
       silenceMs: 0,
     });
   }
 
   /**
-   * @param options URL, and settings that differ from the defaults.
-   * @returns An adapter that connects when it is first used.
+   * @param options URL, and options that override the defaults.
+   * @returns An adapter that connects on its first call.
    */
   static create(
     options: Partial<HttpInstanceListOptions> & { url: string },
@@ -51,16 +51,16 @@
     waitMs: number,
     signal: AbortSignal,
   ): Promise<Result<InstanceChanges, InstanceListFailure>> {
-    const stop = new AbortController();
-    const abort = () => stop.abort();
-    const timer = setTimeout(abort, waitMs + this.#options.callMs);
+    const abortController = new AbortController();
+    const abort = () => abortController.abort();
+    const timer = setTimeout(abort, waitMs + this.#options.callTimeoutMs);
     signal.addEventListener("abort", abort, { once: true });
     if (signal.aborted) abort();
     const path = `/v1/instances?since=${sinceRevision}&waitMs=${waitMs}`;
     try {
-      return await this.#query(path, stop.signal);
+      return await this.#query(path, abortController.signal);
     } catch (error) {
-      return unavailable(toCallFailure(error).message);
+      return toUnavailable(toCallFailure(error).message);
     } finally {
       clearTimeout(timer);
       signal.removeEventListener("abort", abort);
@@ -78,12 +78,12 @@
     const request = { method: "GET", path, signal } as const;
     const { statusCode, body } = await this.#pool.request(request);
     const text = await body.text();
-    if (statusCode !== STATUS_OK) return unavailable(`Status ${statusCode}`);
+    if (statusCode !== STATUS_OK) return toUnavailable(`Status ${statusCode}`);
     return ok(JSON.parse(text) as InstanceChanges);
   }
 }
 
-function unavailable(
+function toUnavailable(
   message: string,
 ): Result<InstanceChanges, InstanceListFailure> {
   return err({ kind: "unavailable", message });
--- a/src/backends/http_service.ts
+++ b/src/backends/http_service.ts
@@ -1,4 +1,4 @@
-/** A plain service over HTTP. */
+/** HTTP client of a plain service. */
 import { err, ok, type Result } from "true-myth/result";
 import type { Dispatcher, Pool } from "undici";
 import { createPool, toCallFailure } from "./_http_call.ts";
@@ -10,25 +10,25 @@
   ServiceStep,
 } from "./service.ts";
 
-/** Settings of an {@link HttpService}. */
+/** Options of {@link HttpService}. */
 export interface HttpServiceOptions {
   /** Base URL, such as `http://127.0.0.1:8080`. */
   url: string;
-  connectMs: number;
-  /** Longest wait for the head of an answer. */
+  connectTimeoutMs: number;
+  /** Timeout for the response headers. */
   headMs: number;
-  /** An answer that makes no progress for this long is broken. */
+  /** Timeout between two chunks of the response body; on expiry the call fails as `broken`. */
   silenceMs: number;
 }
 
 const DEFAULT_OPTIONS = {
-  connectMs: 1000,
+  connectTimeoutMs: 1000,
   headMs: 30_000,
   silenceMs: 20_000,
 };
 
-/** Fields that concern one connection only. */
-const CONNECTION_FIELDS: ReadonlySet<string> = new Set([
+/** Headers that apply to a single connection and are therefore not forwarded. */
+const UNFORWARDED_HEADERS: ReadonlySet<string> = new Set([
   "connection",
   "keep-alive",
   "proxy-authenticate",
@@ -43,7 +43,7 @@
   "content-length",
 ]);
 
-/** {@link PlainService} over HTTP. */
+/** Implements {@link PlainService} over HTTP. */
 export class HttpService implements PlainService {
   readonly #pool: Pool;
 
@@ -52,8 +52,8 @@
   }
 
   /**
-   * @param options URL, and settings that differ from the defaults.
-   * @returns An adapter that connects when it is first used.
+   * @param options URL, and options that override the defaults.
+   * @returns An adapter that connects on its first call.
    */
   static create(
     options: Partial<HttpServiceOptions> & { url: string },
@@ -65,9 +65,9 @@
     call: ServiceCall,
     signal: AbortSignal,
   ): AsyncGenerator<Result<ServiceStep, ServiceFailure>> {
-    const stop = new AbortController();
-    const signals = AbortSignal.any([signal, stop.signal]);
-    const answer = await this.#send(call, signals);
+    const abortController = new AbortController();
+    const combinedSignal = AbortSignal.any([signal, abortController.signal]);
+    const answer = await this.#send(call, combinedSignal);
     if (answer.isErr) return yield err(answer.error);
     const { statusCode, headers, body } = answer.value;
     try {
@@ -83,7 +83,7 @@
     } catch (error) {
       yield err({ kind: "broken", message: toCallFailure(error).message });
     } finally {
-      stop.abort();
+      abortController.abort();
     }
   }
 
@@ -112,7 +112,7 @@
 
 function toRequestHeaders(fields: HeaderField[]): string[] {
   return fields
-    .filter(({ name }) => !CONNECTION_FIELDS.has(name.toLowerCase()))
+    .filter(({ name }) => !UNFORWARDED_HEADERS.has(name.toLowerCase()))
     .flatMap(({ name, value }) => [name, value]);
 }
 
@@ -121,7 +121,7 @@
 ): HeaderField[] {
   const fields: HeaderField[] = [];
   for (const [name, value] of Object.entries(headers)) {
-    if (value === undefined || CONNECTION_FIELDS.has(name)) continue;
+    if (value === undefined || UNFORWARDED_HEADERS.has(name)) continue;
     const values = Array.isArray(value) ? value : [value];
     for (const each of values) fields.push({ name, value: each });
   }
--- a/src/backends/http_service_test.ts
+++ b/src/backends/http_service_test.ts
@@ -23,7 +23,7 @@
   body: Buffer.from("first bath"),
 };
 
-async function open() {
+async function openService() {
   const server = await StandinService.create();
   const service = HttpService.create({ url: server.url });
   const close = async () => {
@@ -33,7 +33,7 @@
   return { server, service, close };
 }
 
-async function collect(service: HttpService, call: ServiceCall) {
+async function collectCall(service: HttpService, call: ServiceCall) {
   const { signal } = new AbortController();
   const kinds: string[] = [];
   let body = "";
@@ -49,9 +49,9 @@
   return { id, role: "agent", zone: "z1", address, pool: "notes", state };
 }
 
-test("booking is passed on once with body and key", async () => {
-  const { server, service, close } = await open();
-  const { kinds, body } = await collect(service, BOOKING);
+test("a call is forwarded once with its body and idempotency key", async () => {
+  const { server, service, close } = await openService();
+  const { kinds, body } = await collectCall(service, BOOKING);
   assert.deepEqual(kinds, ["head", "piece", "end"]);
   assert.equal(JSON.parse(body).execution, 1);
   assert.deepEqual(server.executions, [
@@ -60,33 +60,35 @@
   await close();
 });
 
-test("lost answer and lost request both look broken", async () => {
-  const { server, service, close } = await open();
+test("a lost response and a lost request both fail as broken", async () => {
+  const { server, service, close } = await openService();
   await server.setFaults({ dropAnswers: 1 });
-  assert.deepEqual((await collect(service, BOOKING)).kinds, ["broken"]);
+  assert.deepEqual((await collectCall(service, BOOKING)).kinds, ["broken"]);
   assert.equal(server.executions.length, 1);
   await server.setFaults({ dropRequests: 1 });
-  assert.deepEqual((await collect(service, BOOKING)).kinds, ["broken"]);
+  assert.deepEqual((await collectCall(service, BOOKING)).kinds, ["broken"]);
   assert.equal(server.executions.length, 1);
   await close();
 });
 
-test("refused connection is unreachable", async () => {
-  const { server, service, close } = await open();
+test("a refused connection is reported as unreachable", async () => {
+  const { server, service, close } = await openService();
   await server.down();
-  assert.deepEqual((await collect(service, BOOKING)).kinds, ["unreachable"]);
+  assert.deepEqual((await collectCall(service, BOOKING)).kinds, [
+    "unreachable",
+  ]);
   await close();
 });
 
-test("call that can't be sent is unreachable", async () => {
-  const { server, service, close } = await open();
+test("a call that cannot be sent is reported as unreachable", async () => {
+  const { server, service, close } = await openService();
   const call = { ...BOOKING, path: "no-slash" };
-  assert.deepEqual((await collect(service, call)).kinds, ["unreachable"]);
+  assert.deepEqual((await collectCall(service, call)).kinds, ["unreachable"]);
   assert.equal(server.executions.length, 0);
   await close();
 });
 
-test("list gives all, then changes", async () => {
+test("the instance list returns all instances, then changes", async () => {
   const server = await StandinInstanceList.create();
   const list = HttpInstanceList.create({ url: server.url });
   const { signal } = new AbortController();
@@ -106,7 +108,7 @@
   await server.close();
 });
 
-test("weight store limits its rate", async () => {
+test("the weight store client reports missing weights and rate limiting", async () => {
   const server = await StandinWeightStore.create({ callsPerSecond: 2 });
   const weights = HttpWeightStore.create({ url: server.url });
   const found = await weights.find("notes", "1");
--- a/src/backends/http_weight_store.ts
+++ b/src/backends/http_weight_store.ts
@@ -1,25 +1,25 @@
-/** The platform's weight store over HTTP: what versions of weights there are, and their size. */
+/** HTTP client of the platform's weight store, which knows the versions and sizes of weights. */
 import { err, ok, type Result } from "true-myth/result";
 import type { Pool } from "undici";
 import { createPool, toCallFailure } from "./_http_call.ts";
 
-/** Weights of one version of a model. */
+/** A version of a model's weights. */
 export interface WeightsInfo {
   model: string;
   version: string;
   sizeBytes: number;
 }
 
-/** Why the store told nothing about the weights. */
+/** Reason why a lookup of weights failed. */
 export type WeightStoreFailure =
   | { kind: "unavailable"; message: string }
   | { kind: "not_found" }
-  /** The store's rate is used up. */
+  /** The store's rate limit is exceeded. */
   | { kind: "rate_limited"; retryAfterMs: number };
 
-/** Query of the weight store. */
+/** The platform's weight store. */
 export interface WeightStore {
-  /** Looks up one version of a model. */
+  /** Looks up one version of a model's weights. */
   find(
     model: string,
     version: string,
@@ -27,39 +27,39 @@
   close(): void;
 }
 
-/** Settings of an {@link HttpWeightStore}. */
+/** Options of {@link HttpWeightStore}. */
 export interface HttpWeightStoreOptions {
-  /** Base URL of the store. */
+  /** Base URL of the weight store. */
   url: string;
-  connectMs: number;
-  /** Deadline of a call. */
-  callMs: number;
+  connectTimeoutMs: number;
+  /** Timeout for a call. */
+  callTimeoutMs: number;
 }
 
-const DEFAULT_OPTIONS = { connectMs: 1000, callMs: 5000 };
+const DEFAULT_OPTIONS = { connectTimeoutMs: 1000, callTimeoutMs: 5000 };
 const STATUS_OK = 200;
 const STATUS_NOT_FOUND = 404;
 const STATUS_TOO_MANY_REQUESTS = 429;
 const MS_PER_SECOND = 1000;
 
-/** {@link WeightStore} over HTTP. */
+/** Implements {@link WeightStore} over HTTP. */
 export class HttpWeightStore implements WeightStore {
   readonly #options: HttpWeightStoreOptions;
   readonly #pool: Pool;
 
   private constructor(options: HttpWeightStoreOptions) {
     this.#options = options;
-    const { connectMs, callMs } = options;
+    const { connectTimeoutMs, callTimeoutMs } = options;
     this.#pool = createPool(options.url, {
-      connectMs,
-      headMs: callMs,
-      silenceMs: callMs,
+      connectTimeoutMs,
+      headMs: callTimeoutMs,
+      silenceMs: callTimeoutMs,
     });
   }
 
   /**
-   * @param options URL, and settings that differ from the defaults.
-   * @returns An adapter that connects when it is first used.
+   * @param options URL, and options that override the defaults.
+   * @returns An adapter that connects on its first call.
    */
   static create(
     options: Partial<HttpWeightStoreOptions> & { url: string },
@@ -74,7 +74,7 @@
     const path = `/v1/weights/${encodeURIComponent(model)}/${
       encodeURIComponent(version)
     }`;
-    const signal = AbortSignal.timeout(this.#options.callMs);
+    const signal = AbortSignal.timeout(this.#options.callTimeoutMs);
     try {
       const answer = await this.#pool.request({ method: "GET", path, signal });
       const text = await answer.body.text();
--- a/src/backends/instances.ts
+++ b/src/backends/instances.ts
@@ -1,12 +1,12 @@
-/** The platform's lagging list of instances. The adapter is `http_instance_list.ts`. */
+/** Interface of the platform's instance list, which may be stale; see `http_instance_list.ts`. */
 import type { Result } from "true-myth/result";
 
-/** Roles an instance can have in the list. */
+/** Roles of instances. */
 export const InstanceRole = { Entry: "entry", Agent: "agent" } as const;
 /** One of {@link InstanceRole}. */
 export type InstanceRole = (typeof InstanceRole)[keyof typeof InstanceRole];
 
-/** States an instance can have in the list. */
+/** States of instances. */
 export const InstanceState = {
   Live: "live",
   Leaving: "leaving",
@@ -15,32 +15,35 @@
 /** One of {@link InstanceState}. */
 export type InstanceState = (typeof InstanceState)[keyof typeof InstanceState];
 
-/** One row of the list. */
+/** An instance in the list. */
 export interface Instance {
   id: string;
   role: InstanceRole;
   zone: string;
   /** `ip:port` of the process's gRPC listener. */
   address: string;
-  /** Pool that the backend server belongs to; empty for entries. */
+  /** Pool of the agent's backend server; empty for entries. */
   pool: string;
   state: InstanceState;
 }
 
-/** The list, or what changed in it since the revision that was asked for. */
+/** The whole list, or the instances that changed since the requested revision. */
 export interface InstanceChanges {
   revision: number;
-  /** True: `instances` is the whole list. */
+  /** True if `instances` is the whole list. */
   full: boolean;
   instances: Instance[];
 }
 
-/** Why the list could not be read. */
+/** Reason why the list could not be read. */
 export type InstanceListFailure = { kind: "unavailable"; message: string };
 
-/** Query of the list of instances. */
+/** The platform's instance list. */
 export interface InstanceList {
-  /** Changes after `sinceRevision` (0: the whole list); waits up to `waitMs` when there are none. */
+  /**
+   * Returns the changes after `sinceRevision`, or the whole list for 0. If there are none, waits up
+   * to `waitMs` for a change.
+   */
   changes(
     sinceRevision: number,
     waitMs: number,
--- a/src/backends/mod.ts
+++ b/src/backends/mod.ts
@@ -1,4 +1,4 @@
-/** Backend servers, the list of instances and the weight store, met over HTTP. */
+/** HTTP clients of backend servers, the instance list and the weight store. */
 export type {
   CacheEvent,
   CacheFeedStep,
--- a/src/backends/service.ts
+++ b/src/backends/service.ts
@@ -1,20 +1,20 @@
-/** A plain service as the agent beside it meets it. The adapter is `http_service.ts`. */
+/** Interface of a plain service as its agent uses it. `http_service.ts` implements it. */
 import type { Result } from "true-myth/result";
 
-/** A header field; a name may come more than once. */
+/** An HTTP header; the same name may occur more than once. */
 export interface HeaderField {
   name: string;
   value: string;
 }
 
-/** Why a service gave no answer, or not all of it. */
+/** Reason why a call to a service returned no or only a partial response. */
 export type ServiceFailure =
   /** The request never reached the service. */
   | { kind: "unreachable"; message: string }
-  /** The request was sent; whether it was carried out can't be known. */
+  /** The request was sent, but it is unknown whether the service executed it. */
   | { kind: "broken"; message: string };
 
-/** A request as passed to the service. */
+/** A request to the service. */
 export interface ServiceCall {
   method: string;
   /** Path and query, starting with a slash. */
@@ -23,16 +23,16 @@
   body: Uint8Array;
 }
 
-/** One part of a service's answer. */
+/** A part of a service's response. */
 export type ServiceStep =
   | { kind: "head"; status: number; headers: HeaderField[] }
   | { kind: "piece"; data: Uint8Array }
-  /** The whole answer has come. */
+  /** The response is complete. */
   | { kind: "end" };
 
 /** A plain service. */
 export interface PlainService {
-  /** Passes a request on; aborting the signal closes its connection. */
+  /** Sends a request; aborting the signal closes its connection. */
   run(
     call: ServiceCall,
     signal: AbortSignal,
--- a/src/backends/sse_test.ts
+++ b/src/backends/sse_test.ts
@@ -10,7 +10,7 @@
   return chunks.flatMap((chunk) => parser.push(chunk)).map(String);
 }
 
-function cut(bytes: Buffer, lengths: number[]): Buffer[] {
+function splitBytes(bytes: Buffer, lengths: number[]): Buffer[] {
   const chunks: Buffer[] = [];
   let start = 0;
   for (const length of lengths) {
@@ -20,7 +20,7 @@
   return [...chunks, bytes.subarray(start)];
 }
 
-test("events do not depend on how the bytes are cut", () => {
+test("parsed events do not depend on chunk boundaries", () => {
   const events = fc.array(
     fc.string({ unit: "binary" }).map((text) =>
       text.replace(/[\r\n]/g, "") + "."
@@ -33,13 +33,13 @@
       const text = events.map((data) => `data: ${data}${lineBreak.repeat(2)}`);
       const bytes = Buffer.from(text.join(""));
       const expected = events.map((data) => Buffer.from(data).toString());
-      assert.deepEqual(parse(cut(bytes, lengths)), expected);
+      assert.deepEqual(parse(splitBytes(bytes, lengths)), expected);
     }),
     { seed: SEED },
   );
 });
 
-test("comments, other fields and unfinished events are left out", () => {
+test("comments, other fields and incomplete events are ignored", () => {
   const text =
     ": hello\n\nevent: x\nid: 1\ndata:a\ndata: b\n\ndata: unfinished\n";
   assert.deepEqual(parse([Buffer.from(text)]), ["a\nb"]);
--- a/src/cli/daemon.ts
+++ b/src/cli/daemon.ts
@@ -1,54 +1,56 @@
-/** Runs a daemon: says where it listens, and stops it on a signal. */
+/** Runs a daemon: prints its listener addresses and shuts it down on SIGTERM or SIGINT. */
 import { Result } from "true-myth/result";
 import type { Logger } from "../base/mod.ts";
 
-/** Exit status of a command that failed, such as a daemon that could not start. */
+/** Exit status of a failed command, such as a daemon that could not start. */
 export const EXIT_FAILED = 1;
 
+/** Shell convention: a process ended by signal N exits with 128 + N. */
 const SIGNAL_EXIT_BASE = 128;
 const SIGNAL_NUMBERS = { SIGINT: 2, SIGTERM: 15 } as const;
 type StopSignal = keyof typeof SIGNAL_NUMBERS;
 
-/** A process that serves until it is stopped. */
+/** A running daemon. */
 export interface Daemon {
-  /** Listeners by purpose, `ip:port` each. */
+  /** Listener addresses, `ip:port`, by purpose. */
   listening: Record<string, string>;
-  /** Planned stop: resolves when everything has ended. */
+  /** Shuts down gracefully; resolves when all resources are closed. */
   stop(): Promise<void>;
 }
 
-/** A daemon could not start or stop. */
+/** Reports that a daemon could not start or stop. */
 export interface DaemonFailure {
   kind: "start_failed" | "stop_failed";
   message: string;
 }
 
-/** How a daemon is run. */
+/** Options of {@link runDaemon}. */
 export interface RunDaemonOptions {
   role: string;
   log: Logger;
 }
 
 /**
- * Starts a daemon, writes one JSON line with its addresses to standard output and waits for the
- * planned stop. The first SIGTERM or SIGINT starts that, the second ends the process at once.
+ * Starts a daemon, writes one JSON line with its addresses to standard output and runs it until
+ * it is shut down. The first SIGTERM or SIGINT starts a graceful shutdown, the second one exits
+ * immediately.
  *
- * @param start Opens all listeners.
- * @param options Its role and log.
- * @returns Why it failed; nothing after a planned stop.
+ * @param start Starts the daemon and opens all listeners.
+ * @param options Role and logger of the daemon.
+ * @returns The failure, or `undefined` after a graceful shutdown.
  */
 export async function runDaemon(
   start: () => Promise<Daemon>,
   options: RunDaemonOptions,
 ): Promise<DaemonFailure | undefined> {
   const { role, log } = options;
-  const signalled = firstSignal();
+  const signalPromise = waitForSignal();
   const started = await attempt(start);
   if (started.isErr) return { kind: "start_failed", message: started.error };
   const { listening, stop } = started.value;
   process.stdout.write(JSON.stringify({ role, listening }) + "\n");
-  const signal = await signalled;
-  log.info({ signal }, "Planned stop begins");
+  const signal = await signalPromise;
+  log.info({ signal }, "Graceful shutdown started");
   const stopped = await attempt(stop);
   if (stopped.isErr) return { kind: "stop_failed", message: stopped.error };
   log.info("Stopped");
@@ -63,7 +65,7 @@
   }
 }
 
-function firstSignal(): Promise<StopSignal> {
+function waitForSignal(): Promise<StopSignal> {
   let isStopping = false;
   return new Promise((resolve) => {
     const onSignal = (signal: StopSignal) => {
--- a/src/cli/daemon_options.ts
+++ b/src/cli/daemon_options.ts
@@ -1,4 +1,4 @@
-/** Turns checked settings into the options of the daemons. */
+/** Builds the options of the entry and agent daemons from validated settings. */
 import { Result } from "true-myth/result";
 import type { AgentOptions, BackendServer } from "../agent/options.ts";
 import { createLogger, systemClock } from "../base/mod.ts";
@@ -19,7 +19,7 @@
 
 /**
  * @param sources Flags and environment variables.
- * @returns Options of an entry, or all that is wrong.
+ * @returns Options of an entry, or every invalid setting.
  */
 export function readEntryOptions(
   sources: SettingSources,
@@ -61,7 +61,7 @@
 
 /**
  * @param sources Flags and environment variables.
- * @returns Options of an agent, or all that is wrong.
+ * @returns Options of an agent, or every invalid setting.
  */
 export function readAgentOptions(
   sources: SettingSources,
@@ -70,13 +70,13 @@
     check: ({ engineUrl, serviceUrl, ...valid }) => [
       ...(engineUrl === undefined || serviceUrl === undefined
         ? []
-        : problemsOf(chooseServer(engineUrl, serviceUrl))),
+        : problemsOf(readBackendServer(engineUrl, serviceUrl))),
       ...problemsOf(readSecurity(valid, valid.listenAddress)),
     ],
   });
   if (values.isErr) return Result.err(values.error);
   const { value } = values;
-  const server = chooseServer(value.engineUrl, value.serviceUrl);
+  const server = readBackendServer(value.engineUrl, value.serviceUrl);
   if (server.isErr) return Result.err(server.error);
   const security = readSecurity(value, value.listenAddress);
   if (security.isErr) return Result.err(security.error);
@@ -100,7 +100,7 @@
   });
 }
 
-/** Without a key or a store the administration API would stay off unnoticed. */
+/** Reports a missing key or store, without which the administration API would silently stay off. */
 function findAdminProblems(valid: Partial<EntryValues>): SettingProblem[] {
   if (!valid.adminAddress) return [];
   const needed = ["adminKeySha256", "storeAddress"] as const;
@@ -112,7 +112,7 @@
   }));
 }
 
-function chooseServer(
+function readBackendServer(
   engineUrl: string,
   serviceUrl: string,
 ): Result<BackendServer, InvalidSettings> {
--- a/src/cli/dev_guide.ts
+++ b/src/cli/dev_guide.ts
@@ -1,4 +1,4 @@
-/** What `cicadahitch dev` says on start. */
+/** Renders the instructions that `cicadahitch dev` prints on start. */
 import {
   SAMPLE_ADMIN_KEY,
   SAMPLE_CALLER_KEY,
@@ -8,8 +8,8 @@
 } from "./sample_team.ts";
 
 /**
- * @param listening Listeners by purpose.
- * @returns Lines with commands that work as they stand.
+ * @param listening Listener addresses by purpose.
+ * @returns Text with commands that can be pasted into a terminal.
  */
 export function renderGuide(listening: Record<string, string>): string {
   const { http, admin, peer, agents } = listening;
--- a/src/cli/explain_command.ts
+++ b/src/cli/explain_command.ts
@@ -1,4 +1,4 @@
-/** `cicadahitch explain`: what the logs say of one request. */
+/** `cicadahitch explain`: reconstructs the history of one request from logs. */
 import { createReadStream } from "node:fs";
 import { createInterface } from "node:readline/promises";
 import { Result } from "true-myth";
@@ -9,28 +9,29 @@
   parseLogLine,
 } from "../router/explain.ts";
 
-/** Why there is no explanation. */
+/** Reason why a request cannot be explained. */
 export type ExplainFailure =
   | { kind: "unreadable"; message: string }
   | { kind: "not_found"; message: string };
 
 /**
- * @param id The client's id of its attempt.
- * @param paths Logs of the entries; none: standard input.
- * @returns The lines, the outcome last.
+ * @param id The attempt id that the client sent.
+ * @param paths Log files of the entries; standard input is read if empty.
+ * @returns Lines of the explanation; the last one states the outcome.
  */
 export async function explainRequest(
   id: string,
   paths: readonly string[],
 ): Promise<Result<string[], ExplainFailure>> {
-  const log: LogLine[] = [];
+  const logLines: LogLine[] = [];
   for (const path of paths.length > 0 ? paths : [undefined]) {
-    const failure = await readLog(path, log);
+    const failure = await readLog(path, logLines);
     if (failure) return Result.err(failure);
   }
-  const explained = explain(id, log);
+  const explained = explain(id, logLines);
   if (explained.lines.length === 0) {
-    const message = `None of ${log.length} lines names request ${id}`;
+    const message =
+      `None of ${logLines.length} log lines mentions request ${id}`;
     return Result.err({ kind: "not_found", message });
   }
   return Result.ok(formatExplanation(explained));
@@ -38,13 +39,13 @@
 
 async function readLog(
   path: string | undefined,
-  log: LogLine[],
+  logLines: LogLine[],
 ): Promise<ExplainFailure | undefined> {
   const input = path === undefined ? process.stdin : createReadStream(path);
   try {
     for await (const text of createInterface({ input })) {
       const line = parseLogLine(text);
-      if (line) log.push(line);
+      if (line) logLines.push(line);
     }
     return undefined;
   } catch (error) {
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,12 +1,12 @@
 #!/usr/bin/env node
-/** The command `cicadahitch`. */
+/** Command-line entry point of `cicadahitch`. */
 import yargs, { type Argv } from "yargs";
 import { addAdminCommands } from "../admin/cli.ts";
 import { EXIT_FAILED } from "./daemon.ts";
 import {
   addFlags,
   describeProblems,
-  EXIT_WRONG_SETTINGS,
+  EXIT_INVALID_SETTINGS,
   type InvalidSettings,
   type SettingSources,
   type SettingTable,
@@ -21,10 +21,10 @@
 const HELP_COLUMNS = 100;
 const YARGS_ERROR = "YError";
 
-/** A command line that is refused. */
+/** Thrown for an invalid command line. */
 class UsageError extends Error {}
 
-/** Why a command failed. */
+/** Reason why a command failed. */
 type CommandFailure = InvalidSettings | { kind: string; message: string };
 
 const cli = yargs(process.argv.slice(2))
@@ -34,14 +34,14 @@
   .usage("$0 <command>")
   .wrap(HELP_COLUMNS)
   .exitProcess(false)
-  .fail(throwUsage);
+  .fail(throwUsageError);
 addCommands(cli);
 addAdminCommands(cli);
 try {
   await cli.parseAsync();
 } catch (error) {
   if (!(error instanceof UsageError)) throw error;
-  refuseUsage(error.message);
+  reportUsageError(error.message);
 }
 
 function addCommands(cli: Argv): void {
@@ -85,7 +85,7 @@
       }),
     ({ id, logs }) => run({}, () => printExplanation(id, logs)),
   );
-  cli.command("$0", false, (argv) => argv, ({ _ }) => refuseCommand(_));
+  cli.command("$0", false, (argv) => argv, ({ _ }) => reportUnknownCommand(_));
 }
 
 function flagsOf(table: SettingTable): (argv: Argv) => Argv {
@@ -97,8 +97,8 @@
   command: (sources: SettingSources) => Promise<CommandFailure | undefined>,
 ): Promise<void> {
   const failure = await command({ flags, variables: process.env });
-  if (failure) fail(failure);
-  // A planned stop has closed everything; nothing that is left may hold the process.
+  if (failure) reportFailure(failure);
+  // A graceful shutdown has closed all resources; a remaining handle must not keep Node running.
   process.exit();
 }
 
@@ -142,27 +142,31 @@
   process.stdout.write(lines.value.join("\n") + "\n");
 }
 
-function fail(failure: CommandFailure): void {
+function reportFailure(failure: CommandFailure): void {
   if ("problems" in failure) {
     process.stderr.write(describeProblems(failure) + "\n");
-    process.exitCode = EXIT_WRONG_SETTINGS;
+    process.exitCode = EXIT_INVALID_SETTINGS;
     return;
   }
   process.stderr.write(`Failed: ${failure.kind}: ${failure.message}\n`);
   process.exitCode = EXIT_FAILED;
 }
 
-function refuseCommand(words: (string | number)[]): void {
-  refuseUsage(words.length > 0 ? `Unknown command ${words[0]}` : "No command");
+function reportUnknownCommand(positionals: (string | number)[]): void {
+  reportUsageError(
+    positionals.length > 0
+      ? `Unknown command ${positionals[0]}`
+      : "Missing command",
+  );
 }
 
-function refuseUsage(message: string): void {
+function reportUsageError(message: string): void {
   process.stderr.write(`${message}. See cicadahitch --help.\n`);
-  process.exitCode = EXIT_WRONG_SETTINGS;
+  process.exitCode = EXIT_INVALID_SETTINGS;
 }
 
-/** Called by yargs for a wrong command line, and with what a command throws. */
-function throwUsage(message: string, error: Error | undefined): never {
+/** yargs calls this for an invalid command line and for every error that a command throws. */
+function throwUsageError(message: string, error: Error | undefined): never {
   if (error && error.name !== YARGS_ERROR) throw error;
   throw new UsageError(message);
 }
--- a/src/cli/sample_team.ts
+++ b/src/cli/sample_team.ts
@@ -1,27 +1,27 @@
-/** The sample team of `cicadahitch dev` and of the tests with processes. */
+/** The sample team of `cicadahitch dev` and of tests that start processes. */
 import { createHash } from "node:crypto";
 import { BRANCH_FORMAT, type TeamBranch } from "../config/branch.ts";
 
 /** Name of the sample team. */
 export const SAMPLE_TEAM = "sample";
-/** Its caller key; the values of this file are for development only. */
+/** Caller key of the sample team; like all keys in this file, for development only. */
 export const SAMPLE_CALLER_KEY = "sample.notes.only-for-development";
 /** Key of the administration API. */
 export const SAMPLE_ADMIN_KEY = "admin-only-for-development";
-/** The one model that the stand-in engines serve. */
+/** The only model that the stand-in engines serve. */
 export const SAMPLE_MODEL = "notes";
-/** Pool of the engines, and name of the plain service and its pool. */
+/** Pools of the sample team; `bookings` names both the plain service and its pool. */
 export const SAMPLE_POOLS = { engines: "notes", bookings: "bookings" } as const;
 
 /**
- * @param text A key.
- * @returns Its SHA-256 in hex.
+ * @param text Text to hash, such as a key.
+ * @returns The SHA-256 digest in hex.
  */
 export function sha256Hex(text: string): string {
   return createHash("sha256").update(text).digest("hex");
 }
 
-/** @returns The sample team's branch. */
+/** @returns The configuration branch of the sample team. */
 export function sampleBranch(): TeamBranch {
   const { engines, bookings } = SAMPLE_POOLS;
   return {
--- a/src/cli/schemas.ts
+++ b/src/cli/schemas.ts
@@ -1,4 +1,4 @@
-/** Schemas of settings: each takes the text of a flag or variable. */
+/** Schemas that parse the text of a flag or environment variable. */
 import { isIP } from "node:net";
 import { z } from "zod";
 import { LOG_LEVELS } from "../base/mod.ts";
@@ -6,55 +6,55 @@
 const MAX_DURATION_MS = 3_600_000;
 const MAX_PORT = 65_535;
 
-/** A name for instances, zones and pools. */
+/** A name of an instance, availability zone or pool. */
 export const NAME = z.string().regex(/^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$/, {
   error: "Expected 1 to 63 letters, digits, dots, - and _",
 });
 
-/** `ip:port`; port 0 is any free one. */
+/** `ip:port`; port 0 selects any free port. */
 export const ADDRESS = z.string().refine(isAddress, {
-  error: "Expected an IP number and a port, such as 127.0.0.1:7700",
+  error: "Expected an IP address and a port, such as 127.0.0.1:7700",
 });
 
-/** {@link ADDRESS} or nothing. */
+/** An {@link ADDRESS}, or empty text. */
 export const OPTIONAL_ADDRESS = z.string().refine(
   (text) => text === "" || isAddress(text),
   {
     error:
-      "Expected an IP number and a port, such as 127.0.0.1:7700, or nothing",
+      "Expected an IP address and a port, such as 127.0.0.1:7700, or nothing",
   },
 );
 
-/** Addresses with commas between them. */
+/** Comma-separated addresses. */
 export const ADDRESSES = z.string().transform(splitList).refine(
   (list) => list.every(isAddress),
-  { error: "Expected IP numbers with ports, with commas between them" },
+  { error: "Expected IP addresses with ports, separated by commas" },
 );
 
-/** An `http` or `https` URL, or nothing. */
+/** An `http` or `https` URL, or empty text. */
 export const OPTIONAL_URL = z.string().refine(
   (text) => text === "" || isHttpUrl(text),
   { error: "Expected a URL that starts with http:// or https://, or nothing" },
 );
 
-/** A SHA-256 in hex, or nothing. */
+/** A SHA-256 digest in hex, or empty text. */
 export const OPTIONAL_SHA256 = z.string().regex(/^([0-9a-f]{64})?$/, {
   error: "Expected the SHA-256 as 64 lower-case hex digits, or nothing",
 });
 
-/** A duration in whole ms. */
+/** A duration in whole milliseconds. */
 export const DURATION_MS = z.string().regex(/^\d{1,9}$/, {
   error: `Expected a whole number of ms, 0 to ${MAX_DURATION_MS}`,
 }).transform(Number).refine((ms) => ms <= MAX_DURATION_MS, {
   error: `Expected a whole number of ms, 0 to ${MAX_DURATION_MS}`,
 });
 
-/** Models that an engine holds at once. */
+/** Number of models that an engine holds at once. */
 export const MODEL_SLOTS = z.string().regex(/^[1-9]\d{0,2}$/, {
   error: "Expected a whole number from 1 to 999",
 }).transform(Number);
 
-/** Round trips to availability zones: `a=0.5,b=1`. */
+/** Round-trip times to availability zones in ms, such as `a=0.5,b=1`. */
 export const ZONE_RTT_MS = z.string().transform((text, context) => {
   const rtts: Record<string, number> = {};
   for (const pair of splitList(text)) {
@@ -64,7 +64,7 @@
       context.addIssue({
         code: "custom",
         message:
-          "Expected zone=ms pairs with commas between them, as a=0.5,b=1",
+          "Expected zone=ms pairs separated by commas, such as a=0.5,b=1",
       });
       return z.NEVER;
     }
@@ -73,8 +73,8 @@
   return rtts;
 });
 
-/** A switch. */
-export const SWITCH = z.enum(["true", "false", "1", "0", ""], {
+/** A boolean; empty text is false. */
+export const BOOLEAN = z.enum(["true", "false", "1", "0", ""], {
   error: "Expected true or false",
 }).transform((text) => text === "true" || text === "1");
 
@@ -83,17 +83,17 @@
   error: `Expected one of ${LOG_LEVELS.join(", ")}`,
 });
 
-/** A path of a file, or nothing. */
+/** A file path, or empty text. */
 export const OPTIONAL_FILE = z.string();
 
-/** A shared token, or nothing. */
+/** A shared token, or empty text. */
 export const OPTIONAL_TOKEN = z.string().regex(/^([\x21-\x7e]{16,256})?$/, {
   error: "Expected 16 to 256 printable characters without spaces, or nothing",
 });
 
 /**
- * @param values What is allowed.
- * @returns A schema of just these.
+ * @param values The allowed values.
+ * @returns A schema that accepts only these values.
  */
 export function oneOf<const T extends readonly string[]>(
   values: T,
@@ -106,7 +106,7 @@
 
 /**
  * @param address `ip:port`.
- * @returns True where the IP number is a loopback one.
+ * @returns True if the IP address is a loopback address.
  */
 export function isLoopback(address: string): boolean {
   const { ip } = splitAddress(address);
@@ -119,12 +119,12 @@
 }
 
 function splitAddress(text: string): { ip: string; port: string } {
-  const at = text.lastIndexOf(":");
-  const host = text.slice(0, Math.max(0, at));
+  const separatorIndex = text.lastIndexOf(":");
+  const host = text.slice(0, Math.max(0, separatorIndex));
   const isBracketed = host.startsWith("[") && host.endsWith("]");
   const ip = isBracketed ? host.slice(1, -1) : host;
   const isBareIpv6 = !isBracketed && isIP(ip) === 6;
-  return { ip: isBareIpv6 ? "" : ip, port: text.slice(at + 1) };
+  return { ip: isBareIpv6 ? "" : ip, port: text.slice(separatorIndex + 1) };
 }
 
 function isHttpUrl(text: string): boolean {
--- a/src/cli/security.ts
+++ b/src/cli/security.ts
@@ -1,4 +1,4 @@
-/** Reads {@link WireSecurity} from the settings. */
+/** Derives {@link WireSecurity} from the settings. */
 import { readFileSync } from "node:fs";
 import { Result } from "true-myth/result";
 import type { WireSecurity } from "../wire/security.ts";
@@ -11,7 +11,7 @@
 } from "./settings.ts";
 import type { SECURITY_SETTINGS } from "./tables.ts";
 
-/** Checked values of {@link SECURITY_SETTINGS}; a value that was wrong by itself is absent. */
+/** Validated values of {@link SECURITY_SETTINGS}; invalid ones are absent. */
 export type SecurityValues = Partial<SettingValues<typeof SECURITY_SETTINGS>>;
 
 const TLS_NAMES = [
@@ -21,17 +21,17 @@
 ] as const;
 
 /**
- * @param values Checked settings.
- * @param address The listener or peer concerned, if it was right; plain traffic off loopback needs
- *   `--insecure`.
- * @returns How to keep listeners and connections, or all that is wrong.
+ * @param values Validated settings.
+ * @param address Address of the listener or peer, absent if invalid. Unencrypted traffic without a
+ *   token requires `--insecure` unless this is a loopback address.
+ * @returns Security of listeners and connections, or every problem found.
  */
 export function readSecurity(
   values: SecurityValues,
   address: string | undefined,
 ): Result<WireSecurity, InvalidSettings> {
-  const given = TLS_NAMES.filter((name) => values[name]);
-  if (given.length > 0) return readTls(values);
+  const givenNames = TLS_NAMES.filter((name) => values[name]);
+  if (givenNames.length > 0) return readTls(values);
   if (values.token) {
     return Result.ok({ kind: "token", token: values.token });
   }
@@ -76,21 +76,21 @@
   },
 ): Buffer | undefined {
   const path = values[name] ?? "";
-  const refuse = (allowed: string) => {
+  const addProblem = (allowed: string) => {
     const value = JSON.stringify(path);
     problems.push({ flag: flagOf(name), value, source: "TLS", allowed });
   };
   if (path === "") {
-    refuse("Expected all three --tls-… files or none");
+    addProblem("Expected all three --tls-… files or none");
     return undefined;
   }
   try {
     const pem = readFileSync(path);
     if (pem.includes("-----BEGIN ")) return pem;
-    refuse("Expected a PEM file");
+    addProblem("Expected a PEM file");
   } catch (error) {
     const code = error instanceof Error && "code" in error ? error.code : error;
-    refuse(`Expected a file that can be read (${code})`);
+    addProblem(`Expected a file that can be read (${code})`);
   }
   return undefined;
 }
--- a/src/cli/serve_agent.ts
+++ b/src/cli/serve_agent.ts
@@ -1,14 +1,14 @@
-/** `cicadahitch agent`. */
+/** The `cicadahitch agent` command. */
 import { Agent } from "../agent/mod.ts";
 import { type Daemon, type DaemonFailure, runDaemon } from "./daemon.ts";
 import { readAgentOptions } from "./daemon_options.ts";
 import type { InvalidSettings, SettingSources } from "./settings.ts";
 
 /**
- * Runs an agent until it is stopped.
+ * Runs an agent until it is shut down.
  *
  * @param sources Flags and environment variables.
- * @returns Why it could not run; nothing after a planned stop.
+ * @returns The failure, or `undefined` after a graceful shutdown.
  */
 export async function serveAgent(
   sources: SettingSources,
--- a/src/cli/serve_dev.ts
+++ b/src/cli/serve_dev.ts
@@ -1,4 +1,4 @@
-/** `cicadahitch dev`: everything in one process on loopback, with stand-ins and a sample team. */
+/** `cicadahitch dev`: all daemons in one process on loopback, with stand-ins and a sample team. */
 import { Agent, type BackendServer } from "../agent/mod.ts";
 import {
   createLogger,
@@ -42,15 +42,15 @@
 const SECURITY: WireSecurity = { kind: "plain" };
 const ENTRY_ID = "entry-1";
 
-/** Checked values of {@link DEV_SETTINGS}. */
+/** Validated values of {@link DEV_SETTINGS}. */
 type DevValues = SettingValues<typeof DEV_SETTINGS>;
 
 interface DevOptions extends DevValues {
   log: Logger;
 }
 
-/** An agent to start, and its place in the list of instances. */
-interface Seat {
+/** An agent to start and to add to the instance list. */
+interface AgentSpec {
   instanceId: string;
   pool: string;
   listenAddress: string;
@@ -58,10 +58,10 @@
 }
 
 /**
- * Runs the embedded fleet until it is stopped.
+ * Runs the embedded fleet until it is shut down.
  *
  * @param sources Flags and environment variables.
- * @returns Why it could not run; nothing after a planned stop.
+ * @returns The failure, or `undefined` after a graceful shutdown.
  */
 export async function serveDev(
   sources: SettingSources,
@@ -81,39 +81,41 @@
 /**
  * Starts stand-ins, three agents and an entry in this process.
  *
- * @param options Where to listen.
+ * @param options Listener addresses and the logger.
  * @returns The running fleet.
  */
 export async function startDev(options: DevOptions): Promise<Daemon> {
-  const life = Lifecycle.create("dev");
+  const lifecycle = Lifecycle.create("dev");
   try {
-    return await startParts(options, life);
+    return await startComponents(options, lifecycle);
   } catch (error) {
-    await life.stop();
+    await lifecycle.stop();
     throw error;
   }
 }
 
-async function startParts(
+async function startComponents(
   options: DevOptions,
-  life: Lifecycle,
+  lifecycle: Lifecycle,
 ): Promise<Daemon> {
-  const kv = own(life, "kv", await startStore(options));
-  const list = own(life, "instances", await StandinInstanceList.create());
-  const seats = await startServers(options, life);
+  const kv = own(lifecycle, "kv", await startStore(options));
+  const list = own(lifecycle, "instances", await StandinInstanceList.create());
+  const specs = await startBackendServers(options, lifecycle);
   const agents: Agent[] = [];
-  for (const seat of seats) {
-    const agent = await startAgent(options, { seat, store: kv.address });
-    life.own({ name: seat.instanceId, close: () => agent.stop() });
+  for (const spec of specs) {
+    const agent = await startAgent(options, { spec, store: kv.address });
+    lifecycle.own({ name: spec.instanceId, close: () => agent.stop() });
     agents.push(agent);
   }
-  list.set(seats.map((seat, index) => toRow(seat, agents[index]!.address)));
+  list.set(
+    specs.map((spec, index) => toInstance(spec, agents[index]!.address)),
+  );
   const entry = await startEntry(options, {
     store: kv.address,
     listUrl: list.url,
     seeds: agents.map(({ address }) => address),
   });
-  life.own({ name: ENTRY_ID, close: () => entry.stop() });
+  lifecycle.own({ name: ENTRY_ID, close: () => entry.stop() });
   list.set([{
     id: ENTRY_ID,
     role: "entry",
@@ -130,7 +132,7 @@
       agents: agents.map(({ address }) => address).join(","),
       store: kv.address,
     },
-    stop: () => life.stop(),
+    stop: () => lifecycle.stop(),
   };
 }
 
@@ -142,44 +144,44 @@
   return kv;
 }
 
-async function startServers(
+async function startBackendServers(
   options: DevOptions,
-  life: Lifecycle,
-): Promise<Seat[]> {
+  lifecycle: Lifecycle,
+): Promise<AgentSpec[]> {
   const [first = "", second = "", third = ""] = options.agentAddresses;
   const { engines, bookings } = SAMPLE_POOLS;
-  const seats: Seat[] = [];
+  const specs: AgentSpec[] = [];
   for (const listenAddress of [first, second]) {
-    const engine = own(life, "engine", await StandinEngine.create());
-    seats.push({
-      instanceId: `engine-${seats.length + 1}`,
+    const engine = own(lifecycle, "engine", await StandinEngine.create());
+    specs.push({
+      instanceId: `engine-${specs.length + 1}`,
       pool: engines,
       listenAddress,
       server: { kind: "engine", url: engine.url },
     });
   }
-  const service = own(life, "service", await StandinService.create());
-  seats.push({
+  const service = own(lifecycle, "service", await StandinService.create());
+  specs.push({
     instanceId: "service-1",
     pool: bookings,
     listenAddress: third,
     server: { kind: "service", url: service.url },
   });
-  return seats;
+  return specs;
 }
 
 function startAgent(
   { log }: DevOptions,
-  { seat, store }: { seat: Seat; store: string },
+  { spec, store }: { spec: AgentSpec; store: string },
 ): Promise<Agent> {
   return Agent.create({
-    ...seat,
+    ...spec,
     zone: ZONE,
     storeAddress: store,
     seedAddresses: [],
     security: SECURITY,
     drainMs: DRAIN_MS,
-    log: log.child({ role: "agent", processId: seat.instanceId }),
+    log: log.child({ role: "agent", processId: spec.instanceId }),
     clock: systemClock,
   });
 }
@@ -212,33 +214,39 @@
   });
 }
 
-function toRow(seat: Seat, address: string): Instance {
-  const { instanceId: id, pool } = seat;
+function toInstance(spec: AgentSpec, address: string): Instance {
+  const { instanceId: id, pool } = spec;
   return { id, role: "agent", zone: ZONE, address, pool, state: "live" };
 }
 
 function own<T extends { close(): Promise<void> }>(
-  life: Lifecycle,
+  lifecycle: Lifecycle,
   name: string,
   resource: T,
 ): T {
-  life.own({ name, close: () => resource.close() });
+  lifecycle.own({ name, close: () => resource.close() });
   return resource;
 }
 
 function checkLoopback(valid: Partial<DevValues>): SettingProblem[] {
   const { httpAddress, adminAddress, peerAddress, storeAddress } = valid;
-  const single = { httpAddress, adminAddress, peerAddress, storeAddress };
-  const all = [
-    ...Object.entries(single),
+  const singleAddresses = {
+    httpAddress,
+    adminAddress,
+    peerAddress,
+    storeAddress,
+  };
+  const allAddresses = [
+    ...Object.entries(singleAddresses),
     ...(valid.agentAddresses ?? []).map((a) => ["agentAddresses", a] as const),
   ];
-  return all.flatMap(([name, address]) =>
+  return allAddresses.flatMap(([name, address]) =>
     address === undefined || isLoopback(address) ? [] : [{
       flag: flagOf(name),
       value: JSON.stringify(address),
       source: "dev",
-      allowed: "Expected a loopback address: dev has keys that all know",
+      allowed:
+        "Expected a loopback address because dev uses publicly known keys",
     }]
   );
 }
--- a/src/cli/serve_entry.ts
+++ b/src/cli/serve_entry.ts
@@ -1,14 +1,14 @@
-/** `cicadahitch entry`. */
+/** The `cicadahitch entry` command. */
 import { Entry } from "../entry/mod.ts";
 import { type Daemon, type DaemonFailure, runDaemon } from "./daemon.ts";
 import { readEntryOptions } from "./daemon_options.ts";
 import type { InvalidSettings, SettingSources } from "./settings.ts";
 
 /**
- * Runs an entry until it is stopped.
+ * Runs an entry until it is shut down.
  *
  * @param sources Flags and environment variables.
- * @returns Why it could not run; nothing after a planned stop.
+ * @returns The failure, or `undefined` after a graceful shutdown.
  */
 export async function serveEntry(
   sources: SettingSources,
--- a/src/cli/settings.ts
+++ b/src/cli/settings.ts
@@ -1,6 +1,6 @@
 /**
- * Settings: each is a flag and a `CICADAHITCH_…` variable (the flag wins), checked by zod. All that
- * is wrong is reported at once.
+ * Reads settings from flags and `CICADAHITCH_…` environment variables and validates them with zod.
+ * A flag takes precedence over its variable. All problems are reported together.
  */
 import { Result } from "true-myth/result";
 import type { Argv, Options } from "yargs";
@@ -8,83 +8,84 @@
 
 /** Prefix of the environment variables. */
 export const VARIABLE_PREFIX = "CICADAHITCH_";
-/** Exit status of a process whose settings are wrong. */
-export const EXIT_WRONG_SETTINGS = 2;
+/** Exit status of a process with invalid settings. */
+export const EXIT_INVALID_SETTINGS = 2;
 
 const HIDDEN = "(hidden)";
 const MAX_SHOWN_CHARS = 80;
 
-/** One setting. Its schema takes the text of the flag or variable. */
+/** One setting. */
 export interface Setting<T> {
   describe: string;
-  /** Unit or form of the value, for `--help` and the page. */
+  /** Unit or format of the value, for `--help` and docs/OPERATING.md. */
   unit: string;
+  /** Parses the text of the flag or variable. */
   schema: z.ZodType<T, string>;
-  /** Text used where nothing is given; absent: the setting is required. */
+  /** Text used if neither flag nor variable is given; if absent, the setting is required. */
   default?: string;
-  /** True: the value is never shown. */
+  /** True if the value must not be printed. */
   isSecret?: boolean;
-  /** True: the flag stands alone, without a value. */
+  /** True if the flag takes no value. */
   isSwitch?: boolean;
 }
 
-/** Settings of a command, by their name in camelCase. */
+/** Settings of a command by their camelCase name. */
 // deno-lint-ignore no-explicit-any
 export type SettingTable = Readonly<Record<string, Setting<any>>>;
 
-/** Checked values of a table. */
+/** Validated values of a table's settings. */
 export type SettingValues<T extends SettingTable> = {
   [K in keyof T]: z.output<T[K]["schema"]>;
 };
 
-/** One setting that is wrong. */
+/** An invalid setting. */
 export interface SettingProblem {
-  /** The flag, with its dashes. */
+  /** The flag, with leading dashes. */
   flag: string;
-  /** The value found, or `nothing`. */
+  /** The invalid value, or `nothing`. */
   value: string;
-  /** Where the value came from. */
+  /** Origin of the value, such as a flag or a variable. */
   source: string;
-  /** What is allowed. */
+  /** Message that states the allowed values. */
   allowed: string;
 }
 
-/** All that is wrong with the settings. */
+/** All problems found in the settings. */
 export interface InvalidSettings {
   kind: "invalid_settings";
   problems: SettingProblem[];
 }
 
-/** Where settings come from. */
+/** Sources of settings. */
 export interface SettingSources {
   /** Flags as parsed by yargs. */
   flags: Readonly<Record<string, unknown>>;
   variables: Readonly<Record<string, string | undefined>>;
 }
 
-/** What is checked beyond single settings. */
-export interface ReadOptions<T extends SettingTable> {
-  /** Gets all settings that are right by themselves, and says what is wrong between them. */
+/** Options of {@link readSettings}. */
+export interface ReadSettingsOptions<T extends SettingTable> {
+  /** Checks dependencies between settings; gets only the settings that are valid by themselves. */
   check?: (valid: Partial<SettingValues<T>>) => SettingProblem[];
 }
 
-interface Given {
+interface RawSetting {
   text: string | undefined;
   source: string;
   isRepeated: boolean;
 }
 
 /**
- * @param name Name in camelCase.
- * @returns The flag, with its dashes.
+ * @param name Setting name in camelCase.
+ * @returns The flag, with leading dashes.
  */
 export function flagOf(name: string): string {
   return "--" + kebabCase(name);
 }
 
 /**
- * @param name Name in camelCase.
- * @returns The environment variable.
+ * @param name Setting name in camelCase.
+ * @returns The name of the environment variable.
  */
 export function variableOf(name: string): string {
   return VARIABLE_PREFIX +
@@ -92,11 +93,11 @@
 }
 
 /**
- * Adds a table's flags to a command.
+ * Adds the flags of a table to a command.
  *
- * @param argv The command's yargs.
- * @param table Its settings.
- * @returns The same yargs.
+ * @param argv The yargs instance of the command.
+ * @param table Settings of the command.
+ * @returns The same yargs instance.
  */
 export function addFlags<T>(argv: Argv<T>, table: SettingTable): Argv<T> {
   for (const [name, setting] of Object.entries(table)) {
@@ -106,28 +107,28 @@
 }
 
 /**
- * Checks all settings of a command.
+ * Reads and validates all settings of a command.
  *
  * @param table The settings.
  * @param sources Flags and environment variables.
- * @param options A check between settings.
- * @returns The values, or everything that is wrong.
+ * @param options Additional checks.
+ * @returns The validated values, or all problems found.
  */
 export function readSettings<T extends SettingTable>(
   table: T,
   sources: SettingSources,
-  options: ReadOptions<T> = {},
+  options: ReadSettingsOptions<T> = {},
 ): Result<SettingValues<T>, InvalidSettings> {
   const problems = [
-    ...findExtraWords(sources.flags),
+    ...findPositionalArguments(sources.flags),
     ...findUnknownFlags(table, sources.flags),
   ];
   const values: Record<string, unknown> = {};
   for (const [name, setting] of Object.entries(table)) {
-    const given = lookUp(name, setting, sources);
-    const read = readOne(name, setting, given);
-    if (read.isOk) values[name] = read.value;
-    else problems.push(read.error);
+    const rawSetting = findRawSetting(name, setting, sources);
+    const parsed = parseSetting(name, setting, rawSetting);
+    if (parsed.isOk) values[name] = parsed.value;
+    else problems.push(parsed.error);
   }
   const valid = values as Partial<SettingValues<T>>;
   problems.push(...(options.check?.(valid) ?? []));
@@ -138,8 +139,8 @@
 }
 
 /**
- * @param invalid What is wrong.
- * @returns Lines for the operator.
+ * @param invalid The problems found.
+ * @returns Error text for the operator, one line per problem.
  */
 export function describeProblems(invalid: InvalidSettings): string {
   const lines = invalid.problems.map((problem) =>
@@ -160,18 +161,18 @@
 
 /**
  * @param setting A setting.
- * @returns Its default as shown to operators.
+ * @returns The default value as shown to operators.
  */
 export function describeDefault(setting: Setting<unknown>): string {
   if (setting.default === undefined) return "required";
   return setting.default === "" ? "none" : setting.default;
 }
 
-function lookUp(
+function findRawSetting(
   name: string,
   setting: Setting<unknown>,
   sources: SettingSources,
-): Given {
+): RawSetting {
   const flag = sources.flags[name] ?? sources.flags[kebabCase(name)];
   if (flag !== undefined) {
     return {
@@ -187,31 +188,31 @@
   return { text: setting.default, source: "default", isRepeated: false };
 }
 
-function readOne(
+function parseSetting(
   name: string,
   setting: Setting<unknown>,
-  given: Given,
+  raw: RawSetting,
 ): Result<unknown, SettingProblem> {
-  const refuse = (allowed: string) =>
+  const reject = (allowed: string) =>
     Result.err<unknown, SettingProblem>({
       flag: flagOf(name),
-      value: showValue(setting, given.text),
-      source: given.text === undefined ? "no flag or variable" : given.source,
+      value: formatValue(setting, raw.text),
+      source: raw.text === undefined ? "no flag or variable" : raw.source,
       allowed,
     });
-  if (given.isRepeated) return refuse("Expected the flag once");
-  if (given.text === undefined) {
-    return refuse(`Expected ${setting.unit}, as flag or ${variableOf(name)}`);
+  if (raw.isRepeated) return reject("Expected the flag once");
+  if (raw.text === undefined) {
+    return reject(`Expected ${setting.unit}, as flag or ${variableOf(name)}`);
   }
-  if (given.text === "" && given.source === "flag") {
-    return refuse("Expected a value after the flag");
+  if (raw.text === "" && raw.source === "flag") {
+    return reject("Expected a value after the flag");
   }
-  const parsed = setting.schema.safeParse(given.text);
+  const parsed = setting.schema.safeParse(raw.text);
   if (parsed.success) return Result.ok(parsed.data);
-  return refuse(parsed.error.issues.map((issue) => issue.message).join("; "));
+  return reject(parsed.error.issues.map((issue) => issue.message).join("; "));
 }
 
-function showValue(
+function formatValue(
   setting: Setting<unknown>,
   text: string | undefined,
 ): string {
@@ -220,15 +221,15 @@
   return JSON.stringify(text.slice(0, MAX_SHOWN_CHARS));
 }
 
-function findExtraWords(
+function findPositionalArguments(
   flags: Readonly<Record<string, unknown>>,
 ): SettingProblem[] {
-  const words = Array.isArray(flags["_"]) ? flags["_"].slice(1) : [];
-  return words.map((word) => ({
+  const positionals = Array.isArray(flags["_"]) ? flags["_"].slice(1) : [];
+  return positionals.map((argument) => ({
     flag: "(no flag)",
-    value: JSON.stringify(String(word).slice(0, MAX_SHOWN_CHARS)),
+    value: JSON.stringify(String(argument).slice(0, MAX_SHOWN_CHARS)),
     source: "command line",
-    allowed: "Expected flags only",
+    allowed: "Expected flags only, no positional arguments",
   }));
 }
 
@@ -249,8 +250,8 @@
 }
 
 /**
- * @param result Outcome of a check between settings.
- * @returns What is wrong; nothing where the check passed.
+ * @param result Result of a check.
+ * @returns The problems found; empty if the check passed.
  */
 export function problemsOf(
   result: Result<unknown, InvalidSettings>,
--- a/src/cli/settings_page.ts
+++ b/src/cli/settings_page.ts
@@ -1,4 +1,4 @@
-/** The settings part of docs/OPERATING.md, made from the tables so that page and code can't part. */
+/** Generates the settings section of docs/OPERATING.md from the tables to keep it up to date. */
 import {
   describeDefault,
   flagOf,
@@ -12,10 +12,10 @@
   STATE_SETTINGS,
 } from "./tables.ts";
 
-/** Line before the generated part. */
+/** Marker line before the generated section. */
 export const PAGE_START =
   "<!-- settings: written by `npm run docs:settings` -->";
-/** Line after the generated part. */
+/** Marker line after the generated section. */
 export const PAGE_END = "<!-- end of settings -->";
 
 const TABLES: readonly (readonly [string, SettingTable])[] = [
@@ -26,21 +26,21 @@
 ];
 const HEADER = ["Flag", "Variable", "Unit or form", "Default", "Meaning"];
 
-/** A page without the marks between which the settings belong. */
-export class PageMarksMissingError extends Error {
+/** Thrown for a page without the two marker lines around its settings section. */
+export class PageMarkersMissingError extends Error {
   constructor() {
     super(`Expected the lines ${PAGE_START} and ${PAGE_END}`);
   }
 }
 
 /**
- * @param page The page's text.
- * @returns The same with its settings part made anew.
+ * @param page Text of the page.
+ * @returns The text with its settings section regenerated.
  */
-export function rewritePage(page: string): string {
+export function updatePage(page: string): string {
   const start = page.indexOf(PAGE_START);
   const end = page.indexOf(PAGE_END);
-  if (start < 0 || end < start) throw new PageMarksMissingError();
+  if (start < 0 || end < start) throw new PageMarkersMissingError();
   const head = page.slice(0, start + PAGE_START.length);
   return `${head}\n\n${renderTables()}\n${page.slice(end)}`;
 }
--- a/src/cli/settings_test.ts
+++ b/src/cli/settings_test.ts
@@ -19,12 +19,12 @@
   return read.isErr ? read.error.problems.map(({ flag }) => flag) : [];
 }
 
-test("names follow from the setting", () => {
+test("flag and variable names derive from the setting name", () => {
   assert.equal(flagOf("zoneRttMs"), "--zone-rtt-ms");
   assert.equal(variableOf("zoneRttMs"), "CICADAHITCH_ZONE_RTT_MS");
 });
 
-test("defaults make a whole entry", () => {
+test("an entry needs only an instance id and a zone", () => {
   const read = readEntryOptions({ flags: REQUIRED, variables: {} });
   assert.ok(read.isOk);
   assert.equal(read.value.httpAddress, "127.0.0.1:7700");
@@ -32,7 +32,7 @@
   assert.deepEqual(read.value.seedAddresses, []);
 });
 
-test("a flag wins over its variable", () => {
+test("a flag takes precedence over its variable", () => {
   const read = readSettings(ENTRY_SETTINGS, {
     flags: { ...REQUIRED, "zone-rtt-ms": "a=0.5, b=1" },
     variables: { CICADAHITCH_ZONE_RTT_MS: "c=9", CICADAHITCH_ZONE: "z" },
@@ -42,7 +42,7 @@
   assert.equal(read.value.zone, "a");
 });
 
-test("all wrong settings are named at once", () => {
+test("all invalid settings are reported together", () => {
   const flags = {
     instanceId: "entry 1",
     "http-address": "localhost:80",
@@ -63,7 +63,7 @@
   ]);
 });
 
-test("a problem names value, source and what is allowed", () => {
+test("a problem states the value, its source and the allowed values", () => {
   const read = readEntryOptions({
     flags: REQUIRED,
     variables: { CICADAHITCH_DRAIN_MS: "2m" },
@@ -76,7 +76,7 @@
   );
 });
 
-test("a wrong token is not shown", () => {
+test("an invalid token is not printed", () => {
   const read = readEntryOptions({
     flags: REQUIRED,
     variables: { CICADAHITCH_TOKEN: "too short" },
@@ -85,26 +85,26 @@
   assert.doesNotMatch(describeProblems(read.error), /too short/);
 });
 
-test("plain off loopback needs --insecure or a token", () => {
+test("plain traffic off loopback requires --insecure or a token", () => {
   const flags = { ...REQUIRED, peerAddress: "10.0.0.1:7701" };
   assert.deepEqual(problemFlags(flags), ["--insecure"]);
   assert.deepEqual(problemFlags({ ...flags, insecure: true }), []);
   assert.deepEqual(problemFlags({ ...flags, token: "0123456789abcdef" }), []);
 });
 
-test("TLS needs three files that can be read", () => {
+test("TLS requires three readable files", () => {
   assert.deepEqual(
     problemFlags({ ...REQUIRED, tlsKeyFile: "/nowhere/key.pem" }),
     ["--tls-certificate-file", "--tls-key-file", "--tls-authority-file"],
   );
 });
 
-test("words and flags without a value are refused", () => {
+test("positional arguments and flags without a value are rejected", () => {
   const flags = { ...REQUIRED, _: ["entry", "more"], policy: "" };
   assert.deepEqual(problemFlags(flags), ["(no flag)", "--policy"]);
 });
 
-test("addresses are IP numbers", () => {
+test("an address requires an IP address and a port", () => {
   const bad = ["", "1.2.3.4", "::1:80", "host:80", "1.2.3.4:70000", "[::1]"];
   for (const httpAddress of bad) {
     const flags = { ...REQUIRED, httpAddress };
@@ -118,19 +118,19 @@
   assert.deepEqual(problemFlags(flags), []);
 });
 
-test("an agent has exactly one backend server", () => {
+test("an agent requires exactly one backend server", () => {
   const flags = { instanceId: "a", zone: "a", pool: "p" };
   const engineUrl = "http://127.0.0.1:1";
-  const ask = (more: object) =>
+  const readAgent = (more: object) =>
     readAgentOptions({ flags: { ...flags, ...more }, variables: {} });
-  assert.ok(ask({}).isErr);
-  assert.ok(ask({ engineUrl, serviceUrl: engineUrl }).isErr);
-  const read = ask({ engineUrl });
+  assert.ok(readAgent({}).isErr);
+  assert.ok(readAgent({ engineUrl, serviceUrl: engineUrl }).isErr);
+  const read = readAgent({ engineUrl });
   assert.ok(read.isOk);
   assert.deepEqual(read.value.server, { kind: "engine", url: engineUrl });
 });
 
-test("the administration API needs a key and a store", () => {
+test("the administration API requires a key and a store", () => {
   const flags = { ...REQUIRED, adminAddress: "127.0.0.1:0" };
   assert.deepEqual(problemFlags(flags), [
     "--admin-key-sha256",
@@ -138,6 +138,6 @@
   ]);
 });
 
-test("every default is allowed", () => {
+test("all defaults of the dev command are valid", () => {
   assert.ok(readSettings(DEV_SETTINGS, { flags: {}, variables: {} }).isOk);
 });
--- a/src/cli/state_command.ts
+++ b/src/cli/state_command.ts
@@ -1,4 +1,4 @@
-/** `cicadahitch state`: dumps a process's state. */
+/** `cicadahitch state`: dumps the state of a process. */
 import { Result } from "true-myth/result";
 import { systemClock } from "../base/mod.ts";
 import { type CallFailure, callUnary, ChannelPool } from "../wire/mod.ts";
@@ -14,11 +14,11 @@
 const TIMEOUT_MS = 10_000;
 const INDENT = 2;
 
-/** Why there is no dump. */
+/** Reason why the state could not be read. */
 export type StateFailure = InvalidSettings | CallFailure;
 
 /**
- * Asks a process, entry or agent, for its state.
+ * Reads the state of an entry or agent over gRPC.
  *
  * @param sources Flags and environment variables.
  * @returns The state as JSON text.
@@ -38,25 +38,25 @@
     clock: systemClock,
   });
   try {
-    const json = await askEither(pool, address);
+    const json = await requestState(pool, address);
     return pretty ? json.map(indent) : json;
   } finally {
     pool.close();
   }
 }
 
-async function askEither(
+async function requestState(
   pool: ChannelPool,
   address: string,
 ): Promise<Result<string, CallFailure>> {
   const { agent, peer } = pool.acquire(address);
   const options = { timeoutMs: TIMEOUT_MS };
-  const ofEntry = await callUnary(peer.dumpState.bind(peer), {}, options);
-  if (ofEntry.isOk) return Result.ok(ofEntry.value.json);
-  // An agent does not have the entries' service and rejects the call.
-  if (ofEntry.error.kind !== "rejected") return Result.err(ofEntry.error);
-  const ofAgent = await callUnary(agent.dumpState.bind(agent), {}, options);
-  return ofAgent.map(({ json }) => json);
+  const entryReply = await callUnary(peer.dumpState.bind(peer), {}, options);
+  if (entryReply.isOk) return Result.ok(entryReply.value.json);
+  // An agent does not implement the gRPC service of entries and rejects the call.
+  if (entryReply.error.kind !== "rejected") return Result.err(entryReply.error);
+  const agentReply = await callUnary(agent.dumpState.bind(agent), {}, options);
+  return agentReply.map(({ json }) => json);
 }
 
 function indent(json: string): string {
--- a/src/cli/tables.ts
+++ b/src/cli/tables.ts
@@ -1,11 +1,11 @@
-/** Every setting of every command; docs/OPERATING.md is made from these tables. */
+/** Tables of all settings by command; docs/OPERATING.md is generated from them. */
 import { PolicyName } from "../placement/policy_name.ts";
 import * as schemas from "./schemas.ts";
 import type { Setting, SettingTable } from "./settings.ts";
 
 const POLICY_NAMES = Object.values(PolicyName);
 
-/** How the listeners and connections between processes are kept. */
+/** Security settings of listeners and of connections between processes. */
 export const SECURITY_SETTINGS = {
   tlsCertificateFile: setting("Certificate of this process", {
     unit: "PEM file",
@@ -30,7 +30,7 @@
   }),
   insecure: setting("Allow plain traffic off loopback", {
     unit: "switch",
-    schema: schemas.SWITCH,
+    schema: schemas.BOOLEAN,
     default: "false",
     isSwitch: true,
   }),
@@ -107,7 +107,7 @@
   }),
   planPools: setting("Whether this entry may plan which server holds what", {
     unit: "true or false",
-    schema: schemas.SWITCH,
+    schema: schemas.BOOLEAN,
     default: "true",
   }),
   unreadyMs: setting("How long /readyz fails before the listener closes", {
@@ -192,7 +192,7 @@
   }),
   pretty: setting("Write it indented", {
     unit: "switch",
-    schema: schemas.SWITCH,
+    schema: schemas.BOOLEAN,
     default: "false",
     isSwitch: true,
   }),
--- a/src/cli/write_settings_page.ts
+++ b/src/cli/write_settings_page.ts
@@ -1,6 +1,6 @@
-/** `npm run docs:settings`: brings the settings part of docs/OPERATING.md up to date. */
+/** `npm run docs:settings`: regenerates the settings section of docs/OPERATING.md. */
 import { readFileSync, writeFileSync } from "node:fs";
-import { rewritePage } from "./settings_page.ts";
+import { updatePage } from "./settings_page.ts";
 
 const path = new URL("../../docs/OPERATING.md", import.meta.url);
-writeFileSync(path, rewritePage(readFileSync(path, "utf8")));
+writeFileSync(path, updatePage(readFileSync(path, "utf8")));
