--- a/src/journal/_bench.ts
+++ b/src/journal/_bench.ts
@@ -1,6 +1,6 @@
 /**
- * Measures claims over an in-memory store that answers after 3 ms. Prints a line of JSON for each
- * rate. Run it with `node --import tsx src/journal/_bench.ts`.
+ * Benchmarks claims on an in-memory store with a latency of 3 ms. Prints one line of JSON for each
+ * shard count and claim rate. Run it with `node --import tsx src/journal/_bench.ts`.
  */
 import { randomUUID } from "node:crypto";
 import { setTimeout as delay } from "node:timers/promises";
@@ -10,12 +10,12 @@
 import { digestKey, SHARD_COUNT, shardOf } from "./shard_hash.ts";
 import { StoreClaimsJournal } from "./store_claims_journal.ts";
 
-const STORE_MS = 3;
-const CALL_MS = 50;
-const TICK_MS = 5;
-const RUN_MS = 10_000;
+const STORE_LATENCY_MS = 3;
+const CALL_DURATION_MS = 50;
+const POLL_INTERVAL_MS = 5;
+const MEASUREMENT_MS = 10_000;
 const WARM_UP_MS = 300;
-const RATES = [1, 10, 100, 1000];
+const CLAIM_RATES = [1, 10, 100, 1000];
 const SETTINGS = {
   retryWindowMs: 600_000,
   timeoutMs: 10_000,
@@ -28,7 +28,7 @@
 }
 
 for (const shards of [1, SHARD_COUNT]) {
-  for (const claimsPerSecond of RATES) {
+  for (const claimsPerSecond of CLAIM_RATES) {
     const figures = await measure({ claimsPerSecond, shards });
     console.log(JSON.stringify(figures));
   }
@@ -43,18 +43,18 @@
     log: createSilentLogger(),
     maxClaimsPerShard: 100_000,
   });
-  const keys = keysOf(load.shards);
+  const keyForShard = createKeyGenerator(load.shards);
   for (let shard = 0; shard < load.shards; shard++) {
-    await claim(journal, keys(shard));
+    await claim(journal, keyForShard(shard));
   }
-  store.faults.slowMs = STORE_MS;
+  store.faults.slowMs = STORE_LATENCY_MS;
   await delay(WARM_UP_MS);
   const before = { ...store.counters };
   const cpuBefore = process.cpuUsage();
   const latencies = build({ lowestDiscernibleValue: 1 });
-  const claims = await drive(load, async (n) => {
+  const claims = await generateLoad(load, async (n) => {
     const startMs = performance.now();
-    await claim(journal, keys(n));
+    await claim(journal, keyForShard(n));
     latencies.recordValue(Math.round((performance.now() - startMs) * 1000));
   });
   const cpu = process.cpuUsage(cpuBefore);
@@ -66,7 +66,7 @@
     ...load,
     claims,
     commitsPerClaim: round(commits / claims),
-    commitsPerSecond: round(commits * 1000 / RUN_MS),
+    commitsPerSecond: round(commits * 1000 / MEASUREMENT_MS),
     bytesPerClaim: Math.round(bytes / claims),
     p50Ms: latencies.getValueAtPercentile(50) / 1000,
     p99Ms: latencies.getValueAtPercentile(99) / 1000,
@@ -74,17 +74,17 @@
   };
 }
 
-async function drive(
+async function generateLoad(
   { claimsPerSecond }: Load,
-  act: (n: number) => Promise<void>,
+  sendClaim: (n: number) => Promise<void>,
 ): Promise<number> {
   const startMs = performance.now();
   const pending: Promise<void>[] = [];
   let elapsedMs = 0;
-  while (elapsedMs < RUN_MS) {
+  while (elapsedMs < MEASUREMENT_MS) {
     const due = Math.floor(elapsedMs * claimsPerSecond / 1000) + 1;
-    while (pending.length < due) pending.push(act(pending.length));
-    await delay(TICK_MS);
+    while (pending.length < due) pending.push(sendClaim(pending.length));
+    await delay(POLL_INTERVAL_MS);
     elapsedMs = performance.now() - startMs;
   }
   await Promise.all(pending);
@@ -104,18 +104,18 @@
     settings: SETTINGS,
   });
   const answer = result.unwrapOr(undefined);
-  if (answer?.kind !== "granted") throw new Error(`Not granted: ${result}`);
+  if (answer?.kind !== "granted") throw new Error(`Claim failed: ${result}`);
   answer.ticket.begin();
   const end = () => answer.ticket.end({ kind: "done", status: 200 });
-  setTimeout(end, CALL_MS);
+  setTimeout(end, CALL_DURATION_MS);
 }
 
-/** Unused keys, the n-th in shard n modulo `shards`. */
-function keysOf(shards: number): (n: number) => Uint8Array {
-  let serial = 0;
+/** Creates a function that returns an unused key digest in shard `n % shards`. */
+function createKeyGenerator(shards: number): (n: number) => Uint8Array {
+  let nextNumber = 0;
   return (n) => {
     for (;;) {
-      const idempotencyKey = `k${serial++}`;
+      const idempotencyKey = `k${nextNumber++}`;
       const key = digestKey({
         team: "t",
         workspace: "w",
--- a/src/journal/_committer.ts
+++ b/src/journal/_committer.ts
@@ -1,4 +1,4 @@
-/** Writes the shards that an agent owns: one commit at a time, shared by all of them. */
+/** Writes the pending records of all shards that an agent owns, in one store commit at a time. */
 import { setImmediate as nextTurn } from "node:timers/promises";
 import type {
   CommitOutcome,
@@ -6,32 +6,38 @@
   StoreFailure,
 } from "../store/store.ts";
 import type { ClaimRefusal } from "./claims_journal.ts";
-import type { Entry } from "./_entry.ts";
+import type { ClaimEntry } from "./_entry.ts";
 import type { JournalOptions } from "./_options.ts";
-import { applyPart, buildPart, isDue, type Part, undoPart } from "./_part.ts";
+import {
+  applyPart,
+  buildPart,
+  type CommitPart,
+  isDue,
+  requeuePart,
+} from "./_part.ts";
 import { decodeHead, type Head, isSameWriter } from "./_records.ts";
 import type { Shard } from "./_shard.ts";
 import type { StoreHealth } from "./_store_health.ts";
 
-/** What a committer works on. */
+/** Dependencies of a {@link Committer}. */
 export interface CommitterOptions {
   options: JournalOptions;
   health: StoreHealth;
   shards: ReadonlyMap<string, Shard>;
 }
 
-/** Shards that one commit covers; three writes each stay below the store's usual bound of 128. */
-const MAX_PARTS = 40;
+/** Three writes for each shard keep a commit below the store's usual limit of 128 operations. */
+const MAX_SHARDS_PER_COMMIT = 40;
 
-/** Writes what the shards have to write. Its task is {@link Committer.run}. */
+/** Batches pending records of the owned shards into commits, in a loop ({@link Committer.run}). */
 export class Committer {
   readonly #options: JournalOptions;
   readonly #health: StoreHealth;
   readonly #shards: ReadonlyMap<string, Shard>;
-  #isKicked = false;
+  #isCommitRequested = false;
   #wake: () => void = () => {};
-  /** Claims in the commit that is under way. */
-  #inFlight: Part[] = [];
+  /** The parts of the commit in flight. */
+  #inFlight: CommitPart[] = [];
   #commits = 0;
 
   private constructor({ options, health, shards }: CommitterOptions) {
@@ -40,58 +46,60 @@
     this.#shards = shards;
   }
 
-  /** @param options What to work on. */
+  /** @param options Settings, store health and the agent's shards. */
   static create(options: CommitterOptions): Committer {
     return new Committer(options);
   }
 
-  /** Query: commits sent. */
+  /** Number of commits sent to the store, including retries. */
   get commits(): number {
     return this.#commits;
   }
 
-  /** There is something to write. */
-  kick(): void {
-    this.#isKicked = true;
+  /** Wakes the commit loop; called when a record is pending. */
+  requestCommit(): void {
+    this.#isCommitRequested = true;
     this.#wake();
   }
 
   /**
-   * Commits until the signal is aborted.
+   * Runs the commit loop until the signal is aborted.
    *
-   * @param signal Ends the task.
+   * @param signal Stops the loop.
    */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, commitIntervalMs } = this.#options;
-    signal.addEventListener("abort", () => this.kick(), { once: true });
+    signal.addEventListener("abort", () => this.requestCommit(), {
+      once: true,
+    });
     while (!signal.aborted) {
-      await this.#awaitWork();
+      await this.#waitForWork();
       const { retryAfterMs } = this.#health;
       if (retryAfterMs > 0) await clock.sleep(retryAfterMs, signal);
-      // Claims of the same turn of the event loop share the commit.
+      // Waits one turn of the event loop, so that claims made in the same turn share a commit.
       await nextTurn();
-      const parts = this.#build();
+      const parts = this.#buildParts();
       if (parts.length === 0 || signal.aborted) continue;
       const startedMs = clock.nowMs();
-      await this.#write(parts, signal);
-      const restMs = startedMs + commitIntervalMs - clock.nowMs();
-      if (restMs > 0) await clock.sleep(restMs, signal);
+      await this.#commit(parts, signal);
+      const remainingMs = startedMs + commitIntervalMs - clock.nowMs();
+      if (remainingMs > 0) await clock.sleep(remainingMs, signal);
     }
   }
 
-  async #awaitWork(): Promise<void> {
-    if (!this.#isKicked) {
+  async #waitForWork(): Promise<void> {
+    if (!this.#isCommitRequested) {
       const stop = new AbortController();
-      const kicked = new Promise<void>((resolve) => this.#wake = resolve);
-      const { clock, endFlushMs } = this.#options;
-      const flush = clock.sleep(endFlushMs, stop.signal);
-      await Promise.race([kicked, flush]);
+      const requested = new Promise<void>((resolve) => this.#wake = resolve);
+      const { clock, endFlushDelayMs } = this.#options;
+      const flushDelay = clock.sleep(endFlushDelayMs, stop.signal);
+      await Promise.race([requested, flushDelay]);
       stop.abort();
     }
-    this.#isKicked = false;
+    this.#isCommitRequested = false;
   }
 
-  #build(): Part[] {
+  #buildParts(): CommitPart[] {
     const { clock } = this.#options;
     const context = {
       options: this.#options,
@@ -100,14 +108,15 @@
       maxClaims: this.#options.maxClaimsPerCommit,
     };
     const shards = [...this.#shards.values()];
-    for (const shard of shards) shard.purge(context.nowMs);
-    // Whatever else waits rides along, since calls count and bytes hardly do.
+    for (const shard of shards) shard.forgetExpired(context.nowMs);
+    // A commit also carries records that are not due yet: its cost depends on the number of calls
+    // to the store and hardly on their size.
     if (!shards.some((shard) => isDue(shard, context))) return [];
     const dueFirst = shards.filter((shard) => isDue(shard, context));
     const others = shards.filter((shard) => !isDue(shard, context));
-    const parts: Part[] = [];
+    const parts: CommitPart[] = [];
     for (const shard of [...dueFirst, ...others]) {
-      if (parts.length === MAX_PARTS) break;
+      if (parts.length === MAX_SHARDS_PER_COMMIT) break;
       const part = buildPart(shard, context);
       if (!part) continue;
       context.maxClaims -= part.claims.length;
@@ -116,7 +125,10 @@
     return parts;
   }
 
-  async #write(parts: Part[], signal: AbortSignal): Promise<void> {
+  async #commit(
+    parts: CommitPart[],
+    signal: AbortSignal,
+  ): Promise<void> {
     const { clock, store } = this.#options;
     const expect = parts.map((part) => part.expect);
     const writes = parts.flatMap((part) => part.writes);
@@ -125,20 +137,21 @@
     this.#inFlight = parts;
     while (!signal.aborted) {
       this.#commits++;
-      this.#health.commitSent();
-      // Sent again, the same commit takes effect at most once, since it changes what it expects.
+      this.#health.recordCommitSent();
+      // A retry is safe: the commit changes the revisions that it expects, so that it takes effect
+      // at most once.
       const result = await store.commit(expect, writes);
-      this.#health.commitReturned();
+      this.#health.recordCommitReturned();
       if (result.isOk) {
-        this.#health.succeeded();
-        this.#settle(parts, { outcome: result.value, sentMs });
+        this.#health.recordSuccess();
+        this.#handleOutcome(parts, { outcome: result.value, sentMs });
         break;
       }
-      this.#noteFailure(result.error);
+      this.#handleFailure(result.error);
       if (result.error.kind !== "unavailable") mayTakeEffect = true;
       if (!mayTakeEffect) {
-        for (const part of parts) undoPart(part);
-        this.kick();
+        for (const part of parts) requeuePart(part);
+        this.requestCommit();
         break;
       }
       await clock.sleep(this.#health.retryAfterMs, signal);
@@ -146,29 +159,32 @@
     this.#inFlight = [];
   }
 
-  #noteFailure(failure: StoreFailure): void {
-    this.#health.failed();
-    this.#options.log.warn({ failure }, "Could not write the claims journal");
-    if (this.#health.isDown) this.#decideWithoutStore();
+  #handleFailure(failure: StoreFailure): void {
+    this.#health.recordFailure();
+    this.#options.log.warn(
+      { failure },
+      "Failed to write to the claims journal",
+    );
+    if (this.#health.isDown) this.#decidePendingLocally();
   }
 
-  /** Claims that wait while the store is down are granted from memory or refused. */
-  #decideWithoutStore(): void {
+  /** Grants from memory, or refuses, all claims that wait while the store is down. */
+  #decidePendingLocally(): void {
     for (const part of this.#inFlight) {
-      for (const entry of part.claims) this.giveUpWaiting(part.shard, entry);
+      for (const entry of part.claims) this.decideLocally(part.shard, entry);
     }
     for (const shard of this.#shards.values()) {
-      for (const entry of [...shard.queue]) this.giveUpWaiting(shard, entry);
+      for (const entry of [...shard.queue]) this.decideLocally(shard, entry);
     }
   }
 
   /**
-   * Decides a claim that the store has not answered for.
+   * Grants a claim from memory or refuses it, without waiting any longer for the store.
    *
-   * @param shard The claim's shard.
-   * @param entry The claim.
+   * @param shard The shard of the claim.
+   * @param entry The undecided claim.
    */
-  giveUpWaiting(shard: Shard, entry: Entry): void {
+  decideLocally(shard: Shard, entry: ClaimEntry): void {
     const nowMs = this.#options.clock.nowMs();
     if (shard.mayGrantFromMemory(entry, nowMs)) {
       shard.grant(entry, nowMs);
@@ -183,8 +199,8 @@
     shard.refuse(entry, refusal, nowMs);
   }
 
-  #settle(
-    parts: Part[],
+  #handleOutcome(
+    parts: CommitPart[],
     { outcome, sentMs }: { outcome: CommitOutcome; sentMs: number },
   ): void {
     const nowMs = this.#options.clock.nowMs();
@@ -201,42 +217,45 @@
       if (revision !== undefined) {
         this.#apply(part, { revision, sentMs, nowMs });
       } else if (found?.modRevision !== part.expect.modRevision) {
-        this.#lose(part.shard, found);
+        this.#endOwnership(part.shard, found);
       } else {
-        undoPart(part);
+        requeuePart(part);
       }
     }
-    this.kick();
+    this.requestCommit();
   }
 
   #apply(
-    part: Part,
-    commitment: { revision: bigint; sentMs: number; nowMs: number },
+    part: CommitPart,
+    result: { revision: bigint; sentMs: number; nowMs: number },
   ): void {
-    applyPart(part, commitment);
+    applyPart(part, result);
     if (!part.head?.released) return;
     const refusal: ClaimRefusal = {
       kind: "not_run",
       cause: "closing",
       retryAfterMs: 1,
     };
-    part.shard.lose(refusal, commitment.nowMs);
+    part.shard.endOwnership(refusal, result.nowMs);
   }
 
-  #lose(shard: Shard, found: KeyValueEntry | undefined): void {
+  #endOwnership(shard: Shard, found: KeyValueEntry | undefined): void {
     const nowMs = this.#options.clock.nowMs();
     const head = found && decodeHead(found.value).unwrapOr(undefined);
-    shard.lose(refusalOf(head), nowMs);
+    shard.endOwnership(createLostOwnershipRefusal(head), nowMs);
     if (!head) return;
     const readMs = nowMs;
     shard.ownership = { kind: "foreign", head, seenMs: nowMs, readMs };
     const { address, epoch } = head;
-    this.#options.log.info({ ...shard.id, address, epoch }, "Lost a shard");
+    this.#options.log.info(
+      { ...shard.id, address, epoch },
+      "Lost the ownership of a shard",
+    );
   }
 }
 
 function isWrittenBy(
-  part: Part,
+  part: CommitPart,
   current: ReadonlyMap<string, KeyValueEntry>,
 ): boolean {
   const found = current.get(part.expect.key);
@@ -246,7 +265,7 @@
     .unwrapOr(false);
 }
 
-function refusalOf(head: Head | undefined): ClaimRefusal {
+function createLostOwnershipRefusal(head: Head | undefined): ClaimRefusal {
   if (!head || head.released) {
     return { kind: "not_run", cause: "ownership_lost", retryAfterMs: 1 };
   }
--- a/src/journal/_entry.ts
+++ b/src/journal/_entry.ts
@@ -1,4 +1,4 @@
-/** A claim in an agent's memory. */
+/** In-memory representation of a claim. */
 import type { Result } from "true-myth/result";
 import { err, ok } from "true-myth/result";
 import type {
@@ -10,41 +10,42 @@
 } from "./claims_journal.ts";
 
 /**
- * How far a claim has come: `foreign` ones were read from the journal, all others are this
- * process's own.
+ * State of a claim. `foreign`: read from the journal and made by another process. All others were
+ * made by this process: `waiting` for a decision, `granted`, or `begun` (the call is forwarded).
  */
 export type ClaimPhase = "foreign" | "waiting" | "granted" | "begun";
 
-/** The answer to a claim's caller; no refusal: granted. */
+/** The decision on a claim: its refusal, or undefined if it is granted. */
 export type Decision = ClaimRefusal | undefined;
 
-/** A claim that this process made or read. */
-export interface Entry {
+/** A claim that this process made, or read from the journal. */
+export interface ClaimEntry {
   readonly key: string;
   readonly fingerprint: Uint8Array;
   readonly claimant: Claimant;
   readonly windowMs: number;
-  /** True if it may be granted without the store; own claims only. */
+  /** True if the claim may be granted while the store is down; own claims only. */
   readonly allowsMemory: boolean;
-  /** Monotonic and wall time at which the claim was asked for; own claims only. */
-  readonly askedMs: number;
-  readonly askedWallMs: number;
-  /** Resolved when the claim's caller has its answer; own claims only. */
+  /** Monotonic and wall-clock time of the request; own claims only. */
+  readonly requestedMs: number;
+  readonly requestedWallMs: number;
+  /** Resolves when the claim is granted or refused; own claims only. */
   readonly decided: Promise<Decision>;
   decide: (decision: Decision) => void;
   phase: ClaimPhase;
   end: ClaimEnd | undefined;
-  /** Monotonic time of the end, for the flush. */
+  /** Monotonic time of the end; bounds how long the end may wait to be written. */
   endedMs: number;
-  endIsWritten: boolean;
-  /** Its id in the journal; segment 0: not known to be there. */
+  /** True if the journal is known to contain the end. */
+  isEndWritten: boolean;
+  /** Position in the journal; segment 0 if the claim is not known to be written. */
   segment: number;
   index: number;
-  /** When it may be forgotten, on the journal's time line. */
+  /** Expiry time on the shard's journal clock; see {@link Head}. */
   expiresJournalMs: number;
 }
 
-/** When and by whom an own claim is made. */
+/** Claimant and times of a claim that this process makes. */
 export interface OwnClaimContext {
   claimant: Claimant;
   windowMs: number;
@@ -53,30 +54,30 @@
 }
 
 /**
- * @param request What the caller asks.
- * @param context When and by whom.
- * @returns A claim that waits for its answer.
+ * @param request The caller's request.
+ * @param context Claimant, retry window and times of the claim.
+ * @returns A claim that waits for its decision.
  */
 export function createOwnEntry(
   request: ClaimRequest,
   context: OwnClaimContext,
-): Entry {
-  let decide: Entry["decide"] = () => {};
+): ClaimEntry {
+  let decide: ClaimEntry["decide"] = () => {};
   const decided = new Promise<Decision>((resolve) => decide = resolve);
   return {
-    ...blankEntry(keyOf(request.keyDigest), context.claimant),
+    ...createEmptyEntry(digestToKey(request.keyDigest), context.claimant),
     fingerprint: request.fingerprint,
     windowMs: context.windowMs,
     allowsMemory: request.settings.whenStoreDown === "memory",
-    askedMs: context.nowMs,
-    askedWallMs: context.wallMs,
+    requestedMs: context.nowMs,
+    requestedWallMs: context.wallMs,
     decided,
     decide,
     phase: "waiting",
   };
 }
 
-/** What was read of a claim. */
+/** A claim of another process, as read from the journal. */
 export interface ForeignClaim {
   keyDigest: Uint8Array;
   fingerprint: Uint8Array;
@@ -85,12 +86,12 @@
 }
 
 /**
- * @param claim What was read.
- * @returns A claim that belongs to another process.
+ * @param claim A claim read from the journal.
+ * @returns The claim in phase `foreign`.
  */
-export function createForeignEntry(claim: ForeignClaim): Entry {
+export function createForeignEntry(claim: ForeignClaim): ClaimEntry {
   return {
-    ...blankEntry(keyOf(claim.keyDigest), claim.claimant),
+    ...createEmptyEntry(digestToKey(claim.keyDigest), claim.claimant),
     fingerprint: claim.fingerprint,
     windowMs: claim.windowMs,
   };
@@ -98,36 +99,37 @@
 
 /**
  * @param keyDigest See `digestKey`.
- * @returns The key of maps.
+ * @returns The digest as a string, for use as a map key.
  */
-export function keyOf(keyDigest: Uint8Array): string {
+export function digestToKey(keyDigest: Uint8Array): string {
   return Buffer.from(keyDigest).toString("latin1");
 }
 
 /**
- * @param key The key of maps.
- * @returns The digest it was made from.
+ * @param key A map key made by {@link digestToKey}.
+ * @returns The digest that it was made from.
  */
-export function digestOf(key: string): Uint8Array {
+export function keyToDigest(key: string): Uint8Array {
   return new Uint8Array(Buffer.from(key, "latin1"));
 }
 
 /**
  * @param entry A claim.
- * @returns True if it can no longer lead to an execution by an own process's run.
+ * @returns True if its call was never forwarded and never will be.
  */
-export function isNotRun(entry: Entry): boolean {
+export function isNotRun(entry: ClaimEntry): boolean {
   return entry.end?.kind === "not_run";
 }
 
 /**
- * What a repeat of the key is told.
+ * Answers a repeated claim of the same key.
  *
- * @param entry A claim that has been decided and was not refused.
+ * @param entry The existing claim, which is decided and was not refused.
  * @param ownAddress This agent's address.
+ * @returns The state of the existing claim; refusal `unknown` if its outcome is lost.
  */
-export function answerRepeat(
-  entry: Entry,
+export function answerRepeatedClaim(
+  entry: ClaimEntry,
   ownAddress: string,
 ): Result<ClaimAnswer, ClaimRefusal> {
   const { claimant, end, phase } = entry;
@@ -138,25 +140,25 @@
   if (claimant.address !== ownAddress) {
     return ok({ kind: "elsewhere", claimant });
   }
-  // An earlier process at this address claimed it, and took its knowledge along.
+  // An earlier process at this address made the claim; its in-memory state is lost.
   return err({ kind: "unknown", retryAfterMs: entry.windowMs });
 }
 
-function blankEntry(key: string, claimant: Claimant): Entry {
+function createEmptyEntry(key: string, claimant: Claimant): ClaimEntry {
   return {
     key,
     fingerprint: NO_BYTES,
     claimant,
     windowMs: 0,
     allowsMemory: false,
-    askedMs: 0,
-    askedWallMs: 0,
-    decided: DECIDED,
+    requestedMs: 0,
+    requestedWallMs: 0,
+    decided: ALREADY_GRANTED,
     decide: () => {},
     phase: "foreign",
     end: undefined,
     endedMs: 0,
-    endIsWritten: false,
+    isEndWritten: false,
     segment: 0,
     index: 0,
     expiresJournalMs: 0,
@@ -164,4 +166,4 @@
 }
 
 const NO_BYTES = new Uint8Array();
-const DECIDED: Promise<Decision> = Promise.resolve(undefined);
+const ALREADY_GRANTED: Promise<Decision> = Promise.resolve(undefined);
--- a/src/journal/_opener.ts
+++ b/src/journal/_opener.ts
@@ -1,4 +1,4 @@
-/** Takes over shards. */
+/** Acquires the ownership of shards. */
 import { err, ok, type Result } from "true-myth/result";
 import type { Unit } from "true-myth/unit";
 import type { Expectation, KeyValueEntry, Write } from "../store/store.ts";
@@ -10,116 +10,124 @@
 import type { Shard } from "./_shard.ts";
 import type { StoreHealth } from "./_store_health.ts";
 
-/** What an opener works with. */
-export interface OpenerOptions {
+/** Dependencies of a {@link ShardAcquirer}. */
+export interface ShardAcquirerOptions {
   options: JournalOptions;
   health: StoreHealth;
 }
 
-/** A shard as its predecessor left it. */
-interface FoundShard extends Replay {
+/** The stored state of a shard, as its previous owner left it. */
+interface StoredShard extends Replay {
   head: Head | undefined;
   modRevision: bigint;
 }
 
-/** What a takeover led to. */
+/** Result of a takeover; `beaten`: another agent changed the head first. */
 type TakeoverOutcome = "taken" | "beaten" | "store_down";
 
-const MAX_TRIES = 4;
+const MAX_ATTEMPTS = 4;
 const FIRST_SEGMENT = 1;
 
-/** Takes over shards, where that is due. */
-export class Opener {
+/** Acquires the ownership of shards; concurrent calls for one shard share one acquisition. */
+export class ShardAcquirer {
   readonly #options: JournalOptions;
   readonly #health: StoreHealth;
-  readonly #opening = new Map<Shard, Promise<Result<Unit, ClaimRefusal>>>();
+  readonly #acquisitions = new Map<
+    Shard,
+    Promise<Result<Unit, ClaimRefusal>>
+  >();
 
-  private constructor({ options, health }: OpenerOptions) {
+  private constructor({ options, health }: ShardAcquirerOptions) {
     this.#options = options;
     this.#health = health;
   }
 
-  /** @param options What to work with. */
-  static create(options: OpenerOptions): Opener {
-    return new Opener(options);
+  /** @param options Settings and store health. */
+  static create(options: ShardAcquirerOptions): ShardAcquirer {
+    return new ShardAcquirer(options);
   }
 
-  /** Query: true while a takeover is under way. */
+  /** True while an acquisition is in progress. */
   get isBusy(): boolean {
-    return this.#opening.size > 0;
+    return this.#acquisitions.size > 0;
   }
 
   /**
-   * Makes this agent the shard's owner, unless another one should be asked.
+   * Makes this agent the owner of the shard, unless the caller should ask the current owner.
    *
-   * @param shard A shard that is not owned.
-   * @param unreachable Addresses of owners that gave no answer.
-   * @returns Why it is not the owner.
+   * @param shard A shard that this agent does not own.
+   * @param unreachable Addresses of owners that did not answer the caller.
+   * @returns The reason why this agent did not become the owner, if so.
    */
-  async open(
+  async acquire(
     shard: Shard,
     unreachable: string[],
   ): Promise<Result<Unit, ClaimRefusal>> {
-    const underWay = this.#opening.get(shard);
-    if (underWay) {
-      const result = await underWay;
+    const ongoing = this.#acquisitions.get(shard);
+    if (ongoing) {
+      const result = await ongoing;
       if (result.isOk || result.error.kind !== "redirect") return result;
     }
-    if (shard.tenure) return ok();
-    const next = this.#opening.get(shard) ?? this.#start(shard, unreachable);
-    return await next;
+    if (shard.ownerState) return ok();
+    const acquisition = this.#acquisitions.get(shard) ??
+      this.#start(shard, unreachable);
+    return await acquisition;
   }
 
   #start(
     shard: Shard,
     unreachable: string[],
   ): Promise<Result<Unit, ClaimRefusal>> {
-    const result = this.#open(shard, unreachable)
-      .finally(() => this.#opening.delete(shard));
-    this.#opening.set(shard, result);
+    const result = this.#acquire(shard, unreachable)
+      .finally(() => this.#acquisitions.delete(shard));
+    this.#acquisitions.set(shard, result);
     return result;
   }
 
-  async #open(
+  async #acquire(
     shard: Shard,
     unreachable: string[],
   ): Promise<Result<Unit, ClaimRefusal>> {
     const { ownership } = shard;
-    if (ownership.kind === "foreign" && this.#isFresh(ownership.readMs)) {
-      const remembered = this.#redirect(shard, ownership.head, unreachable);
-      if (remembered) return err(remembered);
+    if (ownership.kind === "foreign" && this.#isCacheFresh(ownership.readMs)) {
+      const cachedRedirect = this.#findRedirect(
+        shard,
+        ownership.head,
+        unreachable,
+      );
+      if (cachedRedirect) return err(cachedRedirect);
     }
-    if (this.#health.mustWait) return err(this.#storeDown());
-    const redirect = await this.#readRedirect(shard, unreachable);
+    if (this.#health.failsFast) return err(this.#createStoreDownRefusal());
+    const redirect = await this.#readHeadForRedirect(shard, unreachable);
     if (redirect.isErr) return redirect;
-    for (let tries = 0; tries < MAX_TRIES; tries++) {
-      const found = await this.#find(shard, unreachable);
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+      const found = await this.#readShard(shard, unreachable);
       if (found.isErr) return err(found.error);
       const outcome = await this.#takeOver(shard, found.value);
       if (outcome === "taken") return ok();
-      if (outcome === "store_down") return err(this.#storeDown());
+      if (outcome === "store_down") return err(this.#createStoreDownRefusal());
     }
     return err({ kind: "not_run", cause: "ownership_lost", retryAfterMs: 50 });
   }
 
-  /** A remembered owner may have gone since. */
-  #isFresh(readMs: number): boolean {
-    const { clock, tenureMs } = this.#options;
-    return clock.nowMs() - readMs < tenureMs;
+  /** True if a cached head is recent enough; later its owner may have stopped. */
+  #isCacheFresh(readMs: number): boolean {
+    const { clock, minOwnershipMs } = this.#options;
+    return clock.nowMs() - readMs < minOwnershipMs;
   }
 
-  /** Reads the head alone, which is cheaper than the list where another owner is to be asked. */
-  async #readRedirect(
+  /** Reads only the head, which is cheaper than a list of the shard if a redirect results. */
+  async #readHeadForRedirect(
     shard: Shard,
     unreachable: string[],
   ): Promise<Result<Unit, ClaimRefusal>> {
     const read = await this.#options.store.get(headKey(shard.id));
-    if (read.isErr) return err(this.#noteFailure());
-    this.#health.succeeded();
+    if (read.isErr) return err(this.#recordFailure());
+    this.#health.recordSuccess();
     if (!read.value) return ok();
     const head = decodeHead(read.value.value);
     if (head.isErr) return err(this.#unreadable(shard, head.error.message));
-    const redirect = this.#redirect(shard, head.value, unreachable);
+    const redirect = this.#findRedirect(shard, head.value, unreachable);
     if (!redirect) return ok();
     if (shard.ownership.kind === "foreign") {
       shard.ownership.readMs = this.#options.clock.nowMs();
@@ -127,21 +135,21 @@
     return err(redirect);
   }
 
-  async #find(
+  async #readShard(
     shard: Shard,
     unreachable: string[],
-  ): Promise<Result<FoundShard, ClaimRefusal>> {
+  ): Promise<Result<StoredShard, ClaimRefusal>> {
     const listing = await this.#options.store.list(shardPrefix(shard.id));
-    if (listing.isErr) return err(this.#noteFailure());
-    this.#health.succeeded();
+    if (listing.isErr) return err(this.#recordFailure());
+    this.#health.recordSuccess();
     const { entries } = listing.value;
     const headEntry = entries.find(({ key }) => key === headKey(shard.id));
     const segments = entries.filter((entry) => entry !== headEntry);
     const head = headEntry && decodeHead(headEntry.value);
     if (head?.isErr) return err(this.#unreadable(shard, head.error.message));
-    const redirect = head && this.#redirect(shard, head.value, unreachable);
+    const redirect = head && this.#findRedirect(shard, head.value, unreachable);
     if (redirect) return err(redirect);
-    const replay = replaySegments(segments, shard.own);
+    const replay = replaySegments(segments, shard.ownClaims);
     if (replay.isErr) {
       return err(this.#unreadable(shard, replay.error.message));
     }
@@ -151,61 +159,62 @@
 
   async #takeOver(
     shard: Shard,
-    found: FoundShard,
+    found: StoredShard,
   ): Promise<TakeoverOutcome> {
     const { clock } = this.#options;
-    const head = this.#successorHead(shard, found.head);
+    const head = this.#createSuccessorHead(shard, found.head);
     const sentMs = clock.nowMs();
     const modRevision = await this.#commitHead(shard, found, head);
     if (typeof modRevision !== "bigint") return modRevision;
     const nowMs = clock.nowMs();
     const { segments, claims } = found;
-    // The time line starts only now, when the predecessor can confirm its ownership no more.
-    const tenure = {
+    // The journal clock starts only after the commit: the predecessor can't confirm its ownership
+    // any more.
+    const ownerState = {
       head,
       modRevision,
       commitNumber: head.commitNumber,
       startedMs: nowMs,
       startedJournalMs: head.journalMs,
       confirmedMs: sentMs,
-      memoryLimitMs: head.memoryLimitMs,
+      maxMemoryGrantMs: head.maxMemoryGrantMs,
     };
-    shard.adopt({ tenure, segments, claims });
+    shard.startOwnership({ ownerState, segments, claims });
     const { epoch, quarantineUntilJournalMs } = head;
     const quarantineMs = quarantineUntilJournalMs - head.journalMs;
     const details = { ...shard.id, epoch, claims: claims.length, quarantineMs };
-    this.#options.log.info(details, "Took a shard over");
+    this.#options.log.info(details, "Took over a shard");
     return "taken";
   }
 
-  /** The new head's revision, or why there is none. */
+  /** Commits the new head; returns its revision, or the reason of the failure. */
   async #commitHead(
     shard: Shard,
-    found: FoundShard,
+    found: StoredShard,
     head: Head,
   ): Promise<bigint | "beaten" | "store_down"> {
     const key = headKey(shard.id);
     const expect: Expectation[] = [{ key, modRevision: found.modRevision }];
     const writes: Write[] = [{ kind: "put", key, value: encodeHead(head) }];
-    for (let tries = 0; tries < MAX_TRIES; tries++) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       const result = await this.#options.store.commit(expect, writes);
       if (result.isErr) {
-        // If it takes effect after all, the store has an epoch in which nothing is granted.
-        this.#health.failed();
+        // If this commit takes effect later, the store has an epoch in which nothing is granted.
+        this.#health.recordFailure();
         await this.#options.clock.sleep(this.#health.retryAfterMs);
         continue;
       }
-      this.#health.succeeded();
+      this.#health.recordSuccess();
       if (result.value.kind === "committed") return result.value.revision;
       const current = result.value.current.find((entry) => entry.key === key);
-      const isOwn = current && isWriter(current, head);
+      const isOwn = current && isWrittenBy(current, head);
       return isOwn ? current.modRevision : "beaten";
     }
     return "store_down";
   }
 
-  #successorHead(shard: Shard, previous: Head | undefined): Head {
-    const { address, agentIncarnation, memoryLimitMs } = this.#options;
+  #createSuccessorHead(shard: Shard, previous: Head | undefined): Head {
+    const { address, agentIncarnation, maxMemoryGrantMs } = this.#options;
     return {
       address,
       agentIncarnation,
@@ -214,30 +223,32 @@
       oldestSegment: previous?.oldestSegment ?? FIRST_SEGMENT,
       nextSegment: previous?.nextSegment ?? FIRST_SEGMENT,
       journalMs: previous?.journalMs ?? 0,
-      memoryLimitMs: shard.wantsMemoryMode ? memoryLimitMs : 0,
-      retryWindowMs: Math.max(shard.windowMs, previous?.retryWindowMs ?? 0),
+      maxMemoryGrantMs: shard.wantsMemoryMode ? maxMemoryGrantMs : 0,
+      retryWindowMs: Math.max(shard.maxWindowMs, previous?.retryWindowMs ?? 0),
       quarantineUntilJournalMs: this.#quarantineUntil(previous),
       released: false,
     };
   }
 
   /**
-   * A predecessor in `memory` mode that did not give the shard back may have granted without the
-   * journal, and may go on until its limit, counted from when it was last confirmed, which was
-   * before this takeover; repeats of those keys are due for a retry window more.
+   * Returns the end of the quarantine on the journal clock. A predecessor in `memory` mode that did
+   * not release the shard may have granted claims without the journal. It may do so until its limit
+   * has passed since its last confirmation, which was before this takeover. Repeats of those keys
+   * may come for one retry window more.
    */
   #quarantineUntil(previous: Head | undefined): number {
     if (!previous) return 0;
-    const { agentIncarnation, memoryLimitMs, released } = previous;
+    const { agentIncarnation, maxMemoryGrantMs, released } = previous;
     const isOwn = agentIncarnation === this.#options.agentIncarnation;
     const untilMs = previous.quarantineUntilJournalMs;
-    if (isOwn || released || memoryLimitMs === 0) return untilMs;
-    const waitMs = memoryLimitMs * CLOCK_RATE_MARGIN + previous.retryWindowMs;
+    if (isOwn || released || maxMemoryGrantMs === 0) return untilMs;
+    const waitMs = maxMemoryGrantMs * CLOCK_RATE_MARGIN +
+      previous.retryWindowMs;
     return Math.max(untilMs, previous.journalMs + waitMs);
   }
 
-  /** Where to ask instead; undefined if this agent should take over. */
-  #redirect(
+  /** Returns a redirect to the owner, or undefined if this agent should take over. */
+  #findRedirect(
     shard: Shard,
     head: Head,
     unreachable: string[],
@@ -247,36 +258,39 @@
     if (unreachable.includes(address)) return undefined;
     const nowMs = this.#options.clock.nowMs();
     const { ownership } = shard;
-    const isKnown = ownership.kind === "foreign" &&
+    const isCached = ownership.kind === "foreign" &&
       ownership.head.epoch === epoch;
-    const seenMs = isKnown ? ownership.seenMs : nowMs;
-    const readMs = isKnown ? ownership.readMs : nowMs;
+    const seenMs = isCached ? ownership.seenMs : nowMs;
+    const readMs = isCached ? ownership.readMs : nowMs;
     shard.ownership = { kind: "foreign", head, seenMs, readMs };
-    // A takeover from an owner in memory mode costs a quarantine.
-    const mayTake = head.memoryLimitMs === 0 &&
-      nowMs - seenMs >= this.#options.tenureMs;
-    return mayTake
+    // An owner in `memory` mode is not replaced here, since a takeover would cause a quarantine.
+    const mayTakeOver = head.maxMemoryGrantMs === 0 &&
+      nowMs - seenMs >= this.#options.minOwnershipMs;
+    return mayTakeOver
       ? undefined
       : { kind: "redirect", address, agentIncarnation };
   }
 
-  #noteFailure(): ClaimRefusal {
-    this.#health.failed();
-    return this.#storeDown();
+  #recordFailure(): ClaimRefusal {
+    this.#health.recordFailure();
+    return this.#createStoreDownRefusal();
   }
 
-  #storeDown(): ClaimRefusal {
+  #createStoreDownRefusal(): ClaimRefusal {
     const retryAfterMs = Math.max(1, this.#health.retryAfterMs);
     return { kind: "not_run", cause: "store_down", retryAfterMs };
   }
 
   #unreadable(shard: Shard, message: string): ClaimRefusal {
-    this.#options.log.error({ ...shard.id, message }, "Unreadable journal");
+    this.#options.log.error(
+      { ...shard.id, message },
+      "Could not decode the claims journal",
+    );
     return { kind: "not_run", cause: "unreadable", retryAfterMs: 60_000 };
   }
 }
 
-function isWriter(entry: KeyValueEntry, head: Head): boolean {
+function isWrittenBy(entry: KeyValueEntry, head: Head): boolean {
   return decodeHead(entry.value)
     .map((found) => isSameWriter(found, head))
     .unwrapOr(false);
--- a/src/journal/_options.ts
+++ b/src/journal/_options.ts
@@ -1,68 +1,68 @@
-/** Settings of a journal. */
+/** Settings of a claims journal. */
 import { type Clock, type Logger, systemClock } from "../base/mod.ts";
 import type { KeyValueStore } from "../store/store.ts";
 
 /** Settings that have defaults. */
 export interface JournalTuning {
   clock: Clock;
-  /** Uniform in [0, 1), for spreading retries. */
+  /** Returns a uniform number in [0, 1), for the jitter of retries. */
   random: () => number;
-  /** Shortest time between the starts of two commits. */
+  /** Minimum time between the starts of two commits. */
   commitIntervalMs: number;
-  /** How long ends wait for a claim to ride along with. */
-  endFlushMs: number;
-  /** How long a claim waits for the store. */
-  claimWaitMs: number;
-  /** A commit without an answer for so long means that the store is down. */
-  slowCommitMs: number;
-  /** How late after its request a claim may still be passed on. */
-  passOnMs: number;
-  /** How long a live owner keeps a shard that another agent is asked for. */
-  tenureMs: number;
-  /** How long an owner in `memory` mode may grant without the store. */
-  memoryLimitMs: number;
-  /** Claims that a shard holds at most. */
+  /** Longest time that ends wait for a commit of claims before they are written on their own. */
+  endFlushDelayMs: number;
+  /** Longest time that a claim waits for the store. */
+  claimTimeoutMs: number;
+  /** The store counts as down while a commit is unanswered for longer than this. */
+  slowCommitThresholdMs: number;
+  /** Longest time after its request at which a granted call may still be forwarded. */
+  maxForwardDelayMs: number;
+  /** Minimum time for which an owner keeps a shard that callers ask another agent for. */
+  minOwnershipMs: number;
+  /** Longest time for which an owner in `memory` mode may grant claims without the store. */
+  maxMemoryGrantMs: number;
+  /** Maximum number of claims in a shard. */
   maxClaimsPerShard: number;
-  /** Claims that one commit covers, so that its size stays far below a megabyte. */
+  /** Maximum number of claims in a commit; keeps the size of a commit far below a megabyte. */
   maxClaimsPerCommit: number;
-  /** How long {@link ClaimsJournal.close} tries. */
-  closeWaitMs: number;
+  /** Longest time that {@link ClaimsJournal.close} waits for its writes. */
+  closeTimeoutMs: number;
 }
 
 /** Settings of a {@link StoreClaimsJournal}. */
 export interface StoreClaimsJournalOptions extends Partial<JournalTuning> {
   store: KeyValueStore;
-  /** This agent's address, as other agents and entries reach it. */
+  /** Address at which other agents and entries reach this agent. */
   address: string;
-  /** Differs for each process that ever ran. */
+  /** Unique id of this process. */
   agentIncarnation: string;
   log: Logger;
 }
 
-/** Settings, complete. */
+/** Settings with all defaults applied. */
 export type JournalOptions = Required<StoreClaimsJournalOptions>;
 
-/** Monotonic clocks of two machines differ in rate by less than this. */
+/** Upper bound for the ratio between the rates of the monotonic clocks of two instances. */
 export const CLOCK_RATE_MARGIN = 1.002;
 
 const DEFAULT_TUNING: JournalTuning = {
   clock: systemClock,
   random: Math.random,
   commitIntervalMs: 25,
-  endFlushMs: 1000,
-  claimWaitMs: 1500,
-  slowCommitMs: 1000,
-  passOnMs: 30_000,
-  tenureMs: 30_000,
-  memoryLimitMs: 600_000,
+  endFlushDelayMs: 1000,
+  claimTimeoutMs: 1500,
+  slowCommitThresholdMs: 1000,
+  maxForwardDelayMs: 30_000,
+  minOwnershipMs: 30_000,
+  maxMemoryGrantMs: 600_000,
   maxClaimsPerShard: 8192,
   maxClaimsPerCommit: 1000,
-  closeWaitMs: 3000,
+  closeTimeoutMs: 3000,
 };
 
 /**
- * @param options What differs from the defaults.
- * @returns All settings.
+ * @param options Settings that override the defaults.
+ * @returns The complete settings.
  */
 export function withDefaults(
   options: StoreClaimsJournalOptions,
--- a/src/journal/_part.ts
+++ b/src/journal/_part.ts
@@ -1,137 +1,142 @@
-/** One shard's part of a commit: what it expects and writes, and what follows from its result. */
+/** Builds one shard's part of a commit, and applies or reverts it when the result is known. */
 import type { Expectation, Write } from "../store/store.ts";
-import { digestOf, type Entry, isNotRun } from "./_entry.ts";
+import { type ClaimEntry, isNotRun, keyToDigest } from "./_entry.ts";
 import type { JournalOptions } from "./_options.ts";
 import { headKey, segmentKey } from "./_paths.ts";
 import { encodeHead, encodeSegment, type Head } from "./_records.ts";
-import type { Shard, Tenure } from "./_shard.ts";
+import type { OwnerState, Shard } from "./_shard.ts";
 
-/** A shard's part of a commit. */
-export interface Part {
+/** The expectation, the writes and the records that a commit has for one shard. */
+export interface CommitPart {
   shard: Shard;
   expect: Expectation;
-  /** Undefined: the part only confirms that the shard is still owned. */
+  /** The new head; undefined if the part only confirms the ownership of the shard. */
   head: Head | undefined;
-  /** 0: the part writes no segment. */
+  /** Number of the new segment; 0 if the part writes no segment. */
   segment: number;
   writes: Write[];
-  claims: Entry[];
-  ends: Entry[];
+  claims: ClaimEntry[];
+  ends: ClaimEntry[];
 }
 
-/** Times and settings that a part is built with. */
+/** Times and settings used to build the parts of a commit. */
 export interface PartContext {
   options: JournalOptions;
   nowMs: number;
   wallMs: number;
-  /** Claims that the commit has room for. */
+  /** Number of claims that may still be added to the commit. */
   maxClaims: number;
 }
 
-/** How a commit is known to have taken effect. */
-export interface Commitment {
+/** Revision and times of a commit that took effect. */
+export interface CommitResult {
   revision: bigint;
-  /** Monotonic time before which it did not take effect. */
+  /** Monotonic time at which the commit was sent; it took effect no earlier. */
   sentMs: number;
   nowMs: number;
 }
 
-/** Share of the memory limit after which an idle owner confirms its ownership. */
-const CONFIRM_SHARE = 1 / 8;
-/** An idle shard with expired segments is trimmed so long after its last commit. */
-const IDLE_TRIM_MS = 60_000;
+/** Interval at which an idle owner confirms its ownership, relative to its memory grant limit. */
+const CONFIRM_INTERVAL_RATIO = 1 / 8;
+/** Time without commits after which an idle shard deletes its expired segments. */
+const IDLE_TRIM_DELAY_MS = 60_000;
 
 /**
  * @param shard A shard.
  * @param context Times and settings.
- * @returns True if the shard can't wait for another reason to commit.
+ * @returns True if the shard needs a commit now, even if no other shard does.
  */
 export function isDue(shard: Shard, context: PartContext): boolean {
-  const { tenure } = shard;
-  if (!tenure) return false;
-  if (shard.queue.length > 0 || needsHead(shard, tenure, context)) return true;
-  const endsDue = context.nowMs - context.options.endFlushMs;
-  if (shard.ends.some(({ endedMs }) => endedMs <= endsDue)) return true;
-  return isTrimDue(shard, tenure, context) || isConfirmDue(tenure, context);
+  const { ownerState: state } = shard;
+  if (!state) return false;
+  if (shard.queue.length > 0 || needsHead(shard, state, context)) return true;
+  const flushedBeforeMs = context.nowMs - context.options.endFlushDelayMs;
+  if (shard.ends.some(({ endedMs }) => endedMs <= flushedBeforeMs)) return true;
+  return isTrimDue(shard, state, context) ||
+    isConfirmDue(state, context);
 }
 
 /**
- * Takes from the shard what is to be written.
+ * Dequeues the pending records of a shard and builds its part of a commit.
  *
  * @param shard A shard.
  * @param context Times and settings.
- * @returns Undefined if there is nothing to do.
+ * @returns The part; undefined if there is nothing to write or confirm.
  */
 export function buildPart(
   shard: Shard,
   context: PartContext,
-): Part | undefined {
-  const { tenure } = shard;
-  if (!tenure) return undefined;
+): CommitPart | undefined {
+  const { ownerState: state } = shard;
+  if (!state) return undefined;
   const hasRecords = shard.queue.length > 0 || shard.ends.length > 0;
-  const writes = hasRecords || needsHead(shard, tenure, context) ||
-    isTrimDue(shard, tenure, context);
-  if (writes) return buildWritingPart(shard, tenure, context);
-  return isConfirmDue(tenure, context)
-    ? createPart(shard, tenure.modRevision)
+  const mustWrite = hasRecords || needsHead(shard, state, context) ||
+    isTrimDue(shard, state, context);
+  if (mustWrite) return buildWritingPart(shard, state, context);
+  return isConfirmDue(state, context)
+    ? createPart(shard, state.modRevision)
     : undefined;
 }
 
 /**
- * The part's commit took effect: its claims are granted.
+ * Updates the shard after the commit took effect, and grants the claims of the part.
  *
- * @param part The part.
- * @param commitment How that is known.
+ * @param part The shard's part of the commit.
+ * @param result Revision and times of the commit.
  */
-export function applyPart(part: Part, commitment: Commitment): void {
+export function applyPart(
+  part: CommitPart,
+  result: CommitResult,
+): void {
   const { shard, head, claims, ends, segment } = part;
-  const { tenure } = shard;
-  if (!tenure) return;
-  tenure.confirmedMs = commitment.sentMs;
+  const { ownerState: state } = shard;
+  if (!state) return;
+  state.confirmedMs = result.sentMs;
   if (!head) return;
-  tenure.head = head;
-  tenure.modRevision = commitment.revision;
-  tenure.memoryLimitMs = head.memoryLimitMs;
-  shard.trim(head.oldestSegment);
+  state.head = head;
+  state.modRevision = result.revision;
+  state.maxMemoryGrantMs = head.maxMemoryGrantMs;
+  shard.trimSegments(head.oldestSegment);
   if (segment > 0) shard.addSegment({ number: segment, claims });
   claims.forEach((entry, index) => {
     entry.segment = segment;
     entry.index = index;
-    shard.grant(entry, commitment.nowMs);
+    shard.grant(entry, result.nowMs);
   });
-  for (const entry of ends) entry.endIsWritten = true;
+  for (const entry of ends) entry.isEndWritten = true;
 }
 
 /**
- * The part's commit did not take effect and never will: its records wait again.
+ * Queues the records of a part again, after its commit failed and can't take effect any more.
  *
- * @param part The part.
+ * @param part The shard's part of the commit.
  */
-export function undoPart({ shard, claims, ends }: Part): void {
+export function requeuePart({ shard, claims, ends }: CommitPart): void {
   for (const entry of claims) {
     if (isNotRun(entry)) shard.forget(entry);
   }
   const kept = claims.filter((entry) => !isNotRun(entry));
   shard.queue = [...kept, ...shard.queue];
-  const isWritable = (entry: Entry) => entry.segment > 0 || !isNotRun(entry);
+  const isWritable = (entry: ClaimEntry) =>
+    entry.segment > 0 || !isNotRun(entry);
   shard.ends = [...ends, ...shard.ends].filter(isWritable);
 }
 
 function buildWritingPart(
   shard: Shard,
-  tenure: Tenure,
+  state: OwnerState,
   context: PartContext,
-): Part {
-  const part = createPart(shard, tenure.modRevision);
+): CommitPart {
+  const part = createPart(shard, state.modRevision);
   part.claims = shard.queue.splice(0, context.maxClaims);
-  part.ends = takeEnds(shard, part.claims);
-  const head = nextHead(shard, tenure, context);
+  part.ends = dequeueEnds(shard, part.claims);
+  const head = nextHead(shard, state, context);
   const hasRecords = part.claims.length > 0 || part.ends.length > 0;
   if (hasRecords) part.segment = head.nextSegment++;
   part.head = head;
   part.writes.push(put(headKey(shard.id), encodeHead(head)));
   if (hasRecords) part.writes.push(segmentWrite(part, head, context));
-  const { oldestSegment } = tenure.head;
+  const { oldestSegment } = state.head;
   if (head.oldestSegment > oldestSegment) {
     part.writes.push({
       kind: "delete_range",
@@ -139,13 +144,17 @@
       to: segmentKey(shard.id, head.oldestSegment),
     });
   }
-  tenure.commitNumber = head.commitNumber;
-  // From here on the commit may take effect, and then no successor reckons with such grants.
-  tenure.memoryLimitMs = Math.min(tenure.memoryLimitMs, head.memoryLimitMs);
+  state.commitNumber = head.commitNumber;
+  // Lowers the limit before the commit is sent: once the commit takes effect, a successor no longer
+  // expects grants from memory beyond the new limit.
+  state.maxMemoryGrantMs = Math.min(
+    state.maxMemoryGrantMs,
+    head.maxMemoryGrantMs,
+  );
   return part;
 }
 
-function createPart(shard: Shard, modRevision: bigint): Part {
+function createPart(shard: Shard, modRevision: bigint): CommitPart {
   return {
     shard,
     expect: { key: headKey(shard.id), modRevision },
@@ -157,32 +166,42 @@
   };
 }
 
-/** Takes the ends whose claims are in the journal or in this commit. */
-function takeEnds(shard: Shard, claims: Entry[]): Entry[] {
+/** Dequeues the ends whose claims are in the journal already or are written by this commit. */
+function dequeueEnds(shard: Shard, claims: ClaimEntry[]): ClaimEntry[] {
   const written = new Set(claims);
-  const isReady = (entry: Entry) => entry.segment > 0 || written.has(entry);
-  const ready = shard.ends.filter(isReady);
+  const isReady = (entry: ClaimEntry) =>
+    entry.segment > 0 || written.has(entry);
+  const writable = shard.ends.filter(isReady);
   shard.ends = shard.ends.filter((entry) => !isReady(entry));
-  return ready;
+  return writable;
 }
 
-function nextHead(shard: Shard, tenure: Tenure, context: PartContext): Head {
-  // What was granted without the store must be written before successors may trust the journal.
+function nextHead(
+  shard: Shard,
+  state: OwnerState,
+  context: PartContext,
+): Head {
+  // Claims granted from memory must be written before the head may say that the journal is
+  // complete.
   const isComplete = shard.queue.length === 0;
   const wantedMs = wantedMemoryLimitMs(shard, context);
-  const committedMs = tenure.head.memoryLimitMs;
+  const committedMs = state.head.maxMemoryGrantMs;
   return {
-    ...tenure.head,
-    commitNumber: tenure.commitNumber + 1,
-    oldestSegment: oldestNeeded(shard, tenure, context),
+    ...state.head,
+    commitNumber: state.commitNumber + 1,
+    oldestSegment: oldestNeededSegment(shard, state, context),
     journalMs: shard.journalMs(context.nowMs),
-    memoryLimitMs: isComplete ? wantedMs : Math.max(wantedMs, committedMs),
-    retryWindowMs: shard.windowMs,
-    released: isComplete && shard.wantsRelease,
+    maxMemoryGrantMs: isComplete ? wantedMs : Math.max(wantedMs, committedMs),
+    retryWindowMs: shard.maxWindowMs,
+    released: isComplete && shard.isClosing,
   };
 }
 
-function segmentWrite(part: Part, head: Head, context: PartContext): Write {
+function segmentWrite(
+  part: CommitPart,
+  head: Head,
+  context: PartContext,
+): Write {
   const { shard, segment, claims, ends } = part;
   const indexes = new Map(claims.map((entry, index) => [entry, index]));
   const value = encodeSegment({
@@ -192,7 +211,7 @@
     wallMs: context.wallMs,
     retryWindowMs: Math.max(0, ...claims.map(({ windowMs }) => windowMs)),
     claims: claims.map((entry) => ({
-      keyDigest: digestOf(entry.key),
+      keyDigest: keyToDigest(entry.key),
       fingerprint: entry.fingerprint,
       runId: entry.claimant.runId,
     })),
@@ -205,43 +224,48 @@
   return put(segmentKey(shard.id, segment), value);
 }
 
-function oldestNeeded(
+function oldestNeededSegment(
   shard: Shard,
-  tenure: Tenure,
+  state: OwnerState,
   { nowMs }: PartContext,
 ): number {
-  const isNeeded = (entry: Entry) => !shard.isExpired(entry, nowMs);
+  const isNeeded = (entry: ClaimEntry) => !shard.isExpired(entry, nowMs);
   const needed = shard.segments.find(({ claims }) => claims.some(isNeeded));
-  return needed?.number ?? tenure.head.nextSegment;
+  return needed?.number ?? state.head.nextSegment;
 }
 
 function needsHead(
   shard: Shard,
-  tenure: Tenure,
+  state: OwnerState,
   context: PartContext,
 ): boolean {
-  if (shard.wantsRelease) return true;
-  return tenure.head.memoryLimitMs !== wantedMemoryLimitMs(shard, context);
+  if (shard.isClosing) return true;
+  return state.head.maxMemoryGrantMs !==
+    wantedMemoryLimitMs(shard, context);
 }
 
 function wantedMemoryLimitMs(shard: Shard, { options }: PartContext): number {
-  const isWanted = shard.wantsMemoryMode && !shard.wantsRelease;
-  return isWanted ? options.memoryLimitMs : 0;
+  const isWanted = shard.wantsMemoryMode && !shard.isClosing;
+  return isWanted ? options.maxMemoryGrantMs : 0;
 }
 
 function isTrimDue(
   shard: Shard,
-  tenure: Tenure,
+  state: OwnerState,
   context: PartContext,
 ): boolean {
-  if (context.nowMs - tenure.confirmedMs < IDLE_TRIM_MS) return false;
-  return oldestNeeded(shard, tenure, context) > tenure.head.oldestSegment;
+  if (context.nowMs - state.confirmedMs < IDLE_TRIM_DELAY_MS) return false;
+  return oldestNeededSegment(shard, state, context) >
+    state.head.oldestSegment;
 }
 
-function isConfirmDue(tenure: Tenure, { nowMs }: PartContext): boolean {
-  const limitMs = tenure.head.memoryLimitMs;
+function isConfirmDue(
+  state: OwnerState,
+  { nowMs }: PartContext,
+): boolean {
+  const limitMs = state.head.maxMemoryGrantMs;
   if (limitMs === 0) return false;
-  return nowMs - tenure.confirmedMs > limitMs * CONFIRM_SHARE;
+  return nowMs - state.confirmedMs > limitMs * CONFIRM_INTERVAL_RATIO;
 }
 
 function put(key: string, value: Uint8Array): Write {
--- a/src/journal/_paths.ts
+++ b/src/journal/_paths.ts
@@ -1,6 +1,6 @@
-/** Where a shard lies in the store. */
+/** Keys of a shard in the store. */
 
-/** Names a shard. */
+/** Identifies a shard of a team's service. */
 export interface ShardId {
   team: string;
   service: string;
@@ -12,7 +12,7 @@
 
 /**
  * @param id The shard.
- * @returns What all its keys in the store start with.
+ * @returns The prefix of all its keys in the store.
  */
 export function shardPrefix({ team, service, shard }: ShardId): string {
   return `${ROOT}/${team}/${service}/${shard}/`;
@@ -29,7 +29,7 @@
 /**
  * @param id The shard.
  * @param segment The segment's number.
- * @returns The segment's key; keys sort like numbers.
+ * @returns The key of the segment; zero-padded, so that keys sort by segment number.
  */
 export function segmentKey(id: ShardId, segment: number): string {
   const padded = String(segment).padStart(SEGMENT_DIGITS, "0");
--- a/src/journal/_records.ts
+++ b/src/journal/_records.ts
@@ -1,61 +1,61 @@
-/** What the journal keeps in the store, and its encoding. */
+/** Records that the journal keeps in the store, and their encoding. */
 import { BinaryReader, BinaryWriter } from "@bufbuild/protobuf/wire";
 import { err, ok, type Result } from "true-myth/result";
 import type { ClaimEnd } from "./claims_journal.ts";
 
 /**
- * A shard's head; each commit to the shard expects its revision. Times named `journal…` are on the
- * shard's own time line, which runs while an owner's monotonic clock runs and stands still between
- * an owner's last commit and its successor's takeover. It never runs faster than real time, so what
- * is counted on it is never forgotten early, whatever wall clocks say.
+ * Metadata record of a shard; each commit to the shard expects the revision of the head. Times
+ * named `journal…` are on the shard's journal clock. This clock advances with the owner's monotonic
+ * clock and stands still between an owner's last commit and the takeover by its successor. It never
+ * runs faster than real time, so that claims never expire early, even if wall clocks are wrong.
  */
 export interface Head {
   address: string;
   agentIncarnation: string;
-  /** Raised by each takeover. */
+  /** Incremented by each takeover. */
   epoch: number;
-  /** Number of the commit within the epoch; with the two above, the writer's id. */
+  /** Number of the commit in the epoch; identifies the commit, with incarnation and epoch. */
   commitNumber: number;
   oldestSegment: number;
   nextSegment: number;
   journalMs: number;
-  /** How long the owner may grant without the store after it was last heard; 0: not at all. */
-  memoryLimitMs: number;
-  /** Longest retry window of the shard's claims. */
+  /** How long after its last confirmed commit the owner may grant claims from memory; 0: never. */
+  maxMemoryGrantMs: number;
+  /** Longest retry window of all claims in the shard. */
   retryWindowMs: number;
-  /** Until then keys that the journal doesn't know may have been granted without it. */
+  /** End of the quarantine, during which unknown keys may have been granted without the journal. */
   quarantineUntilJournalMs: number;
-  /** The owner gave the shard back and grants nothing more. */
+  /** True if the owner has released the shard and grants no more claims. */
   released: boolean;
 }
 
-/** A claim; its id is its segment's number and its index there. */
+/** A stored claim, identified by the number of its segment and its index in the segment. */
 export interface ClaimRecord {
   keyDigest: Uint8Array;
   fingerprint: Uint8Array;
   runId: string;
 }
 
-/** The end of a claim. */
+/** The outcome of the claim at `index` of a segment. */
 export interface EndRecord {
   segment: number;
   index: number;
   end: ClaimEnd;
 }
 
-/** A batch of records; never changed once written. */
+/** An immutable batch of records, written by one commit. */
 export interface Segment {
   address: string;
   agentIncarnation: string;
   journalMs: number;
-  /** For people who read the store. */
+  /** Wall-clock time of the commit; only for humans who inspect the store. */
   wallMs: number;
   retryWindowMs: number;
   claims: ClaimRecord[];
   ends: EndRecord[];
 }
 
-/** A record that this version can't read. */
+/** Error for a stored record that this version can't decode. */
 export interface UnreadableRecord {
   kind: "unreadable";
   message: string;
@@ -65,8 +65,8 @@
 const END_KINDS = ["done", "failed", "not_run"] as const;
 
 /**
- * @param head What to encode.
- * @returns The head's value in the store.
+ * @param head The head to encode.
+ * @returns The encoded value for the store.
  */
 export function encodeHead(head: Head): Uint8Array {
   return new BinaryWriter()
@@ -78,7 +78,7 @@
     .uint32(head.oldestSegment)
     .uint32(head.nextSegment)
     .double(head.journalMs)
-    .double(head.memoryLimitMs)
+    .double(head.maxMemoryGrantMs)
     .double(head.retryWindowMs)
     .double(head.quarantineUntilJournalMs)
     .bool(head.released)
@@ -86,8 +86,8 @@
 }
 
 /**
- * @param value A head's value in the store.
- * @returns The head, unless this version can't read it.
+ * @param value An encoded head from the store.
+ * @returns The head, or an error if this version can't decode it.
  */
 export function decodeHead(value: Uint8Array): Result<Head, UnreadableRecord> {
   return decode(value, (reader) => ({
@@ -98,7 +98,7 @@
     oldestSegment: reader.uint32(),
     nextSegment: reader.uint32(),
     journalMs: reader.double(),
-    memoryLimitMs: reader.double(),
+    maxMemoryGrantMs: reader.double(),
     retryWindowMs: reader.double(),
     quarantineUntilJournalMs: reader.double(),
     released: reader.bool(),
@@ -106,8 +106,8 @@
 }
 
 /**
- * @param segment What to encode.
- * @returns The segment's value in the store.
+ * @param segment The segment to encode.
+ * @returns The encoded value for the store.
  */
 export function encodeSegment(segment: Segment): Uint8Array {
   const writer = new BinaryWriter()
@@ -131,8 +131,8 @@
 }
 
 /**
- * @param value A segment's value in the store.
- * @returns The segment, unless this version can't read it.
+ * @param value An encoded segment from the store.
+ * @returns The segment, or an error if this version can't decode it.
  */
 export function decodeSegment(
   value: Uint8Array,
@@ -143,15 +143,15 @@
     journalMs: reader.double(),
     wallMs: reader.double(),
     retryWindowMs: reader.double(),
-    claims: repeat(reader, readClaim),
-    ends: repeat(reader, readEnd),
+    claims: readArray(reader, readClaim),
+    ends: readArray(reader, readEnd),
   }));
 }
 
 /**
  * @param one A head.
  * @param other A head.
- * @returns True if one commit wrote both.
+ * @returns True if the same commit wrote both heads.
  */
 export function isSameWriter(one: Head, other: Head): boolean {
   return one.agentIncarnation === other.agentIncarnation &&
@@ -165,10 +165,12 @@
   try {
     const reader = new BinaryReader(value);
     const format = reader.uint32();
-    if (format !== FORMAT) return err(unreadable(`Format ${format}`));
+    if (format !== FORMAT) return err(unreadable(`Unknown format ${format}`));
     const record = read(reader);
-    const rest = reader.len - reader.pos;
-    return rest === 0 ? ok(record) : err(unreadable(`${rest} bytes too many`));
+    const remainingBytes = reader.len - reader.pos;
+    return remainingBytes === 0
+      ? ok(record)
+      : err(unreadable(`Record has ${remainingBytes} trailing bytes`));
   } catch (error) {
     return err(unreadable(String(error)));
   }
@@ -187,12 +189,12 @@
   const index = reader.uint32();
   const kind = END_KINDS[reader.uint32()];
   const status = reader.uint32();
-  if (!kind) throw new RangeError("Unknown kind of end");
+  if (!kind) throw new RangeError("Unknown kind of claim end");
   const end: ClaimEnd = kind === "not_run" ? { kind } : { kind, status };
   return { segment, index, end };
 }
 
-function repeat<T>(
+function readArray<T>(
   reader: BinaryReader,
   read: (reader: BinaryReader) => T,
 ): T[] {
--- a/src/journal/_replay.ts
+++ b/src/journal/_replay.ts
@@ -1,25 +1,26 @@
-/** Reads a shard as a predecessor left it. */
+/** Rebuilds the claims of a shard from its stored segments. */
 import { err, ok, type Result } from "true-myth/result";
 import type { KeyValueEntry } from "../store/store.ts";
 import type { ClaimRecord, Segment, UnreadableRecord } from "./_records.ts";
 import { decodeSegment } from "./_records.ts";
-import { createForeignEntry, type Entry, keyOf } from "./_entry.ts";
+import { type ClaimEntry, createForeignEntry, digestToKey } from "./_entry.ts";
 import type { StoredSegment } from "./_shard.ts";
 
-/** The claims of a shard, in the order of the journal. */
+/** The segments and claims of a shard, in journal order. */
 export interface Replay {
   segments: StoredSegment[];
-  claims: Entry[];
+  claims: ClaimEntry[];
 }
 
 /**
- * @param listed The shard's segments, oldest first.
- * @param own This process's claims by run id; they take part with what this process knows.
- * @returns The claims with their ends, unless a segment can't be read.
+ * @param listed The stored segments of the shard, oldest first.
+ * @param ownClaims Claims of this process by run id. Their in-memory entries are reused, since they
+ * hold state that the journal lacks; their positions in the journal are updated.
+ * @returns The claims with their ends, or an error if a segment can't be decoded.
  */
 export function replaySegments(
   listed: KeyValueEntry[],
-  own: ReadonlyMap<string, Entry>,
+  ownClaims: ReadonlyMap<string, ClaimEntry>,
 ): Result<Replay, UnreadableRecord> {
   const segments: StoredSegment[] = [];
   const records: Segment[] = [];
@@ -29,11 +30,12 @@
     segments.push({ number: segmentNumber(key), claims: [] });
     records.push(decoded.value);
   }
-  for (const entry of own.values()) entry.segment = 0;
-  records.forEach((record, place) => {
-    const segment = segments[place]!;
+  for (const entry of ownClaims.values()) entry.segment = 0;
+  records.forEach((record, index) => {
+    const segment = segments[index]!;
     segment.claims = record.claims.map((claim, index) => {
-      const entry = findOwn(record, claim, own) ?? readClaim(record, claim);
+      const entry = findOwnEntry(record, claim, ownClaims) ??
+        createEntry(record, claim);
       entry.segment = segment.number;
       entry.index = index;
       entry.expiresJournalMs = record.journalMs + entry.windowMs;
@@ -44,25 +46,25 @@
   return ok({ segments, claims: segments.flatMap(({ claims }) => claims) });
 }
 
-function findOwn(
+function findOwnEntry(
   record: Segment,
   claim: ClaimRecord,
-  own: ReadonlyMap<string, Entry>,
-): Entry | undefined {
-  const entry = own.get(claim.runId);
-  if (entry?.key !== keyOf(claim.keyDigest)) return undefined;
+  ownClaims: ReadonlyMap<string, ClaimEntry>,
+): ClaimEntry | undefined {
+  const entry = ownClaims.get(claim.runId);
+  if (entry?.key !== digestToKey(claim.keyDigest)) return undefined;
   const { address, agentIncarnation } = entry.claimant;
   const isOwn = record.agentIncarnation === agentIncarnation &&
     record.address === address;
   return isOwn ? entry : undefined;
 }
 
-function readClaim(record: Segment, claim: ClaimRecord): Entry {
+function createEntry(record: Segment, claim: ClaimRecord): ClaimEntry {
   const { address, agentIncarnation, retryWindowMs } = record;
   const { keyDigest, fingerprint, runId } = claim;
   const claimant = { address, agentIncarnation, runId };
   return createForeignEntry({
-    keyDigest: keyDigest,
+    keyDigest,
     fingerprint,
     claimant,
     windowMs: retryWindowMs,
@@ -75,11 +77,11 @@
   );
   for (const record of records) {
     for (const { segment, index, end } of record.ends) {
-      // The claim's segment may be gone already: segments are deleted oldest first.
+      // The segment of the claim may be deleted already: segments are deleted oldest first.
       const entry = byNumber.get(segment)?.claims[index];
       if (!entry) continue;
       entry.end ??= end;
-      entry.endIsWritten = true;
+      entry.isEndWritten = true;
       entry.expiresJournalMs = record.journalMs + entry.windowMs;
     }
   }
--- a/src/journal/_shard.ts
+++ b/src/journal/_shard.ts
@@ -1,138 +1,144 @@
-/** One shard as an agent knows it: its claims, and what of them is still to be written. */
+/** An agent's in-memory state of one shard: its claims and the records to be written. */
 import type { ClaimEnd, ClaimRefusal } from "./claims_journal.ts";
-import { type Entry, isNotRun } from "./_entry.ts";
+import { type ClaimEntry, isNotRun } from "./_entry.ts";
 import type { ShardId } from "./_paths.ts";
 import type { Head } from "./_records.ts";
 
-/** A segment that the store holds. */
+/** A segment in the store, with its claims. */
 export interface StoredSegment {
   number: number;
-  claims: Entry[];
+  claims: ClaimEntry[];
 }
 
-/** What an owner knows of its ownership. */
-export interface Tenure {
-  /** The head as last committed. */
+/** State that an agent keeps while it owns a shard. */
+export interface OwnerState {
+  /** The last committed head. */
   head: Head;
   modRevision: bigint;
-  /** Number of the last commit that was built. */
+  /** Number of the last commit that was built; it may not have taken effect. */
   commitNumber: number;
-  /** Monotonic time at which the takeover was known. */
+  /** Monotonic time at which the answer to the takeover arrived. */
   startedMs: number;
-  /** Time on the journal's time line at the takeover. */
+  /** Time of the takeover on the journal clock. */
   startedJournalMs: number;
-  /** Monotonic time at which the last commit that showed the ownership was sent. */
+  /** Monotonic time at which the last commit that confirmed the ownership was sent. */
   confirmedMs: number;
-  /** Lower than the head's while a commit that lowers it may be under way. */
-  memoryLimitMs: number;
+  /** Memory grant limit; lower than in the head while a commit that lowers it is in flight. */
+  maxMemoryGrantMs: number;
 }
 
-/** Who owns the shard, to this agent's knowledge. */
+/**
+ * Owner of the shard, as known to this agent. `seenMs` is the time at which this agent first saw
+ * the epoch of the head, `readMs` the time at which it last read the head.
+ */
 export type Ownership =
   | { kind: "none" }
   | { kind: "foreign"; head: Head; seenMs: number; readMs: number }
-  | { kind: "owned"; tenure: Tenure };
+  | { kind: "owned"; ownerState: OwnerState };
 
-/** What a takeover found. */
-export interface Takeover {
-  tenure: Tenure;
+/** Initial state of a shard that was taken over. */
+export interface LoadedShard {
+  ownerState: OwnerState;
   segments: StoredSegment[];
-  /** In the order of the journal. */
-  claims: Entry[];
+  /** All claims of the segments, in journal order. */
+  claims: ClaimEntry[];
 }
 
-/** State of one shard. Commands change memory only; the committer writes. */
+/** In-memory state of one shard. Its methods don't write to the store; the committer does. */
 export class Shard {
   readonly id: ShardId;
   ownership: Ownership = { kind: "none" };
-  /** The last claim of each key. */
-  readonly entries = new Map<string, Entry>();
-  /** This process's claims by run id; they outlive the ownership. */
-  readonly own = new Map<string, Entry>();
+  /** The latest claim of each key. */
+  readonly entries = new Map<string, ClaimEntry>();
+  /** Claims made by this process, by run id; kept when the ownership is lost. */
+  readonly ownClaims = new Map<string, ClaimEntry>();
   segments: StoredSegment[] = [];
-  /** Claims in them. */
-  storedCount = 0;
-  /** Own claims that are to be written. */
-  queue: Entry[] = [];
-  /** Claims whose end is to be written. */
-  ends: Entry[] = [];
+  /** Number of claims in {@link segments}. */
+  storedClaimCount = 0;
+  /** Own claims that are not written yet. */
+  queue: ClaimEntry[] = [];
+  /** Claims whose end is not written yet. */
+  ends: ClaimEntry[] = [];
   wantsMemoryMode = false;
-  wantsRelease = false;
-  /** Longest retry window asked for. */
-  windowMs = 0;
+  /** True if the shard is to be released, since the journal is closing. */
+  isClosing = false;
+  /** Longest retry window of any request or stored claim, in ms. */
+  maxWindowMs = 0;
 
   private constructor(id: ShardId) {
     this.id = id;
   }
 
-  /** @param id The shard. */
+  /** @param id Identifies the shard. */
   static create(id: ShardId): Shard {
     return new Shard(id);
   }
 
-  /** The own tenure; undefined unless this agent owns the shard, as far as it knows. */
-  get tenure(): Tenure | undefined {
-    return this.ownership.kind === "owned" ? this.ownership.tenure : undefined;
+  /** Undefined unless this agent owns the shard, as far as it knows. */
+  get ownerState(): OwnerState | undefined {
+    return this.ownership.kind === "owned"
+      ? this.ownership.ownerState
+      : undefined;
   }
 
-  /** Query: claims that count against the bound. */
+  /** Number of claims that count towards the limit of the shard. */
   get claimCount(): number {
-    return this.storedCount + this.queue.length;
+    return this.storedClaimCount + this.queue.length;
   }
 
   /**
-   * Query: the claim that a repeat of the key meets.
+   * Finds the claim that blocks a new claim of the same key.
    *
-   * @param key The key.
-   * @param nowMs Monotonic time.
-   * @returns Undefined if the key may be claimed.
+   * @param key See {@link ClaimEntry.key}.
+   * @param nowMs Current monotonic time.
+   * @returns The claim; undefined if the key may be claimed.
    */
-  find(key: string, nowMs: number): Entry | undefined {
+  findActive(key: string, nowMs: number): ClaimEntry | undefined {
     const entry = this.entries.get(key);
     if (!entry || isNotRun(entry)) return undefined;
     return this.isExpired(entry, nowMs) ? undefined : entry;
   }
 
-  /** Query: true if nothing depends on the claim any more. */
-  isExpired(entry: Entry, nowMs: number): boolean {
+  /** True if the claim may be deleted: its retry window has passed and it is not open here. */
+  isExpired(entry: ClaimEntry, nowMs: number): boolean {
     const isOpen = entry.phase !== "foreign" && !entry.end;
     if (isOpen) return false;
     return entry.expiresJournalMs <= this.journalMs(nowMs);
   }
 
-  /** Query: time on the shard's time line; own claims age by it after the ownership is lost, too. */
+  /** Time on the journal clock. It keeps running for own claims after the ownership is lost. */
   journalMs(nowMs: number): number {
-    const { startedMs, startedJournalMs } = this.#timeLine;
+    const { startedMs, startedJournalMs } = this.#clockOrigin;
     return startedJournalMs + (nowMs - startedMs);
   }
 
-  /** Query: how long unknown keys may still have been granted without the journal. */
+  /** Remaining time in which unknown keys may have been granted from memory by a predecessor. */
   quarantineMs(nowMs: number): number {
-    if (!this.tenure) return 0;
-    const until = this.tenure.head.quarantineUntilJournalMs;
+    if (!this.ownerState) return 0;
+    const until = this.ownerState.head.quarantineUntilJournalMs;
     return Math.max(0, until - this.journalMs(nowMs));
   }
 
   /**
-   * Query: true if the claim may be granted without the store: the head says that this may happen
-   * and a successor keeps clear of unknown keys until the limit and the window have passed.
+   * True if the claim may be granted without the store. This requires a committed head that allows
+   * it, so that a successor refuses unknown keys until the limit and the retry window have passed.
    */
-  mayGrantFromMemory(entry: Entry, nowMs: number): boolean {
-    if (!this.tenure || this.wantsRelease || !entry.allowsMemory) return false;
-    const { head, confirmedMs, memoryLimitMs } = this.tenure;
+  mayGrantFromMemory(entry: ClaimEntry, nowMs: number): boolean {
+    if (!this.ownerState || this.isClosing || !entry.allowsMemory) return false;
+    const { head, confirmedMs, maxMemoryGrantMs } = this.ownerState;
     if (entry.windowMs > head.retryWindowMs) return false;
-    return nowMs - confirmedMs < memoryLimitMs;
+    return nowMs - confirmedMs < maxMemoryGrantMs;
   }
 
-  /** Takes a new own claim in, to be written. */
-  enqueue(entry: Entry): void {
+  /** Adds a new own claim to the write queue. */
+  enqueue(entry: ClaimEntry): void {
     this.entries.set(entry.key, entry);
-    this.own.set(entry.claimant.runId, entry);
+    this.ownClaims.set(entry.claimant.runId, entry);
     this.queue.push(entry);
   }
 
-  /** Grants an own claim. */
-  grant(entry: Entry, nowMs: number): void {
+  /** Grants a waiting own claim. */
+  grant(entry: ClaimEntry, nowMs: number): void {
     if (entry.phase !== "waiting" || entry.end) return;
     entry.phase = "granted";
     entry.expiresJournalMs = this.journalMs(nowMs) + entry.windowMs;
@@ -140,107 +146,110 @@
   }
 
   /**
-   * Refuses an own claim for good. If its record may reach the store all the same, the end is
-   * written after it, so that the key can be claimed again.
+   * Refuses a waiting own claim. If its record may still reach the store, its end is written later,
+   * so that the key can be claimed again.
    */
-  refuse(entry: Entry, refusal: ClaimRefusal, nowMs: number): void {
+  refuse(entry: ClaimEntry, refusal: ClaimRefusal, nowMs: number): void {
     if (entry.phase !== "waiting" || entry.end) return;
     entry.decide(refusal);
-    const place = this.queue.indexOf(entry);
-    if (place >= 0) {
-      this.queue.splice(place, 1);
+    const queueIndex = this.queue.indexOf(entry);
+    if (queueIndex >= 0) {
+      this.queue.splice(queueIndex, 1);
       this.forget(entry);
     }
     this.end(entry, { kind: "not_run" }, nowMs);
   }
 
-  /** Records an end; the first one counts. */
-  end(entry: Entry, end: ClaimEnd, nowMs: number): void {
+  /** Records the end of a claim; later ends are ignored. */
+  end(entry: ClaimEntry, end: ClaimEnd, nowMs: number): void {
     if (entry.end) return;
     entry.end = end;
     entry.endedMs = nowMs;
     entry.expiresJournalMs = this.journalMs(nowMs) + entry.windowMs;
-    if (this.tenure && this.#isKept(entry)) this.ends.push(entry);
+    if (this.ownerState && this.#isTracked(entry)) this.ends.push(entry);
   }
 
-  /** Takes in that a segment was written. */
+  /** Adds a segment that was committed. */
   addSegment(segment: StoredSegment): void {
     this.segments.push(segment);
-    this.storedCount += segment.claims.length;
+    this.storedClaimCount += segment.claims.length;
   }
 
-  /** Forgets the segments before a number. */
-  trim(oldestSegment: number): void {
+  /** Drops the segments before a number, with their claims. */
+  trimSegments(oldestSegment: number): void {
     while (this.segments[0] && this.segments[0].number < oldestSegment) {
       const { claims } = this.segments.shift()!;
-      this.storedCount -= claims.length;
+      this.storedClaimCount -= claims.length;
       for (const entry of claims) this.forget(entry);
     }
   }
 
-  /** Removes a claim from memory. */
-  forget(entry: Entry): void {
+  /** Removes a claim from the in-memory maps. */
+  forget(entry: ClaimEntry): void {
     if (this.entries.get(entry.key) === entry) this.entries.delete(entry.key);
-    if (this.own.get(entry.claimant.runId) === entry) {
-      this.own.delete(entry.claimant.runId);
+    if (this.ownClaims.get(entry.claimant.runId) === entry) {
+      this.ownClaims.delete(entry.claimant.runId);
     }
   }
 
-  /** Begins an own tenure with what the takeover found. */
-  adopt(takeover: Takeover): void {
-    this.ownership = { kind: "owned", tenure: takeover.tenure };
-    this.segments = takeover.segments;
-    this.storedCount = takeover.claims.length;
+  /** Makes this agent the owner, with the state loaded by the takeover. */
+  startOwnership(loaded: LoadedShard): void {
+    this.ownership = { kind: "owned", ownerState: loaded.ownerState };
+    this.segments = loaded.segments;
+    this.storedClaimCount = loaded.claims.length;
     this.entries.clear();
-    for (const entry of takeover.claims) this.entries.set(entry.key, entry);
-    this.windowMs = Math.max(this.windowMs, takeover.tenure.head.retryWindowMs);
-    this.#readmitOwn(takeover.tenure.startedMs);
+    for (const entry of loaded.claims) this.entries.set(entry.key, entry);
+    this.maxWindowMs = Math.max(
+      this.maxWindowMs,
+      loaded.ownerState.head.retryWindowMs,
+    );
+    this.#requeueOwnClaims(loaded.ownerState.startedMs);
   }
 
-  /** Ends the own tenure: open claims are refused, only own claims are remembered. */
-  lose(refusal: ClaimRefusal, nowMs: number): void {
-    for (const entry of this.own.values()) this.refuse(entry, refusal, nowMs);
-    this.#lastTimeLine = this.#timeLine;
+  /** Ends the ownership: refuses waiting claims and drops all but the own claims. */
+  endOwnership(refusal: ClaimRefusal, nowMs: number): void {
+    for (const own of this.ownClaims.values()) this.refuse(own, refusal, nowMs);
+    this.#lastClockOrigin = this.#clockOrigin;
     this.ownership = { kind: "none" };
     this.segments = [];
-    this.storedCount = 0;
+    this.storedClaimCount = 0;
     this.queue = [];
     this.ends = [];
     this.entries.clear();
-    for (const entry of this.own.values()) this.entries.set(entry.key, entry);
+    for (const own of this.ownClaims.values()) this.entries.set(own.key, own);
   }
 
-  /** Forgets expired claims of a shard that is not owned. */
-  purge(nowMs: number): void {
-    if (this.tenure) return;
-    for (const entry of this.own.values()) {
+  /** Drops expired own claims of a shard that is not owned. */
+  forgetExpired(nowMs: number): void {
+    if (this.ownerState) return;
+    for (const entry of this.ownClaims.values()) {
       if (this.isExpired(entry, nowMs)) this.forget(entry);
     }
   }
 
-  #lastTimeLine = { startedMs: 0, startedJournalMs: 0 };
+  #lastClockOrigin = { startedMs: 0, startedJournalMs: 0 };
 
-  get #timeLine(): { startedMs: number; startedJournalMs: number } {
-    return this.tenure ?? this.#lastTimeLine;
+  get #clockOrigin(): { startedMs: number; startedJournalMs: number } {
+    return this.ownerState ?? this.#lastClockOrigin;
   }
 
-  #isKept(entry: Entry): boolean {
+  #isTracked(entry: ClaimEntry): boolean {
     return entry.phase === "foreign" ||
-      this.own.get(entry.claimant.runId) === entry;
+      this.ownClaims.get(entry.claimant.runId) === entry;
   }
 
-  /** Own claims that the journal lacks are written again; own ends that it lacks, too. */
-  #readmitOwn(nowMs: number): void {
-    for (const entry of this.own.values()) {
+  /** Queues own claims and ends that are missing from the journal to be written again. */
+  #requeueOwnClaims(nowMs: number): void {
+    for (const entry of this.ownClaims.values()) {
       const isWritten = entry.segment > 0;
-      const isGone = isNotRun(entry) || this.isExpired(entry, nowMs);
-      if (!isWritten && isGone) this.forget(entry);
-      if (!isWritten && !isGone) this.#readmit(entry, nowMs);
-      if (isWritten && entry.end && !entry.endIsWritten) this.ends.push(entry);
+      const isObsolete = isNotRun(entry) || this.isExpired(entry, nowMs);
+      if (!isWritten && isObsolete) this.forget(entry);
+      if (!isWritten && !isObsolete) this.#requeue(entry, nowMs);
+      if (isWritten && entry.end && !entry.isEndWritten) this.ends.push(entry);
     }
   }
 
-  #readmit(entry: Entry, nowMs: number): void {
+  #requeue(entry: ClaimEntry, nowMs: number): void {
     if (this.entries.has(entry.key)) return;
     entry.expiresJournalMs = this.journalMs(nowMs) + entry.windowMs;
     this.entries.set(entry.key, entry);
--- a/src/journal/_store_health.ts
+++ b/src/journal/_store_health.ts
@@ -1,14 +1,14 @@
-/** Whether the store is known to be down, and when to try it again. */
+/** Tracks whether the store is down, and the backoff until the next attempt. */
 import type { JournalOptions } from "./_options.ts";
 
-/** Failures in a row from which the store counts as down. */
+/** Number of consecutive failures after which the store counts as down. */
 const FAILURES_UNTIL_DOWN = 2;
-const FIRST_RETRY_MS = 50;
-const LONGEST_RETRY_MS = 5000;
-/** Exponent from which the delay no longer grows. */
+const INITIAL_RETRY_DELAY_MS = 50;
+const MAX_RETRY_DELAY_MS = 5000;
+/** Maximum exponent of the backoff. */
 const MAX_DOUBLINGS = 7;
 
-/** Counts failures of calls to the store. */
+/** Circuit breaker for calls to the store, with exponential backoff and jitter. */
 export class StoreHealth {
   readonly #options: JournalOptions;
   #failures = 0;
@@ -24,44 +24,47 @@
     return new StoreHealth(options);
   }
 
-  /** Query: true while the store is known to be down. */
+  /** True after several consecutive failures, or while a commit is unanswered for too long. */
   get isDown(): boolean {
     return this.#failures >= FAILURES_UNTIL_DOWN || this.#isSlow;
   }
 
-  /** Query: true if a call to the store is pointless now. */
-  get mustWait(): boolean {
+  /** True if new calls should fail at once: a commit is stuck or the backoff has not passed. */
+  get failsFast(): boolean {
     return this.#isSlow || (this.isDown && this.retryAfterMs > 0);
   }
 
-  /** Query: time until the store is tried again. */
+  /** Time until the next attempt, in ms; 0 if a call may be made now. */
   get retryAfterMs(): number {
     return Math.max(0, Math.ceil(this.#retryAtMs - this.#nowMs));
   }
 
-  /** A commit was sent. */
-  commitSent(): void {
+  /** Records that a commit was sent. */
+  recordCommitSent(): void {
     this.#commitSentMs = this.#nowMs;
   }
 
-  /** The commit returned, with whatever result. */
-  commitReturned(): void {
+  /** Records that the commit was answered or failed. */
+  recordCommitReturned(): void {
     this.#commitSentMs = undefined;
   }
 
-  /** A call was answered. */
-  succeeded(): void {
+  /** Records a successful call; resets the backoff. */
+  recordSuccess(): void {
     this.#failures = 0;
     this.#retryAtMs = 0;
   }
 
-  /** A call failed. */
-  failed(): void {
+  /** Records a failed call and schedules the next attempt. */
+  recordFailure(): void {
     const doublings = Math.min(this.#failures, MAX_DOUBLINGS);
-    const delayMs = Math.min(LONGEST_RETRY_MS, FIRST_RETRY_MS * 2 ** doublings);
-    const spread = 0.5 + this.#options.random() / 2;
+    const delayMs = Math.min(
+      MAX_RETRY_DELAY_MS,
+      INITIAL_RETRY_DELAY_MS * 2 ** doublings,
+    );
+    const jitter = 0.5 + this.#options.random() / 2;
     this.#failures++;
-    this.#retryAtMs = this.#nowMs + delayMs * spread;
+    this.#retryAtMs = this.#nowMs + delayMs * jitter;
   }
 
   get #nowMs(): number {
@@ -70,6 +73,7 @@
 
   get #isSlow(): boolean {
     if (this.#commitSentMs === undefined) return false;
-    return this.#nowMs - this.#commitSentMs > this.#options.slowCommitMs;
+    return this.#nowMs - this.#commitSentMs >
+      this.#options.slowCommitThresholdMs;
   }
 }
--- a/src/journal/_test_world.ts
+++ b/src/journal/_test_world.ts
@@ -1,4 +1,4 @@
-/** Agents over one store on simulated time, with faults; for tests. */
+/** Test cluster: agents that share one store, on simulated time, with fault injection. */
 import { setImmediate as nextTurn } from "node:timers/promises";
 import type { Result } from "true-myth/result";
 import { type Clock, createSilentLogger } from "../base/mod.ts";
@@ -13,30 +13,30 @@
 import type { JournalTuning } from "./_options.ts";
 import { StoreClaimsJournal } from "./store_claims_journal.ts";
 
-/** Retry window of test claims. */
+/** Retry window of the claims in tests. */
 export const WINDOW_MS = 20_000;
-/** Tuning that makes windows short. */
+/** Settings with short time limits. */
 export const TEST_TUNING: Partial<JournalTuning> = {
   random: () => 0.5,
   maxClaimsPerCommit: 2,
-  endFlushMs: 2000,
-  passOnMs: 2000,
-  tenureMs: 5000,
-  memoryLimitMs: 30_000,
+  endFlushDelayMs: 2000,
+  maxForwardDelayMs: 2000,
+  minOwnershipMs: 5000,
+  maxMemoryGrantMs: 30_000,
 };
-const TURNS_UNTIL_IDLE = 4;
+const EVENT_LOOP_TURNS = 4;
 
 interface Sleeper {
   wakeMs: number;
   wake: () => void;
 }
 
-/** Time that stands still unless a test moves it. */
+/** Simulated time, which only tests advance. */
 export class SimulatedTime {
   nowMs = 0;
   readonly #sleepers = new Set<Sleeper>();
 
-  /** Query: a promise of the time `ms` from now. */
+  /** Resolves `ms` of simulated time from now, or when the signal is aborted. */
   sleep(ms: number, signal?: AbortSignal): Promise<void> {
     return new Promise((resolve) => {
       if (signal?.aborted) return resolve();
@@ -51,49 +51,53 @@
     });
   }
 
-  /** Moves time on and lets everything happen that is due. */
+  /** Advances the time and wakes all sleepers that become due, in order. */
   async advance(ms: number): Promise<void> {
     const endMs = this.nowMs + ms;
-    await settle();
-    for (let next = this.#next(endMs); next; next = this.#next(endMs)) {
+    await runPendingTasks();
+    for (
+      let next = this.#nextSleeper(endMs);
+      next;
+      next = this.#nextSleeper(endMs)
+    ) {
       this.nowMs = Math.max(this.nowMs, next.wakeMs);
       next.wake();
-      await settle();
+      await runPendingTasks();
     }
     this.nowMs = endMs;
   }
 
-  #next(endMs: number): Sleeper | undefined {
+  #nextSleeper(endMs: number): Sleeper | undefined {
     const due = [...this.#sleepers].filter(({ wakeMs }) => wakeMs <= endMs);
     return due.sort((one, other) => one.wakeMs - other.wakeMs)[0];
   }
 }
 
-/** Lets all run that needs no time. */
-export async function settle(): Promise<void> {
-  for (let turn = 0; turn < TURNS_UNTIL_IDLE; turn++) await nextTurn();
+/** Runs all pending tasks that don't wait for simulated time. */
+export async function runPendingTasks(): Promise<void> {
+  for (let turn = 0; turn < EVENT_LOOP_TURNS; turn++) await nextTurn();
 }
 
-/** One agent process: its journal, its clock and its way to the store. */
+/** A simulated agent process with its journal, clock and connection to the store. */
 export class TestAgent {
   readonly address: string;
   readonly incarnation: string;
   readonly journal: StoreClaimsJournal;
-  isCutOff = false;
+  isPartitioned = false;
   isDead = false;
   wallSkewMs = 0;
-  #resume: Promise<void> | undefined;
-  #wake: () => void = () => {};
+  #paused: Promise<void> | undefined;
+  #endPause: () => void = () => {};
 
   constructor(
-    readonly world: World,
+    readonly cluster: TestCluster,
     { address, incarnation }: { address: string; incarnation: string },
   ) {
     this.address = address;
     this.incarnation = incarnation;
     this.journal = StoreClaimsJournal.create({
       ...TEST_TUNING,
-      ...world.tuning,
+      ...cluster.tuning,
       store: this.#store(),
       clock: this.#clock(),
       address,
@@ -102,68 +106,68 @@
     });
   }
 
-  /** Query: true if the process runs. */
-  get isAwake(): boolean {
-    return !this.isDead && !this.#resume;
+  /** True if the process is neither dead nor paused. */
+  get isRunning(): boolean {
+    return !this.isDead && !this.#paused;
   }
 
-  /** Stops the process until {@link resume}; what it sent arrives all the same. */
+  /** Pauses the process until {@link resume}; calls that it has sent still reach the store. */
   pause(): void {
-    this.#resume ??= new Promise((resolve) => this.#wake = resolve);
+    this.#paused ??= new Promise((resolve) => this.#endPause = resolve);
   }
 
   resume(): void {
-    this.#resume = undefined;
-    this.#wake();
+    this.#paused = undefined;
+    this.#endPause();
   }
 
-  async #awake<T>(value: T): Promise<T> {
-    while (this.#resume) await this.#resume;
+  async #whenRunning<T>(value: T): Promise<T> {
+    while (this.#paused) await this.#paused;
     return this.isDead ? await new Promise<T>(() => {}) : value;
   }
 
   #clock(): Clock {
-    const { time } = this.world;
+    const { time } = this.cluster;
     return {
       nowMs: () => time.nowMs,
       wallMs: () => time.nowMs + this.wallSkewMs,
       sleep: async (ms, signal) =>
-        await this.#awake(await time.sleep(ms, signal)),
+        await this.#whenRunning(await time.sleep(ms, signal)),
     };
   }
 
   #store(): KeyValueStore {
-    const { store } = this.world;
+    const { store } = this.cluster;
     const cutOff = MemoryStore.create();
     cutOff.faults.down = true;
-    const reached = () => this.isCutOff ? cutOff : store;
+    const reached = () => this.isPartitioned ? cutOff : store;
     const partial: Partial<KeyValueStore> = {
-      get: async (key) => await this.#awake(await reached().get(key)),
-      list: async (key) => await this.#awake(await reached().list(key)),
+      get: async (key) => await this.#whenRunning(await reached().get(key)),
+      list: async (key) => await this.#whenRunning(await reached().list(key)),
       commit: async (expect, writes) =>
-        await this.#awake(await reached().commit(expect, writes)),
+        await this.#whenRunning(await reached().commit(expect, writes)),
     };
     return partial as KeyValueStore;
   }
 }
 
-/** A granted claim. */
+/** A granted claim, with the agent that holds it. */
 export interface Grant {
   agent: TestAgent;
   key: string;
   ticket: ClaimTicket;
-  askedMs: number;
+  requestedMs: number;
 }
 
-/** A call that was passed on. */
+/** A call that was forwarded. */
 export interface Execution {
   runId: string;
-  askedMs: number;
-  begunMs: number;
+  requestedMs: number;
+  forwardedMs: number;
 }
 
-/** An answered claim. */
-export interface Asked {
+/** A claim and its result. */
+export interface ClaimAttempt {
   agent: TestAgent;
   key: string;
   runId: string;
@@ -172,22 +176,22 @@
   grant: Grant | undefined;
 }
 
-/** What a claim of a test varies. */
-export interface AskOptions {
+/** Options of a test claim. */
+export interface ClaimOptions {
   service?: "memory" | "refuse";
   unreachable?: boolean;
-  /** Differs from the service's usual setting while a change spreads. */
+  /** Overrides the setting of the service, as while a configuration change propagates. */
   whenStoreDown?: "memory" | "refuse";
 }
 
-/** A store, agents, and the record of what was passed on. */
-export class World {
+/** A store, several agents, and a record of all forwarded calls. */
+export class TestCluster {
   readonly time = new SimulatedTime();
   readonly store: MemoryStore;
   readonly agents: TestAgent[] = [];
   readonly grants: Grant[] = [];
   readonly executions = new Map<string, Execution[]>();
-  readonly answered: Asked[] = [];
+  readonly answered: ClaimAttempt[] = [];
   #ids = 0;
 
   constructor(
@@ -201,28 +205,28 @@
       sleep: (ms, signal) => time.sleep(ms, signal),
     };
     this.store = MemoryStore.create({ clock });
-    for (let place = 0; place < agentCount; place++) this.replace(place);
+    for (let index = 0; index < agentCount; index++) this.replace(index);
   }
 
-  /** Starts a new process in an agent's place; the old one is dead. */
-  replace(place: number): TestAgent {
-    const old = this.agents[place];
-    if (old) old.isDead = true;
-    const address = `10.0.0.${place}:1`;
+  /** Replaces an agent by a new process at the same address; the previous one is dead. */
+  replace(index: number): TestAgent {
+    const previous = this.agents[index];
+    if (previous) previous.isDead = true;
+    const address = `10.0.0.${index}:1`;
     const incarnation = `i${this.#ids++}`;
     const agent = new TestAgent(this, { address, incarnation });
-    this.agents[place] = agent;
+    this.agents[index] = agent;
     return agent;
   }
 
-  /** Claims a key; keys with equal first characters share a shard. */
-  async ask(
-    place: number,
+  /** Claims a key; keys with the same first character are in the same shard. */
+  async claim(
+    index: number,
     key: string,
-    options: AskOptions = {},
-  ): Promise<Asked> {
-    const agent = this.agents[place]!;
-    const askedMs = this.time.nowMs;
+    options: ClaimOptions = {},
+  ): Promise<ClaimAttempt> {
+    const agent = this.agents[index]!;
+    const requestedMs = this.time.nowMs;
     const request = this.#request(key, options);
     if (options.unreachable) {
       request.unreachableAddresses = this.agents.map(({ address }) => address);
@@ -230,49 +234,49 @@
     const result = await agent.journal.claim(request);
     const answer = result.unwrapOr(undefined);
     const ticket = answer?.kind === "granted" ? answer.ticket : undefined;
-    const grant = ticket && { agent, key, ticket, askedMs };
+    const grant = ticket && { agent, key, ticket, requestedMs };
     const { runId } = request;
-    const asked = { agent, key, runId, ref: request, result, grant };
-    this.answered.push(asked);
+    const attempt = { agent, key, runId, ref: request, result, grant };
+    this.answered.push(attempt);
     if (grant) this.grants.push(grant);
-    return asked;
+    return attempt;
   }
 
-  /** Claims a key and lets time go on until the answer is there. */
-  async askNow(
-    place: number,
+  /** Claims a key and advances the time until the claim is answered. */
+  async claimAndWait(
+    index: number,
     key: string,
-    options: AskOptions = {},
+    options: ClaimOptions = {},
   ): Promise<string> {
-    const asked = this.ask(place, key, options);
+    const attempt = this.claim(index, key, options);
     let isDone = false;
-    void asked.then(() => isDone = true);
+    void attempt.then(() => isDone = true);
     while (!isDone) await this.time.advance(10);
-    return describe((await asked).result);
+    return describeResult((await attempt).result);
   }
 
-  /** Passes a granted call on, as far as its ticket allows it. */
-  passOn(grant: Grant): boolean {
-    if (!grant.agent.isAwake || !grant.ticket.begin()) return false;
+  /** Forwards a granted call, if its ticket allows it. */
+  forward(grant: Grant): boolean {
+    if (!grant.agent.isRunning || !grant.ticket.begin()) return false;
     const scope = `${grant.ticket.ref.service} ${grant.key}`;
     const before = this.executions.get(scope) ?? [];
     const { runId } = grant.ticket.ref;
     const execution = {
       runId,
-      askedMs: grant.askedMs,
-      begunMs: this.time.nowMs,
+      requestedMs: grant.requestedMs,
+      forwardedMs: this.time.nowMs,
     };
     this.executions.set(scope, [...before, execution]);
     return true;
   }
 
-  /** Query: true if the run was passed on. */
+  /** True if the call of the run was forwarded. */
   hasRun(runId: string): boolean {
     const executions = [...this.executions.values()].flat();
     return executions.some((execution) => execution.runId === runId);
   }
 
-  /** Ends all processes. */
+  /** Stops all agents, with the store down. */
   async stop(): Promise<void> {
     this.store.faults.down = true;
     const closed = this.agents.map(({ journal }) => journal.close());
@@ -280,7 +284,7 @@
     await Promise.all(closed);
   }
 
-  #request(key: string, options: AskOptions): ClaimRequest {
+  #request(key: string, options: ClaimOptions): ClaimRequest {
     const { service = "refuse", whenStoreDown = service } = options;
     const keyDigest = new Uint8Array(16);
     keyDigest.set(Buffer.from(key), 1);
@@ -299,8 +303,10 @@
   }
 }
 
-/** The answer in a word or two. */
-export function describe(result: Result<ClaimAnswer, ClaimRefusal>): string {
+/** Returns the kind of an answer or refusal, with the cause or the kind of end in its place. */
+export function describeResult(
+  result: Result<ClaimAnswer, ClaimRefusal>,
+): string {
   if (result.isErr) {
     const refusal = result.error;
     return refusal.kind === "not_run" ? refusal.cause : refusal.kind;
--- a/src/journal/_ticket.ts
+++ b/src/journal/_ticket.ts
@@ -1,19 +1,19 @@
-/** The granted claim in its holder's hands. */
+/** Ticket of a granted claim, which the holder uses to begin and end its call. */
 import type { Clock } from "../base/mod.ts";
 import type { ClaimEnd, ClaimRef, ClaimTicket } from "./claims_journal.ts";
-import { digestOf, type Entry } from "./_entry.ts";
+import { type ClaimEntry, keyToDigest } from "./_entry.ts";
 import type { Shard } from "./_shard.ts";
 
-/** What a ticket is for. */
+/** Dependencies of a {@link Ticket}. */
 export interface TicketOptions {
   shard: Shard;
-  entry: Entry;
+  entry: ClaimEntry;
   clock: Clock;
-  /** How late after its request a claim may still be passed on. */
-  passOnMs: number;
+  /** Longest time after its request at which a granted call may still be forwarded. */
+  maxForwardDelayMs: number;
 }
 
-/** {@link ClaimTicket} of a shard's entry. */
+/** {@link ClaimTicket} for a claim of a shard. */
 export class Ticket implements ClaimTicket {
   readonly ref: ClaimRef;
   readonly #options: TicketOptions;
@@ -22,11 +22,11 @@
     const { shard, entry } = options;
     const { team, service } = shard.id;
     const { runId } = entry.claimant;
-    this.ref = { team, service, keyDigest: digestOf(entry.key), runId };
+    this.ref = { team, service, keyDigest: keyToDigest(entry.key), runId };
     this.#options = options;
   }
 
-  /** @param options What the ticket is for. */
+  /** @param options The granted claim, its shard and the time limit. */
   static create(options: TicketOptions): Ticket {
     return new Ticket(options);
   }
@@ -34,7 +34,7 @@
   begin(): boolean {
     const { entry } = this.#options;
     if (entry.phase !== "granted" || entry.end) return false;
-    if (this.#isLate()) {
+    if (this.#isTooLate()) {
       this.end({ kind: "not_run" });
       return false;
     }
@@ -47,11 +47,11 @@
     shard.end(entry, end, clock.nowMs());
   }
 
-  /** The wall clock counts too, since the monotonic one stands still in a suspended machine. */
-  #isLate(): boolean {
-    const { entry, clock, passOnMs } = this.#options;
-    const ageMs = clock.nowMs() - entry.askedMs;
-    const wallAgeMs = clock.wallMs() - entry.askedWallMs;
-    return ageMs > passOnMs || wallAgeMs > passOnMs;
+  /** Also checks the wall clock, since the monotonic clock stops while an instance is suspended. */
+  #isTooLate(): boolean {
+    const { entry, clock, maxForwardDelayMs } = this.#options;
+    const ageMs = clock.nowMs() - entry.requestedMs;
+    const wallAgeMs = clock.wallMs() - entry.requestedWallMs;
+    return ageMs > maxForwardDelayMs || wallAgeMs > maxForwardDelayMs;
   }
 }
--- a/src/journal/claims_journal.ts
+++ b/src/journal/claims_journal.ts
@@ -1,126 +1,126 @@
 /**
- * Claims of calls that may not be repeated. An agent claims a key before it passes the call on; for
- * each key at most one claim is granted that leads to an execution, whatever crashes, pauses,
- * takeovers and lost store answers come in between.
+ * Interface of the claims journal, which ensures that calls that may not be repeated run at most
+ * once. An agent claims the key of a call before it forwards the call. For each key, at most one
+ * granted claim leads to an execution, despite crashes, pauses, takeovers and lost store answers.
  */
 import type { Result } from "true-myth/result";
 
-/** Settings of a plain service that claims depend on, from the team's branch. */
+/** Settings of a plain service that affect claims, from the configuration branch of the team. */
 export interface ClaimSettings {
-  /** How long a repeat of a key is recognised; shorter ones than the call's life are raised. */
+  /** How long a repeated key is recognized; raised to the longest duration of a call if shorter. */
   retryWindowMs: number;
-  /** Longest life of a call. */
+  /** Maximum duration of a call. */
   timeoutMs: number;
-  /** What becomes of claims while the store can't be written. */
+  /** Whether claims are refused or granted from memory while the store is down. */
   whenStoreDown: "refuse" | "memory";
 }
 
-/** Names one claim of one run. */
+/** Identifies the claim of a run. */
 export interface ClaimRef {
   team: string;
   service: string;
   /** See `digestKey`. */
   keyDigest: Uint8Array;
-  /** Id of the run that the claim is for; a run id is claimed at most once. */
+  /** Id of the run that makes the claim; a run makes at most one claim. */
   runId: string;
 }
 
 /** A request to claim a key. */
 export interface ClaimRequest extends ClaimRef {
-  /** Hash of the call; a key that comes back with another one is refused. */
+  /** Hash of the call; a repeated key with another fingerprint is refused. */
   fingerprint: Uint8Array;
   settings: ClaimSettings;
-  /** Addresses of owners that the caller tried without an answer; allows a takeover at once. */
+  /** Addresses of owners that did not answer the caller; allows a takeover at once. */
   unreachableAddresses?: string[];
 }
 
-/** The agent process that claimed a key. */
+/** The agent process and the run that claimed a key. */
 export interface Claimant {
   address: string;
   agentIncarnation: string;
   runId: string;
 }
 
-/** How a claimed call ended. */
+/** Outcome of a claimed call. */
 export type ClaimEnd =
-  /** The server answered. */
+  /** The backend server answered. */
   | { kind: "done"; status: number }
-  /** It was passed on, and failed or its answer is gone. */
+  /** The call was forwarded, and failed or its answer was lost. */
   | { kind: "failed"; status: number }
-  /** It was never passed on and never will be; the key may be claimed again. */
+  /** The call was never forwarded and never will be; the key may be claimed again. */
   | { kind: "not_run" };
 
-/** A granted claim. The holder must end it in every case, or the key's memory never expires. */
+/** A granted claim. The holder must always end it; otherwise the key never expires. */
 export interface ClaimTicket {
   readonly ref: ClaimRef;
   /**
-   * To be called immediately before the call is passed on.
+   * Must be called immediately before the call is forwarded.
    *
-   * @returns True once; false when it was called before, or so late (the process was paused) that
-   * the key may be forgotten soon: then the call must not be passed on.
+   * @returns True on the first call. False if it was called before or too late, for example after a
+   * pause of the process, since the key may expire soon; then the call must not be forwarded.
    */
   begin(): boolean;
   /**
-   * Records the end; the first one counts. It reaches the store with later claims, or after about a
-   * second.
+   * Records the end of the call; later ends are ignored. The end is written to the store together
+   * with later claims, or after about a second.
    *
-   * @param end What became of the call.
+   * @param end The outcome of the call.
    */
   end(end: ClaimEnd): void;
 }
 
-/** An answered claim. */
+/** Answer to a claim that was not refused. */
 export type ClaimAnswer =
-  /** The caller may pass the call on, once. */
+  /** The caller may forward the call once. */
   | { kind: "granted"; ticket: ClaimTicket }
-  /** This very process holds a claim for the key: attach to its run. */
+  /** This process already has a claim for the key; the caller may attach to its run. */
   | { kind: "running"; runId: string }
   /**
-   * Another process holds a claim without a known end: attach there. If it can't be asked, or no
-   * longer has that incarnation, the outcome is unknown. What it says may be recorded here with
-   * {@link ClaimsJournal.resolve}.
+   * Another process has a claim for the key, whose end is not known here; the caller may attach to
+   * its run. If that process is unreachable or has restarted, the outcome is unknown. An end that
+   * it reports may be recorded with {@link ClaimsJournal.resolve}.
    */
   | { kind: "elsewhere"; claimant: Claimant }
-  /** The call has run. */
+  /** The call has ended. */
   | { kind: "ended"; end: ClaimEnd; claimant: Claimant };
 
-/** Why a claim was refused. Only `unknown` leaves open whether an earlier claim's call ran. */
+/** Reason of a refusal. Only `unknown` means that the call of an earlier claim may have run. */
 export type ClaimRefusal =
-  /** This request was not run and won't be by this claim; try again later. */
+  /** The call was not run and won't be run by this claim; the caller may retry later. */
   | { kind: "not_run"; cause: NotRunCause; retryAfterMs: number }
-  /** Not run here; another agent owns the shard. */
+  /** The call was not run; another agent owns the shard. */
   | { kind: "redirect"; address: string; agentIncarnation: string }
-  /** Not run: the key was used for another call. */
+  /** The call was not run; the key was used for a different call. */
   | { kind: "key_reused" }
-  /** The key may have been used, and nobody can tell what became of it. */
+  /** The key may have been used before, and the outcome of that call is unknown. */
   | { kind: "unknown"; retryAfterMs: number };
 
-/** Causes of a claim that was not run. */
+/** Causes of a refusal of kind `not_run`. */
 export const NOT_RUN_CAUSES = {
-  /** The store can't be reached. */
+  /** The store is down or did not answer in time. */
   storeDown: "store_down",
-  /** The shard holds as many keys as it may. */
+  /** The shard has reached its maximum number of claims. */
   journalFull: "journal_full",
-  /** Another agent took the shard meanwhile. */
+  /** Another agent took over the shard in the meantime. */
   ownershipLost: "ownership_lost",
-  /** A newer version wrote the journal. */
+  /** The stored journal can't be decoded, for example since a newer version wrote it. */
   unreadable: "unreadable",
-  /** The journal is being released. */
+  /** The journal is closing. */
   closing: "closing",
 } as const;
 
 /** One of {@link NOT_RUN_CAUSES}. */
 export type NotRunCause = typeof NOT_RUN_CAUSES[keyof typeof NOT_RUN_CAUSES];
 
-/** What this process knows of one of its own claims. */
+/** Status of a claim that this process made. */
 export type ClaimFate =
-  /** Undecided, granted or passed on. */
+  /** The claim is undecided, granted or forwarded. */
   | { kind: "running" }
   | { kind: "ended"; end: ClaimEnd }
-  /** Not claimed by this process, or forgotten. */
+  /** This process did not make the claim, or it has expired. */
   | { kind: "unknown" };
 
-/** State of one shard, for the dump. */
+/** State of one shard, for the state dump. */
 export interface ShardState {
   team: string;
   service: string;
@@ -131,50 +131,51 @@
   keyCount: number;
   segmentCount: number;
   waitingCount: number;
-  /** Above 0: unknown keys are answered `unknown` for this long. */
+  /** Remaining time in which claims of unknown keys are refused as `unknown`. */
   quarantineMs: number;
 }
 
-/** State of a journal, for the dump. */
+/** State of a journal, for the state dump. */
 export interface JournalState {
   storeDown: boolean;
   commits: number;
   grants: number;
-  /** Of these: without the store, in `memory` mode. */
+  /** Number of these grants that were made from memory, without the store. */
   memoryGrants: number;
   shards: ShardState[];
 }
 
-/** Grants claims. One for each agent process. */
+/** Grants claims; each agent process has one journal. */
 export interface ClaimsJournal {
   /**
-   * Claims a key, as the owner of its shard; takes the shard over where that is due.
+   * Claims a key. Only the owner of the key's shard grants claims; this agent takes over the shard
+   * first if it may.
    *
-   * @param request The claim.
-   * @returns The answer, in bounded time.
+   * @param request The requested claim.
+   * @returns The answer or the refusal, in bounded time.
    */
   claim(request: ClaimRequest): Promise<Result<ClaimAnswer, ClaimRefusal>>;
   /**
-   * Query: what became of a claim of this process. For questions of other agents that got
+   * Returns the status of a claim that this process made. Other agents ask for it after an answer
    * `elsewhere`.
    *
-   * @param ref The claim.
+   * @param ref Identifies the claim.
    */
   fate(ref: ClaimRef): ClaimFate;
   /**
-   * Records an end that the claim's own process has told; nobody else may vouch for it.
+   * Records an end that another process reported for its own claim. No other source is reliable.
    *
-   * @param ref The claim, as `elsewhere` named it.
-   * @param end What became of the call.
+   * @param ref Identifies the claim, with the run id from the answer `elsewhere`.
+   * @param end The outcome of the call.
    */
   resolve(ref: ClaimRef, end: ClaimEnd): void;
-  /** Query: state for the dump. */
+  /** Returns the state for the state dump. */
   state(): JournalState;
   /**
-   * Grants nothing more, writes what is open and gives the shards back, so that successors need no
-   * caution. Call it when all runs have ended.
+   * Stops granting claims, writes pending records and releases the shards, so that successors can
+   * take over at once and without a quarantine. Must be called after all runs have ended.
    *
-   * @returns Resolves when it is written, or has proved impossible in the set time.
+   * @returns Resolves when everything is written or the time limit has passed.
    */
   close(): Promise<void>;
 }
--- a/src/journal/journal_fuzz_test.ts
+++ b/src/journal/journal_fuzz_test.ts
@@ -1,104 +1,108 @@
-/** Agents under faults against an oracle: no key is passed on twice within its window. */
+/** Fuzz test: under injected faults, no call is forwarded twice within its retry window. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
 import {
-  type AskOptions,
-  settle,
+  type ClaimOptions,
+  runPendingTasks,
   type TestAgent,
+  TestCluster,
   WINDOW_MS,
-  World,
 } from "./_test_world.ts";
 
-const RUNS = Number(process.env["JOURNAL_FUZZ_RUNS"] ?? 60);
+const RUN_COUNT = Number(process.env["JOURNAL_FUZZ_RUNS"] ?? 60);
 const SEED = Number(process.env["JOURNAL_FUZZ_SEED"] ?? 20_260_301);
-const AGENTS = 3;
-const HEAL_MS = 70_000;
-const HEALED_TRIES = 3;
+const AGENT_COUNT = 3;
+const RECOVERY_MS = 70_000;
+const RECOVERY_ATTEMPTS = 3;
 
 type Model = Record<string, never>;
-type Step = fc.AsyncCommand<Model, World>;
+type Step = fc.AsyncCommand<Model, TestCluster>;
 
-/** A command that is always allowed; the oracle is asked after each. */
+/** Creates a command that is always allowed and is followed by a check of the oracle. */
 function step(
   text: string,
-  act: (world: World) => void | Promise<void>,
+  act: (cluster: TestCluster) => void | Promise<void>,
 ): Step {
   return {
     check: () => true,
-    run: async (_model, world) => {
-      await act(world);
-      await settle();
-      checkOracle(world);
+    run: async (_model, cluster) => {
+      await act(cluster);
+      await runPendingTasks();
+      checkOracle(cluster);
     },
     toString: () => text,
   };
 }
 
-function checkOracle(world: World): void {
-  for (const [key, executions] of world.executions) {
-    executions.slice(1).forEach((later, place) => {
-      const untilMs = executions[place]!.askedMs + WINDOW_MS;
-      assert.ok(later.begunMs >= untilMs, `${key} was passed on twice`);
+function checkOracle(cluster: TestCluster): void {
+  for (const [key, executions] of cluster.executions) {
+    executions.slice(1).forEach((later, index) => {
+      const untilMs = executions[index]!.requestedMs + WINDOW_MS;
+      assert.ok(later.forwardedMs >= untilMs, `${key} was forwarded twice`);
     });
   }
-  const executed = [...world.executions.values()].flat();
+  const executed = [...cluster.executions.values()].flat();
   const runIds = new Set(executed.map(({ runId }) => runId));
-  for (const { runId, result } of world.answered) {
+  for (const { runId, result } of cluster.answered) {
     assert.ok(
       result.isOk || !runIds.has(runId),
-      `${runId} was refused, and ran`,
+      `${runId} was refused, but has run`,
     );
     if (result.isErr || result.value.kind !== "ended") continue;
     const { claimant } = result.value;
-    assert.ok(runIds.has(claimant.runId), `${claimant.runId} never ran`);
+    assert.ok(
+      runIds.has(claimant.runId),
+      `${claimant.runId} has ended, but never ran`,
+    );
   }
 }
 
 const KEYS = fc.constantFrom("aa", "ab", "ba");
-const place = fc.nat(AGENTS - 1);
+const index = fc.nat(AGENT_COUNT - 1);
 const recent = fc.integer({ min: 1, max: 4 });
 
-const asks = fc.record({
-  place,
+const claimSteps = fc.record({
+  index,
   key: KEYS,
   service: fc.constantFrom("memory" as const, "refuse" as const),
   whenStoreDown: fc.constantFrom(undefined, undefined, "refuse" as const),
   unreachable: fc.boolean(),
-  /** False: the agent dawdles between the grant and passing on. */
+  /** False if the agent delays forwarding the call after the grant. */
   isPrompt: fc.boolean(),
-}).map(({ place, key, isPrompt, ...options }) =>
+}).map(({ index, key, isPrompt, ...options }) =>
   step(
-    `ask ${place} ${key} ${JSON.stringify(options)} ${isPrompt}`,
-    (world) => {
-      if (!world.agents[place]!.isAwake) return;
-      void askAndPassOn(world, place, key, { ...options, isPrompt });
+    `claim ${index} ${key} ${JSON.stringify(options)} ${isPrompt}`,
+    (cluster) => {
+      if (!cluster.agents[index]!.isRunning) return;
+      void claimAndForward(cluster, index, key, { ...options, isPrompt });
     },
   )
 );
 
-async function askAndPassOn(
-  world: World,
-  place: number,
+async function claimAndForward(
+  cluster: TestCluster,
+  index: number,
   key: string,
-  options: AskOptions & { isPrompt: boolean },
+  options: ClaimOptions & { isPrompt: boolean },
 ): Promise<void> {
-  const { grant } = await world.ask(place, key, options);
-  if (grant && options.isPrompt) world.passOn(grant);
+  const { grant } = await cluster.claim(index, key, options);
+  if (grant && options.isPrompt) cluster.forward(grant);
 }
 
-const passOns = recent.map((n) =>
-  step(`pass on ${n}`, (world) => {
-    const grant = world.grants.at(-n);
-    if (grant) world.passOn(grant);
+const forwardSteps = recent.map((n) =>
+  step(`forward ${n}`, (cluster) => {
+    const grant = cluster.grants.at(-n);
+    if (grant) cluster.forward(grant);
   })
 );
 
-const advances = fc.constantFrom(5, 30, 30, 300, 300, 3000, 9000, 25_000).map((
-  ms,
-) => step(`advance ${ms}`, (world) => world.time.advance(ms)));
+const advanceSteps = fc.constantFrom(5, 30, 30, 300, 300, 3000, 9000, 25_000)
+  .map((
+    ms,
+  ) => step(`advance ${ms}`, (cluster) => cluster.time.advance(ms)));
 
-const faults = fc.constantFrom(
+const storeFaultSteps = fc.constantFrom(
   { down: true },
   { down: false },
   { down: false },
@@ -116,8 +120,8 @@
   })
 );
 
-const agentFaults = fc.tuple(
-  place,
+const agentFaultSteps = fc.tuple(
+  index,
   fc.constantFrom(
     "crash",
     "pause",
@@ -129,156 +133,163 @@
     "skew",
     "close",
   ),
-).map(([place, fault]) =>
-  step(`${fault} ${place}`, (world) => strike(world, place, fault))
+).map(([index, fault]) =>
+  step(`${fault} ${index}`, (cluster) => injectFault(cluster, index, fault))
 );
 
-function strike(world: World, place: number, fault: string): void {
-  const agent = world.agents[place]!;
-  if (fault === "crash") world.replace(place);
+function injectFault(cluster: TestCluster, index: number, fault: string): void {
+  const agent = cluster.agents[index]!;
+  if (fault === "crash") cluster.replace(index);
   if (fault === "pause") agent.pause();
   if (fault === "resume") agent.resume();
-  if (fault === "cut") agent.isCutOff = true;
-  if (fault === "join") agent.isCutOff = false;
+  if (fault === "cut") agent.isPartitioned = true;
+  if (fault === "join") agent.isPartitioned = false;
   if (fault === "skew") agent.wallSkewMs -= 3_600_000;
-  if (fault === "close") void closeAndReplace(world, place, agent);
+  if (fault === "close") void closeAndReplace(cluster, index, agent);
 }
 
 async function closeAndReplace(
-  world: World,
-  place: number,
+  cluster: TestCluster,
+  index: number,
   agent: TestAgent,
 ): Promise<void> {
-  if (!agent.isAwake) return;
+  if (!agent.isRunning) return;
   await agent.journal.close();
-  if (world.agents[place] === agent) world.replace(place);
+  if (cluster.agents[index] === agent) cluster.replace(index);
 }
 
-const ends = fc.tuple(
+const endSteps = fc.tuple(
   recent,
   fc.constantFrom("done" as const, "failed" as const),
 )
   .map(([n, kind]) =>
-    step(`end ${n}`, (world) => {
-      const grant = world.grants.at(-n);
-      if (!grant?.agent.isAwake) return;
-      const hasRun = world.hasRun(grant.ticket.ref.runId);
+    step(`end ${n}`, (cluster) => {
+      const grant = cluster.grants.at(-n);
+      if (!grant?.agent.isRunning) return;
+      const hasRun = cluster.hasRun(grant.ticket.ref.runId);
       grant.ticket.end(hasRun ? { kind, status: 200 } : { kind: "not_run" });
     })
   );
 
-const resolves = recent.map((n) =>
-  step(`resolve ${n}`, (world) => {
-    const asked = world.answered.at(-n);
-    if (!asked?.agent.isAwake || asked.result.isErr) return;
-    if (asked.result.value.kind !== "elsewhere") return;
-    const { runId, agentIncarnation } = asked.result.value.claimant;
+const resolveSteps = recent.map((n) =>
+  step(`resolve ${n}`, (cluster) => {
+    const attempt = cluster.answered.at(-n);
+    if (!attempt?.agent.isRunning || attempt.result.isErr) return;
+    if (attempt.result.value.kind !== "elsewhere") return;
+    const { runId, agentIncarnation } = attempt.result.value.claimant;
     const isClaimant = (other: TestAgent) =>
-      other.incarnation === agentIncarnation && other.isAwake;
-    const ref = { ...asked.ref, runId };
-    const fate = world.agents.find(isClaimant)?.journal.fate(ref);
-    if (fate?.kind === "ended") asked.agent.journal.resolve(ref, fate.end);
+      other.incarnation === agentIncarnation && other.isRunning;
+    const ref = { ...attempt.ref, runId };
+    const fate = cluster.agents.find(isClaimant)?.journal.fate(ref);
+    if (fate?.kind === "ended") attempt.agent.journal.resolve(ref, fate.end);
   })
 );
 
-/** An agent loses the store and is asked all the same. */
-const outages = fc.record({
-  place,
+/** Claims at an agent that has lost its connection to the store. */
+const outageSteps = fc.record({
+  index,
   key: KEYS,
   waitMs: fc.constantFrom(30, 3000, 9000),
   isGlobal: fc.boolean(),
-}).map(({ place, key, waitMs, isGlobal }) =>
-  step(`outage ${place} ${key} ${waitMs} ${isGlobal}`, async (world) => {
-    const agent = world.agents[place]!;
-    agent.isCutOff = true;
-    world.store.faults.down = isGlobal;
+}).map(({ index, key, waitMs, isGlobal }) =>
+  step(`outage ${index} ${key} ${waitMs} ${isGlobal}`, async (cluster) => {
+    const agent = cluster.agents[index]!;
+    agent.isPartitioned = true;
+    cluster.store.faults.down = isGlobal;
     const options = { service: "memory" as const, isPrompt: true };
-    for (const asked of ["ca", key]) {
-      if (agent.isAwake) void askAndPassOn(world, place, asked, options);
-      await world.time.advance(waitMs);
+    for (const each of ["ca", key]) {
+      if (agent.isRunning) void claimAndForward(cluster, index, each, options);
+      await cluster.time.advance(waitMs);
     }
-    world.store.faults.down = false;
+    cluster.store.faults.down = false;
   })
 );
 
-/** The same key everywhere, in a row. */
-const repeats = fc.record({
+/** Claims the same key at all agents, one after the other. */
+const repeatSteps = fc.record({
   key: KEYS,
   service: fc.constantFrom("memory" as const, "refuse" as const),
   unreachable: fc.boolean(),
 }).map(({ key, ...options }) =>
-  step(`repeat ${key} ${JSON.stringify(options)}`, async (world) => {
-    for (const [place, agent] of world.agents.entries()) {
-      if (!agent.isAwake) continue;
-      void askAndPassOn(world, place, key, { ...options, isPrompt: true });
-      await world.time.advance(60);
+  step(`repeat ${key} ${JSON.stringify(options)}`, async (cluster) => {
+    for (const [index, agent] of cluster.agents.entries()) {
+      if (!agent.isRunning) continue;
+      void claimAndForward(cluster, index, key, { ...options, isPrompt: true });
+      await cluster.time.advance(60);
     }
   })
 );
 
-const GENERAL = fc.commands([
-  asks,
-  asks,
-  asks,
-  asks,
-  asks,
-  passOns,
-  advances,
-  advances,
-  advances,
-  faults,
-  agentFaults,
-  ends,
-  resolves,
+const MIXED_SCRIPTS = fc.commands([
+  claimSteps,
+  claimSteps,
+  claimSteps,
+  claimSteps,
+  claimSteps,
+  forwardSteps,
+  advanceSteps,
+  advanceSteps,
+  advanceSteps,
+  storeFaultSteps,
+  agentFaultSteps,
+  endSteps,
+  resolveSteps,
 ], { maxCommands: 120, size: "max" });
 
-const OUTAGES = fc.commands([
-  asks,
-  asks,
-  outages,
-  outages,
-  repeats,
-  repeats,
-  advances,
-  advances,
-  agentFaults,
-  ends,
+const OUTAGE_SCRIPTS = fc.commands([
+  claimSteps,
+  claimSteps,
+  outageSteps,
+  outageSteps,
+  repeatSteps,
+  repeatSteps,
+  advanceSteps,
+  advanceSteps,
+  agentFaultSteps,
+  endSteps,
 ], { maxCommands: 60, size: "max" });
 
-/** All faults end: after a while fresh keys are granted again. */
-async function checkHealed(world: World): Promise<void> {
-  Object.assign(world.store.faults, { down: false, slowMs: 0 });
-  for (const agent of world.agents) {
-    agent.isCutOff = false;
+/** Ends all faults and checks that new keys are granted again after some time. */
+async function checkRecovery(cluster: TestCluster): Promise<void> {
+  Object.assign(cluster.store.faults, { down: false, slowMs: 0 });
+  for (const agent of cluster.agents) {
+    agent.isPartitioned = false;
     agent.resume();
   }
-  await world.time.advance(HEAL_MS);
-  checkOracle(world);
+  await cluster.time.advance(RECOVERY_MS);
+  checkOracle(cluster);
   for (const service of ["memory", "refuse"] as const) {
     const options = { service, unreachable: true };
     const answers: string[] = [];
-    // A stale owner is redirected, its takeover is followed by a quarantine, then it grants.
-    for (let tries = 0; tries < HEALED_TRIES; tries++) {
-      answers.push(await world.askNow(0, `az${tries}`, options));
-      await world.time.advance(HEAL_MS);
+    // The first claim may be redirected since this agent's ownership is stale, the second may fall
+    // into the quarantine after its takeover, and the third must be granted.
+    for (let attempt = 0; attempt < RECOVERY_ATTEMPTS; attempt++) {
+      answers.push(await cluster.claimAndWait(0, `az${attempt}`, options));
+      await cluster.time.advance(RECOVERY_MS);
     }
     assert.equal(answers.at(-1), "granted", `${service}: ${answers}`);
   }
-  checkOracle(world);
+  checkOracle(cluster);
 }
 
-test("no key is passed on twice, whatever fails", () => run(GENERAL));
+test("no call is forwarded twice under arbitrary faults", () =>
+  run(MIXED_SCRIPTS));
 
-test("no key is passed on twice around outages", () => run(OUTAGES));
+test("no call is forwarded twice around store outages", () =>
+  run(OUTAGE_SCRIPTS));
 
 async function run(scripts: fc.Arbitrary<Iterable<Step>>): Promise<void> {
   const property = fc.asyncProperty(scripts, async (script) => {
-    const world = new World(AGENTS);
+    const cluster = new TestCluster(AGENT_COUNT);
     const model: Model = {};
-    await fc.asyncModelRun(() => ({ model, real: world }), script);
-    await checkHealed(world);
-    await world.stop();
+    await fc.asyncModelRun(() => ({ model, real: cluster }), script);
+    await checkRecovery(cluster);
+    await cluster.stop();
   });
-  const options = { numRuns: RUNS, seed: SEED, includeErrorInReport: true };
+  const options = {
+    numRuns: RUN_COUNT,
+    seed: SEED,
+    includeErrorInReport: true,
+  };
   await fc.assert(property, options);
 }
--- a/src/journal/mod.ts
+++ b/src/journal/mod.ts
@@ -1,4 +1,4 @@
-/** The claims journal: calls that may not be repeated run at most once. */
+/** The claims journal, which ensures that calls that may not be repeated run at most once. */
 export {
   type ClaimAnswer,
   type Claimant,
--- a/src/journal/shard_hash.ts
+++ b/src/journal/shard_hash.ts
@@ -1,25 +1,26 @@
-/** Where a key belongs: its digest and its shard. */
+/** Maps idempotency keys to digests and shards. */
 import { createHash } from "node:crypto";
 
 /**
- * Shards of each service. All processes must agree on it: a key that changes its shard is forgotten.
+ * Number of shards of each service. All processes must use the same number: if a key's shard
+ * changes, its earlier claims are not found any more.
  */
 export const SHARD_COUNT = 16;
 
-/** What a caller's key is unique in, and the key. */
+/** An idempotency key and the scope in which it is unique. */
 export interface KeyScope {
   team: string;
   workspace: string;
   service: string;
-  /** The caller's `Idempotency-Key`. */
+  /** The idempotency key that the caller sent. */
   idempotencyKey: string;
 }
 
 const DIGEST_BYTES = 16;
 
 /**
- * @param scope The key and what it is unique in.
- * @returns 16 bytes; equal for equal scopes only, for all that matters.
+ * @param scope The key and its scope.
+ * @returns A digest of 16 bytes, long enough to make collisions negligible.
  */
 export function digestKey(scope: KeyScope): Uint8Array {
   const { team, workspace, service, idempotencyKey } = scope;
@@ -29,8 +30,8 @@
 }
 
 /**
- * Entries choose the agent by rendezvous hashing over the shard, not the key, so that each shard has
- * one owner at a time.
+ * Returns the shard of a key. Entries choose the agent by rendezvous hashing of the shard, not the
+ * key, so that each shard has one owner at a time.
  *
  * @param keyDigest See {@link digestKey}.
  * @returns 0 to {@link SHARD_COUNT} - 1.
--- a/src/journal/store_claims_journal.ts
+++ b/src/journal/store_claims_journal.ts
@@ -1,4 +1,4 @@
-/** The claims journal in the platform's key-value service. */
+/** Implements the claims journal on the platform's key-value service. */
 import { err, ok, type Result } from "true-myth/result";
 import type { Unit } from "true-myth/unit";
 import { Lifecycle, type Owned } from "../base/mod.ts";
@@ -17,13 +17,13 @@
 } from "./claims_journal.ts";
 import { Committer } from "./_committer.ts";
 import {
-  answerRepeat,
+  answerRepeatedClaim,
+  type ClaimEntry,
   createOwnEntry,
   type Decision,
-  type Entry,
-  keyOf,
+  digestToKey,
 } from "./_entry.ts";
-import { Opener } from "./_opener.ts";
+import { ShardAcquirer } from "./_opener.ts";
 import {
   CLOCK_RATE_MARGIN,
   type JournalOptions,
@@ -38,30 +38,30 @@
 
 type Answer = Result<ClaimAnswer, ClaimRefusal>;
 
-/** Result of waiting for something that has not come in time. */
-const LATE = Symbol("late");
-const FULL_RETRY_MS = 5000;
-const CLOSE_POLL_MS = 20;
+/** Result of a wait that timed out. */
+const TIMED_OUT = Symbol("timed out");
+const FULL_RETRY_AFTER_MS = 5000;
+const CLOSE_POLL_INTERVAL_MS = 20;
 
-/** {@link ClaimsJournal} in the platform's key-value service. */
+/** {@link ClaimsJournal} that is stored in the platform's key-value service. */
 export class StoreClaimsJournal implements ClaimsJournal, Owned {
   readonly name = "claims-journal";
   readonly #options: JournalOptions;
   readonly #health: StoreHealth;
   readonly #shards = new Map<string, Shard>();
   readonly #committer: Committer;
-  readonly #opener: Opener;
+  readonly #acquirer: ShardAcquirer;
   readonly #life = Lifecycle.create("claims-journal");
   #isClosing = false;
   #grants = 0;
   #memoryGrants = 0;
 
-  private constructor(given: StoreClaimsJournalOptions) {
-    const options = withDefaults(given);
+  private constructor(partialOptions: StoreClaimsJournalOptions) {
+    const options = withDefaults(partialOptions);
     const health = StoreHealth.create(options);
     this.#options = options;
     this.#health = health;
-    this.#opener = Opener.create({ options, health });
+    this.#acquirer = ShardAcquirer.create({ options, health });
     this.#committer = Committer.create({
       options,
       health,
@@ -71,7 +71,7 @@
   }
 
   /**
-   * @param options Store, identity and tuning.
+   * @param options The store, the agent's identity and optional tuning.
    * @returns A journal that owns no shard yet.
    */
   static create(options: StoreClaimsJournalOptions): StoreClaimsJournal {
@@ -79,37 +79,40 @@
   }
 
   async claim(request: ClaimRequest): Promise<Answer> {
-    const { clock, claimWaitMs } = this.#options;
-    const shard = this.#shardOf(request);
-    const deadlineMs = clock.nowMs() + claimWaitMs;
+    const { clock, claimTimeoutMs } = this.#options;
+    const shard = this.#getShard(request);
+    const deadlineMs = clock.nowMs() + claimTimeoutMs;
     while (!this.#isClosing) {
-      this.#noteSettings(shard, request);
-      const met = shard.find(keyOf(request.keyDigest), clock.nowMs());
-      if (met && !isSameCall(met, request)) return err({ kind: "key_reused" });
-      if (met && !isUndecided(met)) {
-        return answerRepeat(met, this.#options.address);
+      this.#updateSettings(shard, request);
+      const found = shard.findActive(
+        digestToKey(request.keyDigest),
+        clock.nowMs(),
+      );
+      if (found && !matches(found, request)) return err({ kind: "key_reused" });
+      if (found && !isUndecided(found)) {
+        return answerRepeatedClaim(found, this.#options.address);
       }
-      if (!met && shard.tenure) return await this.#submit(shard, request);
-      const step = met
-        ? met.decided.then((): Result<Unit, ClaimRefusal> => ok())
-        : this.#opener.open(shard, request.unreachableAddresses ?? []);
-      const result = await this.#within(step, deadlineMs - clock.nowMs());
-      if (result === LATE) return this.#notRun("store_down");
+      if (!found && shard.ownerState) return await this.#submit(shard, request);
+      const step = found
+        ? found.decided.then((): Result<Unit, ClaimRefusal> => ok())
+        : this.#acquirer.acquire(shard, request.unreachableAddresses ?? []);
+      const result = await this.#withTimeout(step, deadlineMs - clock.nowMs());
+      if (result === TIMED_OUT) return this.#refuse("store_down");
       if (result.isErr) return err(result.error);
     }
-    return this.#notRun("closing");
+    return this.#refuse("closing");
   }
 
   fate(ref: ClaimRef): ClaimFate {
-    const entry = this.#shardOf(ref).own.get(ref.runId);
-    if (entry?.key !== keyOf(ref.keyDigest)) return { kind: "unknown" };
+    const entry = this.#getShard(ref).ownClaims.get(ref.runId);
+    if (entry?.key !== digestToKey(ref.keyDigest)) return { kind: "unknown" };
     return entry.end ? { kind: "ended", end: entry.end } : { kind: "running" };
   }
 
   resolve(ref: ClaimRef, end: ClaimEnd): void {
-    const shard = this.#shardOf(ref);
+    const shard = this.#getShard(ref);
     const nowMs = this.#options.clock.nowMs();
-    const entry = shard.find(keyOf(ref.keyDigest), nowMs);
+    const entry = shard.findActive(digestToKey(ref.keyDigest), nowMs);
     if (!entry || entry.phase !== "foreign") return;
     if (entry.claimant.runId === ref.runId) shard.end(entry, end, nowMs);
   }
@@ -120,64 +123,66 @@
       commits: this.#committer.commits,
       grants: this.#grants,
       memoryGrants: this.#memoryGrants,
-      shards: [...this.#shards.values()].map((shard) => this.#state(shard)),
+      shards: [...this.#shards.values()].map((shard) =>
+        this.#shardState(shard)
+      ),
     };
   }
 
   async close(): Promise<void> {
-    const { clock, closeWaitMs } = this.#options;
+    const { clock, closeTimeoutMs } = this.#options;
     this.#isClosing = true;
-    const deadlineMs = clock.nowMs() + closeWaitMs;
-    for (const shard of this.#shards.values()) shard.wantsRelease = true;
-    this.#committer.kick();
+    const deadlineMs = clock.nowMs() + closeTimeoutMs;
+    for (const shard of this.#shards.values()) shard.isClosing = true;
+    this.#committer.requestCommit();
     while (this.#isBusy && clock.nowMs() < deadlineMs) {
-      await clock.sleep(CLOSE_POLL_MS);
+      await clock.sleep(CLOSE_POLL_INTERVAL_MS);
     }
     const closing = { kind: "not_run", cause: "closing", retryAfterMs: 1 };
     for (const shard of this.#shards.values()) {
-      shard.lose(closing as ClaimRefusal, clock.nowMs());
+      shard.endOwnership(closing as ClaimRefusal, clock.nowMs());
     }
     await this.#life.stop();
   }
 
   async #submit(shard: Shard, request: ClaimRequest): Promise<Answer> {
-    const { clock, claimWaitMs, maxClaimsPerShard } = this.#options;
+    const { clock, claimTimeoutMs, maxClaimsPerShard } = this.#options;
     const nowMs = clock.nowMs();
     const quarantineMs = Math.ceil(shard.quarantineMs(nowMs));
     if (quarantineMs > 0) {
       return err({ kind: "unknown", retryAfterMs: quarantineMs });
     }
     if (shard.claimCount >= maxClaimsPerShard) {
-      return this.#notRun("journal_full");
+      return this.#refuse("journal_full");
     }
     const entry = this.#createEntry(request);
-    const fromMemory = this.#health.isDown &&
+    const inMemory = this.#health.isDown &&
       shard.mayGrantFromMemory(entry, nowMs);
-    if (this.#health.mustWait && !fromMemory) return this.#notRun("store_down");
+    if (this.#health.failsFast && !inMemory) return this.#refuse("store_down");
     shard.enqueue(entry);
-    if (fromMemory) shard.grant(entry, nowMs);
-    this.#committer.kick();
-    const decision = await this.#within(entry.decided, claimWaitMs);
-    if (decision !== LATE) return this.#answer(shard, entry, decision);
-    this.#committer.giveUpWaiting(shard, entry);
+    if (inMemory) shard.grant(entry, nowMs);
+    this.#committer.requestCommit();
+    const decision = await this.#withTimeout(entry.decided, claimTimeoutMs);
+    if (decision !== TIMED_OUT) return this.#answer(shard, entry, decision);
+    this.#committer.decideLocally(shard, entry);
     return this.#answer(shard, entry, await entry.decided);
   }
 
-  #answer(shard: Shard, entry: Entry, refusal: Decision): Answer {
+  #answer(shard: Shard, entry: ClaimEntry, refusal: Decision): Answer {
     if (refusal) return err(refusal);
     this.#grants++;
     if (entry.segment === 0) this.#memoryGrants++;
-    const { clock, passOnMs } = this.#options;
+    const { clock, maxForwardDelayMs } = this.#options;
     const ticket: ClaimTicket = Ticket.create({
       shard,
       entry,
       clock,
-      passOnMs,
+      maxForwardDelayMs,
     });
     return ok({ kind: "granted", ticket });
   }
 
-  #createEntry(request: ClaimRequest): Entry {
+  #createEntry(request: ClaimRequest): ClaimEntry {
     const { clock, address, agentIncarnation } = this.#options;
     return createOwnEntry(request, {
       claimant: { address, agentIncarnation, runId: request.runId },
@@ -187,56 +192,59 @@
     });
   }
 
-  /** A key is kept for as long as its call can last, whatever the settings say. */
+  /** Keeps a key at least as long as its call can take, even if the setting is shorter. */
   #windowMs({ settings }: ClaimRequest): number {
-    const longestCallMs = settings.timeoutMs + 2 * this.#options.passOnMs;
+    const longestCallMs = settings.timeoutMs +
+      2 * this.#options.maxForwardDelayMs;
     const windowMs = Math.max(settings.retryWindowMs, longestCallMs);
     return Math.ceil(windowMs * CLOCK_RATE_MARGIN);
   }
 
-  #noteSettings(shard: Shard, request: ClaimRequest): void {
+  #updateSettings(shard: Shard, request: ClaimRequest): void {
     shard.wantsMemoryMode = request.settings.whenStoreDown === "memory";
-    shard.windowMs = Math.max(shard.windowMs, this.#windowMs(request));
+    shard.maxWindowMs = Math.max(shard.maxWindowMs, this.#windowMs(request));
   }
 
-  #shardOf({ team, service, keyDigest }: ClaimRef): Shard {
+  #getShard({ team, service, keyDigest }: ClaimRef): Shard {
     const id = { team, service, shard: shardOf(keyDigest) };
     const prefix = shardPrefix(id);
-    const known = this.#shards.get(prefix);
-    if (known) return known;
+    const existing = this.#shards.get(prefix);
+    if (existing) return existing;
     const shard = Shard.create(id);
     this.#shards.set(prefix, shard);
     return shard;
   }
 
-  async #within<T>(
+  async #withTimeout<T>(
     step: Promise<T>,
     waitMs: number,
-  ): Promise<T | typeof LATE> {
+  ): Promise<T | typeof TIMED_OUT> {
     const stop = new AbortController();
-    const late = this.#options.clock.sleep(Math.max(0, waitMs), stop.signal);
-    const result = await Promise.race([step, late.then(() => LATE)]);
+    const timeout = this.#options.clock.sleep(Math.max(0, waitMs), stop.signal);
+    const result = await Promise.race([step, timeout.then(() => TIMED_OUT)]);
     stop.abort();
-    return result as T | typeof LATE;
+    return result as T | typeof TIMED_OUT;
   }
 
-  #notRun(cause: NotRunCause): Answer {
+  #refuse(cause: NotRunCause): Answer {
     const isFull = cause === "journal_full";
-    const retryAfterMs = isFull ? FULL_RETRY_MS : this.#health.retryAfterMs;
-    const atLeastMs = Math.max(1, retryAfterMs);
-    return err({ kind: "not_run", cause, retryAfterMs: atLeastMs });
+    const retryAfterMs = isFull
+      ? FULL_RETRY_AFTER_MS
+      : this.#health.retryAfterMs;
+    const positiveMs = Math.max(1, retryAfterMs);
+    return err({ kind: "not_run", cause, retryAfterMs: positiveMs });
   }
 
   get #isBusy(): boolean {
-    if (this.#opener.isBusy) return true;
-    return [...this.#shards.values()].some((shard) => shard.tenure);
+    if (this.#acquirer.isBusy) return true;
+    return [...this.#shards.values()].some((shard) => shard.ownerState);
   }
 
-  #state(shard: Shard): ShardState {
-    const { ownership, tenure } = shard;
+  #shardState(shard: Shard): ShardState {
+    const { ownership, ownerState } = shard;
     const { address } = this.#options;
     const isForeign = ownership.kind === "foreign";
-    const head = isForeign ? ownership.head : tenure?.head;
+    const head = isForeign ? ownership.head : ownerState?.head;
     return {
       ...shard.id,
       ownership: ownership.kind,
@@ -250,10 +258,10 @@
   }
 }
 
-function isUndecided(entry: Entry): boolean {
+function isUndecided(entry: ClaimEntry): boolean {
   return entry.phase === "waiting";
 }
 
-function isSameCall(entry: Entry, request: ClaimRequest): boolean {
+function matches(entry: ClaimEntry, request: ClaimRequest): boolean {
   return Buffer.compare(entry.fingerprint, request.fingerprint) === 0;
 }
