--- a/src/entry/http_server.ts
+++ b/src/entry/http_server.ts
@@ -172,7 +172,7 @@
     return async (request, response) => {
       this.#inFlight++;
       response.once("close", () => this.#inFlight--);
-      await this.#intake.enter();
+      await this.#intake.waitForTurn();
       // The caller disconnected while the request was queued.
       if (response.destroyed) return;
       if (this.#isStopping) response.shouldKeepAlive = false;
--- a/src/limits/_bucket_fleet.ts
+++ b/src/limits/_bucket_fleet.ts
@@ -1,7 +1,7 @@
 /** Simulates entries that share one workspace's limit by several strategies, in virtual time. */
 import type { Clock } from "../base/mod.ts";
 import { seededRandom } from "../base/random.ts";
-import { tellPauseMs } from "../router/tell_pace.ts";
+import { gossipIntervalFor } from "../router/gossip_interval.ts";
 import { type MemberReport, SharedBuckets } from "./shared_buckets.ts";
 import type { RateLimit } from "./shared_bucket.ts";
 import { TokenBucket } from "./token_bucket.ts";
@@ -210,7 +210,7 @@
 
   #sendReport(from: SimulatedEntry): void {
     const { entryCount, strategy } = this.#options;
-    from.nextReportAtMs = this.#nowMs + tellPauseMs(entryCount);
+    from.nextReportAtMs = this.#nowMs + gossipIntervalFor(entryCount);
     const report = {
       startedAtMs: from.buckets.startedAtMs,
       rows: from.buckets.takeRows(),
@@ -244,7 +244,7 @@
       buckets: this.#createBuckets(clockSkewMs),
       even: this.#createEvenBucket(),
       nextReportAtMs: this.#nowMs +
-        this.#random() * tellPauseMs(this.#options.entryCount),
+        this.#random() * gossipIntervalFor(this.#options.entryCount),
       clockSkewMs,
     };
     this.#entries.push(entry);
--- a/src/router/_kit.ts
+++ b/src/router/_kit.ts
@@ -86,8 +86,8 @@
     log: silentLog,
     serverOptions: () => SERVER_OPTIONS,
     outage: () => undefined,
-    awaitsReturns: () => false,
-    onLeft: () => {},
+    inRegistrationGrace: () => false,
+    onRemoved: () => {},
     ...options,
   });
 }
--- a/src/router/_patient_world.ts
+++ b/src/router/_long_timeout_kit.ts
@@ -17,8 +17,8 @@
 } from "../standin/mod.ts";
 import { type LogLine, recordedLog } from "./_kit.ts";
 import {
-  knows,
   openWorld,
+  stateContains,
   type TestEntry,
   until,
   useConfig,
@@ -26,11 +26,11 @@
 } from "./_world.ts";
 
 /** Much longer than any simulated pause, even on a loaded computer. */
-export const TIME_MS = 30_000;
-/** Headers of a model request with the timeout {@link TIME_MS}. */
-export const ASKED: Record<string, string> = {
+export const LONG_TIMEOUT_MS = 30_000;
+/** Headers of a model request with the timeout {@link LONG_TIMEOUT_MS}. */
+export const LONG_TIMEOUT_HEADERS: Record<string, string> = {
   ...PROMPT,
-  ...headersOf({ timeMs: TIME_MS }),
+  ...headersOf({ timeMs: LONG_TIMEOUT_MS }),
 };
 
 /** Pause of clients between retries. */
@@ -41,35 +41,38 @@
 const RESEND_SLACK = 54;
 
 /** A test setup that records the log lines of its entries. */
-export interface PatientWorld extends World {
+export interface LongTimeoutSetup extends World {
   lines: LogLine[];
 }
 
-/** Settings of a {@link PatientWorld}. */
-export interface PatientWorldOptions {
+/** Settings of a {@link LongTimeoutSetup}. */
+export interface LongTimeoutSetupOptions {
   entryCount?: number;
   /** Overrides the limit of all routes, if given. */
   maxAttempts?: number;
 }
 
 /**
- * Starts entries that know each other, with routes whose timeout is {@link TIME_MS}.
+ * Starts entries that know each other, with routes whose timeout is {@link LONG_TIMEOUT_MS}.
  *
  * @param t The test; everything is stopped at its end.
  * @param options Number of entries, and maximum attempts per request.
  * @returns The running setup.
  */
-export async function openPatientWorld(
+export async function openLongTimeoutSetup(
   t: TestContext,
-  { entryCount = 1, maxAttempts }: PatientWorldOptions = {},
-): Promise<PatientWorld> {
+  { entryCount = 1, maxAttempts }: LongTimeoutSetupOptions = {},
+): Promise<LongTimeoutSetup> {
   const { log, lines } = recordedLog();
   const world = await openWorld(t, { entryCount, log });
-  await useConfig(world, configWith(2, { timeoutMs: TIME_MS, maxAttempts }));
+  await useConfig(
+    world,
+    configWith(2, { timeoutMs: LONG_TIMEOUT_MS, maxAttempts }),
+  );
   for (const entry of world.entries) {
     await until(() =>
-      knows(entry, `"entries":${entryCount}`) &&
-      knows(entry, '"configVersion":2')
+      stateContains(entry, `"entries":${entryCount}`) &&
+      stateContains(entry, '"configVersion":2')
     );
   }
   return { ...world, lines };
@@ -84,10 +87,10 @@
  * @param options Headers, and the entry to ask; default: the first entry.
  * @returns The client's answer.
  */
-export async function askTaken(
+export async function askUntilAccepted(
   world: World,
   path: string,
-  { headers = ASKED, entry = world }: {
+  { headers = LONG_TIMEOUT_HEADERS, entry = world }: {
     headers?: Record<string, string>;
     entry?: TestEntry;
   } = {},
@@ -112,13 +115,16 @@
  * @param entry The entry to ask; default: the first one.
  * @returns The client's answer.
  */
-export function askOther(
+export function askOtherRequest(
   world: World,
   i: number,
   entry: TestEntry = world,
 ): Promise<Asked> {
-  const headers = { ...ASKED, ...headersOf({ id: `other-${i}`, prompt: i }) };
-  return askTaken(world, `/stream/other-${i}`, { headers, entry });
+  const headers = {
+    ...LONG_TIMEOUT_HEADERS,
+    ...headersOf({ id: `other-${i}`, prompt: i }),
+  };
+  return askUntilAccepted(world, `/stream/other-${i}`, { headers, entry });
 }
 
 /**
@@ -128,7 +134,7 @@
  * @param what Message on failure.
  * @param options Number of events of a complete stream.
  */
-export function assertWhole(
+export function assertComplete(
   { isWhole, body, status }: Asked,
   what?: string,
   { events = 4 }: { events?: number } = {},
@@ -145,8 +151,8 @@
  * @param asked The clients' answers.
  * @param options Number of events of a complete stream, and total number of requests.
  */
-export function assertAllWhole(
-  world: PatientWorld,
+export function assertAllComplete(
+  world: LongTimeoutSetup,
   asked: Asked[],
   options: { events?: number; requests?: number } = {},
 ): void {
@@ -159,7 +165,7 @@
       eventCount,
       entry: requestsOf(world.lines),
     };
-    assertWhole(answer, JSON.stringify(seen), options);
+    assertComplete(answer, JSON.stringify(seen), options);
   }
   assertResendsWithinLimits(world, options.requests ?? asked.length);
 }
@@ -186,13 +192,13 @@
 }
 
 /** Two engines, each with a running stream. */
-export interface StreamAtEach {
+export interface StreamPerEngine {
   engines: StandinPlatformWorker[];
   /** In the order of the engines. */
   answers: Promise<Asked>[];
 }
 
-/** Number of events of the streams of a {@link StreamAtEach}. */
+/** Number of events of the streams of a {@link StreamPerEngine}. */
 export const LONG_EVENTS = 60;
 
 /**
@@ -204,17 +210,17 @@
  * @param options Route name of the streams, and headers.
  * @returns The running streams.
  */
-export async function streamAtEach(
+export async function startStreamPerEngine(
   world: World,
   { route = "stream", headers = PROMPT }: {
     route?: string;
     headers?: Record<string, string>;
   } = {},
-): Promise<StreamAtEach> {
+): Promise<StreamPerEngine> {
   const slow = { model: "m", events: LONG_EVENTS, eventMs: 25 };
   const askAt = async (engine: StandinPlatformWorker, prompt: number) => {
     const own = headersOf({ id: `long-${prompt}`, prompt });
-    const answer = askTaken(world, `/${route}/${prompt}`, {
+    const answer = askUntilAccepted(world, `/${route}/${prompt}`, {
       headers: { ...headers, ...own },
     });
     await until(() => engine.runs.length > 0);
@@ -224,7 +230,8 @@
   const atFirst = await askAt(first, 0);
   const second = await world.worker("i-2", slow);
   const key = "servers/i-1";
-  const isLeaving = (entry: TestEntry) => knows(entry, '"leaving":true');
+  const isLeaving = (entry: TestEntry) =>
+    stateContains(entry, '"leaving":true');
   await world.store.put(key, first.entry("engines", { state: "draining" }));
   await until(() => isLeaving(world));
   const atSecond = await askAt(second, 1);
@@ -247,7 +254,7 @@
  *
  * @returns The gate.
  */
-export function shutGate(): Gate {
+export function createClosedGate(): Gate {
   let open = () => {};
   const opened = new Promise<void>((resolve) => open = resolve);
   return { opened, open };
--- a/src/router/_paused_stream.ts
+++ b/src/router/_paused_stream.ts
@@ -9,15 +9,15 @@
   type StandinPlatformWorkerFaults,
 } from "../standin/mod.ts";
 import {
-  ASKED,
-  askOther,
-  askTaken,
-  assertAllWhole,
-  openPatientWorld,
-  type PatientWorld,
-  type PatientWorldOptions,
+  askOtherRequest,
+  askUntilAccepted,
+  assertAllComplete,
+  LONG_TIMEOUT_HEADERS,
+  type LongTimeoutSetup,
+  type LongTimeoutSetupOptions,
+  openLongTimeoutSetup,
   runsOf,
-} from "./_patient_world.ts";
+} from "./_long_timeout_kit.ts";
 import { until } from "./_world.ts";
 
 /** Longer than an entry waits for an event while another engine could run the request. */
@@ -32,14 +32,14 @@
 
 /** A stream in flight whose engine pauses. */
 export interface Paused {
-  world: PatientWorld;
+  world: LongTimeoutSetup;
   pausing: StandinPlatformWorker;
   others: StandinPlatformWorker[];
   answer: Promise<Asked>;
 }
 
 /** Options of a {@link Paused} stream. */
-export interface PausedOptions extends PatientWorldOptions {
+export interface PausedOptions extends LongTimeoutSetupOptions {
   stall?: StandinPlatformWorkerFaults["stall"];
   path?: string;
   timeMs?: number;
@@ -58,15 +58,20 @@
   others: OtherFaults[],
   options: PausedOptions = {},
 ): Promise<Paused> {
-  const world = await openPatientWorld(t, options);
+  const world = await openLongTimeoutSetup(t, options);
   const pausing = await world.engine("i-1");
   // Two requests give each entry a resend budget of one, not two.
-  for (const i of [1, 2]) await askOther(world, i);
+  for (const i of [1, 2]) await askOtherRequest(world, i);
   pausing.runs.length = 0;
   pausing.faults.stall = options.stall ??
     { afterEvent: 2, pauseMs: PAUSE_MS };
-  const headers = { ...ASKED, ...headersOf({ timeMs: options.timeMs }) };
-  const answer = askTaken(world, options.path ?? "/stream/a", { headers });
+  const headers = {
+    ...LONG_TIMEOUT_HEADERS,
+    ...headersOf({ timeMs: options.timeMs }),
+  };
+  const answer = askUntilAccepted(world, options.path ?? "/stream/a", {
+    headers,
+  });
   await until(() => pausing.runs.length > 0);
   const made: StandinPlatformWorker[] = [];
   for (const [i, faults] of others.entries()) {
@@ -89,6 +94,6 @@
   options: PausedOptions = {},
 ): Promise<void> {
   const { world, answer } = await pausedStream(t, others, options);
-  assertAllWhole(world, [await answer]);
+  assertAllComplete(world, [await answer]);
   assert.ok(runsOf(world) <= 2);
 }
--- a/src/router/_answering_kit.ts
+++ b/src/router/_request_forwarder_kit.ts
@@ -1,22 +1,22 @@
-/** Test setup of an {@link Answering} with fake servers, a fake client and a test clock. */
+/** Test setup of a {@link RequestForwarder} with fake servers, a fake client and a test clock. */
 import type { TestContext } from "node:test";
 import { setImmediate as turn } from "node:timers/promises";
 import { silentLog, TestClock, testServer } from "./_kit.ts";
-import type { AnsweringParts } from "./answering.ts";
+import type { ForwarderParts } from "./request_forwarder.ts";
 import { type PartialAnswer, type Send, startProgress } from "./attempt.ts";
 import type { Exchange } from "./channel.ts";
 import type { Choice } from "./choose.ts";
 import { EventSplitter } from "./event_splitter.ts";
 import { type AnswerFacts, RequestKind } from "./model.ts";
-import type { NextServer } from "./next_server.ts";
-import type { AnsweringTask } from "./open_runs.ts";
+import type { ServerSelector } from "./server_selector.ts";
+import type { ForwardTask } from "./open_runs.ts";
 import type { Quarantine } from "./quarantine.ts";
 import type { AnswerPart, AnswerReader } from "./read_answer.ts";
 import type { AnswerSink, RoutedRequest } from "./request.ts";
 import { Resends } from "./resends.ts";
 import type { RunMover } from "./run_mover.ts";
 import type { Sender } from "./send.ts";
-import type { Wake } from "./wake.ts";
+import type { WakeSignal } from "./wake_signal.ts";
 import { WantedVersions } from "./wanted_weights.ts";
 
 /** Time until the request's deadline; far more than the tests let pass. */
@@ -25,9 +25,9 @@
 const SETTLE_TURNS = 5;
 
 /** Inputs that a test controls, and outputs that it checks. */
-export interface Played {
-  parts: AnsweringParts;
-  task: AnsweringTask;
+export interface ForwarderSetup {
+  parts: ForwarderParts;
+  task: ForwardTask;
   clock: TestClock;
   /** Server to which each send goes. */
   choice: Choice;
@@ -39,18 +39,18 @@
   /** Number of runs beyond the first for which the workspace was charged. */
   charged: number;
   /** Delivers a part of the response to the nth send. */
-  comes(nth: number, part: AnswerPart): void;
+  deliver(nth: number, part: AnswerPart): void;
   /** Disconnects the client. */
-  leave(): void;
+  disconnect(): void;
   /** Advances the clock; with 0, only completes pending work that needs no timer. */
-  pass(ms: number): Promise<void>;
+  advance(ms: number): Promise<void>;
 }
 
 /**
- * @param t Test whose timers are mocked; they advance with {@link Played.pass} only.
+ * @param t Test whose timers are mocked; they advance with {@link ForwarderSetup.advance} only.
  * @returns A resumable stream request that was not sent yet, and a free server.
  */
-export function play(t: TestContext): Played {
+export function createForwarderSetup(t: TestContext): ForwarderSetup {
   t.mock.timers.enable({ apis: ["setTimeout"] });
   const clock = new TestClock();
   const server = testServer("i-1");
@@ -63,7 +63,7 @@
   } as unknown as RoutedRequest;
   const client = fakeClient();
   const engine = fakeEngine(clock);
-  const setup: Played = {
+  const setup: ForwarderSetup = {
     parts: {
       clock,
       log: silentLog,
@@ -73,14 +73,14 @@
         clock,
         resendLimits: { ratio: 0.2, slack: 100, windowMs: 10_000 },
         entryCount: () => 1,
-        hasOther: () => true,
+        hasUntriedServer: () => true,
         fleet: { has: () => true },
       }),
       mover: inactiveMover(),
       quarantine: {
         verdict: () => ({ kind: "clear" }),
         answered: () => {},
-        broken: () => {},
+        recordBrokenSend: () => {},
       } as unknown as Quarantine,
       quotas: {
         runsAgain: () => void setup.charged++,
@@ -90,7 +90,7 @@
       servers: {
         any: () => setup.choice,
         ready: () => setup.isServerReady ? setup.choice : undefined,
-      } as unknown as NextServer,
+      } as unknown as ServerSelector,
       isWorthSending: () => true,
       onSilent: () => {},
     },
@@ -101,9 +101,9 @@
     sends: engine.sends,
     written: client.written,
     charged: 0,
-    comes: engine.deliver,
-    leave: client.disconnect,
-    pass: async (ms) => {
+    deliver: engine.deliver,
+    disconnect: client.disconnect,
+    advance: async (ms) => {
       await settle();
       for (let i = 0; i < ms; i++) {
         clock.advance(1);
@@ -137,7 +137,7 @@
  * @param mover Methods that replace those of a mover that moves nothing.
  * @returns A mover.
  */
-export function moverOf(mover: Partial<RunMover>): RunMover {
+export function fakeMover(mover: Partial<RunMover>): RunMover {
   return { ...inactiveMover(), ...mover } as unknown as RunMover;
 }
 
@@ -168,7 +168,7 @@
       return Promise.resolve();
     },
     end: () => {},
-    breakOff: () => {},
+    abortAnswer: () => {},
     send: () => {},
   };
   const disconnect = () => {
@@ -180,22 +180,22 @@
 
 function fakeEngine(clock: TestClock) {
   const sends: Send[] = [];
-  const wakes: Wake[] = [];
+  const wakes: WakeSignal[] = [];
   const parts: AnswerPart[][] = [];
   const partsOf = (nth: number) => parts[nth] ??= [];
   const sender: Pick<Sender, "send"> = {
     send: (request, { wake, ...task }) => {
       const { progress, choice } = task;
       progress.sends++;
-      progress.arrivals++;
+      progress.possibleDeliveries++;
       const nowMs = clock.nowMs();
       const send: Send = {
         ...task,
         request,
         exchange: { sent: true, abort: () => {} } as unknown as Exchange,
-        ticket: choice.server.begin(choice.uncachedTokens, false),
+        ticket: choice.server.startRequest(choice.uncachedTokens, false),
         sentAtMs: nowMs,
-        quietSinceMs: nowMs,
+        idleSinceMs: nowMs,
         priority: 0,
         isSuspected: false,
       };
@@ -210,7 +210,7 @@
       if (!part || part.kind === "over") return part;
       send.answer ??= begunAnswer();
       send.headAtMs ??= clock.nowMs();
-      send.quietSinceMs = clock.nowMs();
+      send.idleSinceMs = clock.nowMs();
       return part;
     },
   };
--- a/src/router/_roll_kit.ts
+++ b/src/router/_roll_kit.ts
@@ -8,7 +8,7 @@
 import type { EngineCalls } from "./engine_orders.ts";
 import type { Fleet } from "./fleet.ts";
 import { WantedVersions } from "./wanted_weights.ts";
-import { NAMED_RECORD_KEY } from "./named_record.ts";
+import { PUBLISH_TIMES_KEY } from "./publish_times_record.ts";
 import { ORDER_RECORD_PREFIX } from "./order_records.ts";
 import { LAST_ROLL_KEY, ROLL_LEASE_KEY } from "./roll_lease.ts";
 import { WeightsRoll } from "./weights_roll.ts";
@@ -145,10 +145,10 @@
       isLeaseHeld: () => store.table.get(ROLL_LEASE_KEY) !== undefined,
       lastHolder: () => store.table.get(LAST_ROLL_KEY),
       orderRecords: () => store.table.list(prefixRange(ORDER_RECORD_PREFIX)),
-      namedRecord: () => store.table.get(NAMED_RECORD_KEY),
+      publishTimesRecord: () => store.table.get(PUBLISH_TIMES_KEY),
       engineServices: () => ["engines"],
       wanted,
-      onWeights: () => {},
+      onWeightsSeen: () => {},
     });
     const ended = roll.run(end.signal);
     const stop = async () => {
--- a/src/router/_world.ts
+++ b/src/router/_world.ts
@@ -189,7 +189,7 @@
     workers.push(made);
     const service = options.model ? "engines" : "plain";
     await store.put(`servers/${id}`, made.entry(service));
-    await until(() => knows(first, id));
+    await until(() => stateContains(first, id));
     return made;
   };
   const engine = (id: string) => worker(id, { model: "m" });
@@ -206,7 +206,7 @@
  * @param text Text to search for.
  * @returns Whether the entry's state dump contains the text.
  */
-export function knows({ router }: TestEntry, text: string): boolean {
+export function stateContains({ router }: TestEntry, text: string): boolean {
   return JSON.stringify(router.state()).includes(text);
 }
 
@@ -221,7 +221,7 @@
   config: typeof CONFIG,
 ): Promise<void> {
   await world.store.configure(config);
-  await until(() => knows(world, `"configVersion":${config.version}`));
+  await until(() => stateContains(world, `"configVersion":${config.version}`));
 }
 
 /** @param check Condition that is polled until it is true. */
--- a/src/router/announced.ts
+++ b/src/router/announcements.ts
@@ -9,7 +9,7 @@
 const MAX_PAUSE_MS = 600_000;
 
 /** Announcements of one server start. */
-export class Announced {
+export class Announcements {
   #leavingAnnouncedAtMs = -Infinity;
   #pausedUntilMs = -Infinity;
 
@@ -20,8 +20,8 @@
    *
    * @returns A state without announcements.
    */
-  static create(): Announced {
-    return new Announced();
+  static create(): Announcements {
+    return new Announcements();
   }
 
   /**
@@ -30,7 +30,7 @@
    * @param nowMs Current time.
    * @returns Time since the announcement; undefined if there is none or it has expired.
    */
-  leavingSaidMs(nowMs: number): number | undefined {
+  leavingAgeMs(nowMs: number): number | undefined {
     const ageMs = nowMs - this.#leavingAnnouncedAtMs;
     return ageMs < LEAVING_EXPIRY_MS ? ageMs : undefined;
   }
@@ -41,8 +41,8 @@
    * @param saidAtMs Time of the announcement.
    * @returns Whether it was new.
    */
-  leaves(saidAtMs: number): boolean {
-    const isNews = this.leavingSaidMs(saidAtMs) === undefined;
+  markLeaving(saidAtMs: number): boolean {
+    const isNews = this.leavingAgeMs(saidAtMs) === undefined;
     this.#leavingAnnouncedAtMs = Math.max(this.#leavingAnnouncedAtMs, saidAtMs);
     return isNews;
   }
--- a/src/router/answer_order.ts
+++ b/src/router/answer_order.ts
@@ -26,7 +26,7 @@
    * @param request Request that is answered.
    * @param nowMs Current time.
    */
-  began({ sentAtMs, priority }: QueuedRequest, nowMs: number): void {
+  recordStart({ sentAtMs, priority }: QueuedRequest, nowMs: number): void {
     this.#lastStartAtMs = nowMs;
     const lastMs = this.#lastSentAtMs.get(priority) ?? -Infinity;
     this.#lastSentAtMs.set(priority, Math.max(lastMs, sentAtMs));
--- a/src/router/answer_order_test.ts
+++ b/src/router/answer_order_test.ts
@@ -8,20 +8,20 @@
   const order = AnswerOrder.create();
   const late = { sentAtMs: 100, priority: 5 };
   assert.equal(order.isQueued(late), false);
-  order.began({ sentAtMs: 10, priority: 5 }, 90);
+  order.recordStart({ sentAtMs: 10, priority: 5 }, 90);
   assert.equal(order.isQueued(late), false);
-  order.began({ sentAtMs: 20, priority: 5 }, 200);
+  order.recordStart({ sentAtMs: 20, priority: 5 }, 200);
   assert.equal(order.isQueued(late), true);
 });
 
 test("request that was overtaken is not queued", () => {
   const order = AnswerOrder.create();
-  order.began({ sentAtMs: 150, priority: 5 }, 200);
+  order.recordStart({ sentAtMs: 150, priority: 5 }, 200);
   assert.equal(order.isQueued({ sentAtMs: 100, priority: 5 }), false);
 });
 
 test("more urgent requests don't count as overtaking", () => {
   const order = AnswerOrder.create();
-  order.began({ sentAtMs: 150, priority: 0 }, 200);
+  order.recordStart({ sentAtMs: 150, priority: 0 }, 200);
   assert.equal(order.isQueued({ sentAtMs: 100, priority: 5 }), true);
 });
--- a/src/router/answer_rules.ts
+++ b/src/router/answer_rules.ts
@@ -20,7 +20,7 @@
  * @param facts Head of a server's response.
  * @returns Why the response can't be forwarded as the server's own; undefined if it can.
  */
-export function problemOf(facts: AnswerFacts): string | undefined {
+export function rejectionReason(facts: AnswerFacts): string | undefined {
   if (facts.encoded) return "encoded_answer";
   const isSuccess = facts.status >= 200 && facts.status < 300;
   if (isSuccess && !facts.signed) return "unsigned_answer";
@@ -37,7 +37,7 @@
  * @param lastEventId Id of the preceding event, if there is one.
  * @returns Whether every numeric id is higher than the one before it.
  */
-export function follows(
+export function areIdsAscending(
   ids: string[],
   lastEventId: string | undefined,
 ): boolean {
--- a/src/router/answer_writer.ts
+++ b/src/router/answer_writer.ts
@@ -71,7 +71,7 @@
    * @returns Its status; undefined if nothing was written.
    */
   writeKeptFailure(): number | undefined {
-    if (!this.#failure || this.#task.progress.begun) return undefined;
+    if (!this.#failure || this.#task.progress.streamStarted) return undefined;
     const { send, body } = this.#failure;
     this.writeWhole(send, body);
     return send.answer!.head.status;
@@ -79,8 +79,8 @@
 
   #writeHead({ answer }: Send): void {
     const { sink, progress } = this.#task;
-    if (progress.begun) return;
-    progress.begun = true;
+    if (progress.streamStarted) return;
+    progress.streamStarted = true;
     const { head } = answer!;
     sink.begin(head.status, answerHeaders(head.headers));
   }
--- a/src/router/attempt.ts
+++ b/src/router/attempt.ts
@@ -6,7 +6,7 @@
 import type {
   AnswerSink,
   ChosenWeights,
-  GivenUp,
+  GiveUpDetails,
   RoutedRequest,
 } from "./request.ts";
 import type { LoadTicket, Server } from "./server.ts";
@@ -57,20 +57,20 @@
   /** Why each send that brought no complete answer ended: `reason@ms`, in ms since its start. */
   readonly ends: string[];
   /** State at the time when the request was given up. */
-  givenUp?: GivenUp;
+  givenUp?: GiveUpDetails;
   /** Runs that may have started and have ended; a run that continues from a copy counts once. */
   runs: number;
   sends: number;
   /** Hedged sends: sends in addition to an open run that was silent. */
-  sendsBeside: number;
+  hedgedSends: number;
   /** Sends that may have reached a server. */
-  arrivals: number;
+  possibleDeliveries: number;
   /** Unused sends that were charged to the resend budget in advance. */
   reservedSends: number;
   /** When {@link Progress.reservedSends} were charged. */
   reservedAtMs: number;
   /** The client has received the head of a stream. */
-  begun: boolean;
+  streamStarted: boolean;
   /** Id of the last event that the client has received. */
   lastEventId: string | undefined;
   ttftMs?: number;
@@ -120,7 +120,7 @@
   /** Another run of the request had started, or may have, before this send. */
   isRepeat: boolean;
   /** When the last part of the answer was received; until then, when the request was sent. */
-  quietSinceMs: number;
+  idleSinceMs: number;
   /** The server was already reported as silent. */
   isSuspected: boolean;
   /** Set once the server has started to answer. */
@@ -128,7 +128,7 @@
   /** When the head of the answer was received. */
   headAtMs?: number;
   /** When the first event of the answer was received. */
-  runsFromMs?: number;
+  firstEventAtMs?: number;
   /** Result of the attempt to move the run, if there was one. */
   move?: RunMove;
 }
@@ -145,21 +145,24 @@
     ends: [],
     runs: 0,
     sends: 0,
-    sendsBeside: 0,
-    arrivals: 0,
+    hedgedSends: 0,
+    possibleDeliveries: 0,
     reservedSends: 0,
     reservedAtMs: -Infinity,
-    begun: false,
+    streamStarted: false,
     lastEventId,
   };
 }
 
 /**
- * @param send A send that the router closes.
+ * @param send A send that the entry closes.
  * @param reason Why it is closed.
  * @returns How the send ended: not run if it never reached the server, else unknown.
  */
-export function endClosed({ exchange }: Send, reason: CloseReason): SendEnd {
+export function closedEnd(
+  { exchange }: Send,
+  reason: CloseReason,
+): SendEnd {
   return exchange.sent
     ? { kind: "unknown", reason }
     : { kind: "not_run", reason: "no_connection", isUnsent: true };
@@ -173,7 +176,7 @@
  * @param nowMs The current time.
  * @returns How the send ended.
  */
-export function endBroken(
+export function brokenEnd(
   { choice, move }: Send,
   reason: string,
   nowMs: number,
--- a/src/router/broken_answer_test.ts
+++ b/src/router/broken_answer_test.ts
@@ -10,23 +10,23 @@
   streamOf,
 } from "../standin/mod.ts";
 import {
-  ASKED,
-  askOther,
-  askTaken,
-  assertAllWhole,
-  assertWhole,
+  askOtherRequest,
+  askUntilAccepted,
+  assertAllComplete,
+  assertComplete,
+  createClosedGate,
   type Gate,
   LONG_EVENTS,
-  openPatientWorld,
-  type PatientWorld,
-  type PatientWorldOptions,
+  LONG_TIMEOUT_HEADERS,
+  type LongTimeoutSetup,
+  type LongTimeoutSetupOptions,
+  openLongTimeoutSetup,
   refuseFor,
   requestsOf,
   runsOf,
-  shutGate,
-  streamAtEach,
-} from "./_patient_world.ts";
-import { knows, until } from "./_world.ts";
+  startStreamPerEngine,
+} from "./_long_timeout_kit.ts";
+import { stateContains, until } from "./_world.ts";
 
 /** Time for which an engine or its registration in the store is unavailable. */
 const UNAVAILABLE_MS = 500;
@@ -39,7 +39,7 @@
 const BUSY_COUNT = 6;
 
 interface Open {
-  world: PatientWorld;
+  world: LongTimeoutSetup;
   engine: StandinPlatformWorker;
   answer: Promise<Asked>;
   /** Once opened, the engine breaks the stream off after two events. */
@@ -49,14 +49,14 @@
 /** Starts a stream at the only engine, which breaks it off once the gate is opened. */
 async function openStream(
   t: TestContext,
-  options: PatientWorldOptions & { path?: string } = {},
+  options: LongTimeoutSetupOptions & { path?: string } = {},
 ): Promise<Open> {
-  const world = await openPatientWorld(t, options);
-  const gate = shutGate();
+  const world = await openLongTimeoutSetup(t, options);
+  const gate = createClosedGate();
   const stall = { afterEvent: 2, pauseMs: 0, opened: gate.opened };
   const faults = { ...NO_FAULTS, cutAfterEvents: 2, stall };
   const engine = await world.worker("i-1", { model: "m", faults });
-  const answer = askTaken(world, options.path ?? "/stream/a");
+  const answer = askUntilAccepted(world, options.path ?? "/stream/a");
   await until(() => engine.runs.length > 0);
   return { world, engine, answer, gate };
 }
@@ -68,7 +68,7 @@
     const other = await world.engine("i-2");
     refuseFor(other, UNAVAILABLE_MS);
     gate.open();
-    assertAllWhole(world, [await answer]);
+    assertAllComplete(world, [await answer]);
     assert.equal(runsOf(world), 2);
   });
 
@@ -80,30 +80,30 @@
     gate.open();
     await sleep(UNAVAILABLE_MS);
     await other.up();
-    assertAllWhole(world, [await answer]);
+    assertAllComplete(world, [await answer]);
     assert.equal(runsOf(world), 2);
   });
 
   // Guards against cutting streams of engines that terminate together, because each is resent to
   // another terminated engine.
   test(`streams are resumed when all engines but one terminate at once, ${entryCount} entries`, async (t) => {
-    const world = await openPatientWorld(t, { entryCount });
+    const world = await openLongTimeoutSetup(t, { entryCount });
     const takers = world.entries.slice(0, STREAM_COUNT);
     const askAt = (count: number, prefix: number) =>
       Array.from(
         { length: count },
-        (_, i) => askOther(world, prefix + i, takers[i % takers.length]),
+        (_, i) => askOtherRequest(world, prefix + i, takers[i % takers.length]),
       );
     const slow = { model: "m", events: 100, eventMs: 20 };
     // The remaining engine has the highest load, so it is the last choice.
     const left = await world.worker("i-1", slow);
-    await until(() => takers.every((entry) => knows(entry, "i-1")));
+    await until(() => takers.every((entry) => stateContains(entry, "i-1")));
     const busy = askAt(BUSY_COUNT, 100);
     await until(() => left.runs.length === BUSY_COUNT);
     const ending: StandinPlatformWorker[] = [];
     for (const id of ["i-2", "i-3", "i-4", "i-5"]) {
       ending.push(await world.worker(id, slow));
-      await until(() => takers.every((entry) => knows(entry, id)));
+      await until(() => takers.every((entry) => stateContains(entry, id)));
     }
     const answers = askAt(STREAM_COUNT, 0);
     await until(() => runsOf(world) === BUSY_COUNT + STREAM_COUNT);
@@ -111,7 +111,7 @@
     assert.ok(cutCount > 0);
     await Promise.all(ending.map((engine) => engine.down()));
     const asked = await Promise.all([...busy, ...answers]);
-    assertAllWhole(world, asked, { events: slow.events });
+    assertAllComplete(world, asked, { events: slow.events });
     assert.equal(runsOf(world), BUSY_COUNT + STREAM_COUNT + cutCount);
   });
 }
@@ -125,7 +125,7 @@
   await until(() => other.turnedAway > 0);
   await sleep(UNAVAILABLE_MS);
   other.faults.pauseS = undefined;
-  assertAllWhole(world, [await answer]);
+  assertAllComplete(world, [await answer]);
   assert.equal(runsOf(world), 2);
 });
 
@@ -136,7 +136,7 @@
   await world.store.delete("servers/i-1");
   await sleep(UNAVAILABLE_MS);
   await world.engine("i-2");
-  assertAllWhole(world, [await answer]);
+  assertAllComplete(world, [await answer]);
   assert.equal(runsOf(world), 2);
 });
 
@@ -148,7 +148,7 @@
   await sleep(UNAVAILABLE_MS);
   await world.store.delete("servers/i-1");
   await world.worker("i-1-again", { model: "m", listenAddress });
-  assertAllWhole(world, [await answer]);
+  assertAllComplete(world, [await answer]);
   assert.equal(runsOf(world), 2);
 });
 
@@ -158,25 +158,27 @@
   const { world, engine, answer, gate } = await openStream(t, {
     entryCount: 16,
   });
-  // Refused requests use up this router's share of the budget.
+  // Refused requests use up this entry's share of the budget.
   engine.faults.refuse = Infinity;
   for (const i of [1, 2, 3]) {
-    const headers = { ...ASKED, "attempt-id": `refused-${i}` };
+    const headers = { ...LONG_TIMEOUT_HEADERS, "attempt-id": `refused-${i}` };
     assert.equal((await ask(world, "/stream/b", headers)).status, 503);
   }
   engine.faults.refuse = 0;
   await world.engine("i-2");
   gate.open();
   await until(() => engine.streams === 0);
-  for (let i = 10; i < 30; i++) await askOther(world, i);
+  for (let i = 10; i < 30; i++) await askOtherRequest(world, i);
   const asked = await answer;
-  assertAllWhole(world, [asked], { requests: 24 });
+  assertAllComplete(world, [asked], { requests: 24 });
 });
 
 // Guards against cutting a moved stream if both the copy and the resend are refused for a while.
 test("stream is resumed although its copy is refused and the other engine refuses too", async (t) => {
-  const world = await openPatientWorld(t);
-  const { engines, answers } = await streamAtEach(world, { headers: ASKED });
+  const world = await openLongTimeoutSetup(t);
+  const { engines, answers } = await startStreamPerEngine(world, {
+    headers: LONG_TIMEOUT_HEADERS,
+  });
   for (const { faults } of engines) faults.refuse = Infinity;
   await world.store.put("op/version/m", { model: "m", version: 2 });
   await until(() => engines.some(({ refused }) => refused > 0));
@@ -187,7 +189,7 @@
       event === "run_moved" && answer === "copied"
     ),
   );
-  assertAllWhole(world, asked, { events: LONG_EVENTS });
+  assertAllComplete(world, asked, { events: LONG_EVENTS });
 });
 
 // A request that may run only once is not repeated, however much time is left.
@@ -212,12 +214,12 @@
   for (
     const [path, maxAttempts] of [["/stream/a", 1], ["/once/a", 2]] as const
   ) {
-    const world = await openPatientWorld(t, { maxAttempts });
+    const world = await openLongTimeoutSetup(t, { maxAttempts });
     const faults = { ...NO_FAULTS, loseAnswer: 1 };
     for (const id of ["i-1", "i-2"]) {
       await world.worker(id, { model: "m", faults });
     }
-    assert.equal((await askTaken(world, path)).status, 502);
+    assert.equal((await askUntilAccepted(world, path)).status, 502);
     assert.equal(runsOf(world), 1);
     await world.router.stop();
   }
@@ -225,9 +227,13 @@
 
 // Guards against cutting a stream for lack of attempts after a second engine has terminated.
 test("runs at terminated engines don't count as attempts of a route", async (t) => {
-  const world = await openPatientWorld(t, { maxAttempts: 2 });
-  const stall = { afterEvent: 2, pauseMs: 0, opened: shutGate().opened };
-  const answer = askOther(world, 1);
+  const world = await openLongTimeoutSetup(t, { maxAttempts: 2 });
+  const stall = {
+    afterEvent: 2,
+    pauseMs: 0,
+    opened: createClosedGate().opened,
+  };
+  const answer = askOtherRequest(world, 1);
   for (const id of ["i-1", "i-2"]) {
     const faults = { ...NO_FAULTS, stall };
     const engine = await world.worker(id, { model: "m", faults });
@@ -235,50 +241,50 @@
     await engine.down();
   }
   await world.engine("i-3");
-  assertAllWhole(world, [await answer], { requests: 1 });
+  assertAllComplete(world, [await answer], { requests: 1 });
   assert.equal(runsOf(world), 3);
 });
 
 // The same if another engine uses the address by then, so that connections are not refused.
 test("runs at an engine whose address was reused don't count as attempts of a route", async (t) => {
-  const world = await openPatientWorld(t, { maxAttempts: 1 });
-  const gate = shutGate();
+  const world = await openLongTimeoutSetup(t, { maxAttempts: 1 });
+  const gate = createClosedGate();
   const stall = { afterEvent: 2, pauseMs: 0, opened: gate.opened };
   const faults = { ...NO_FAULTS, stall };
   const engine = await world.worker("i-1", { model: "m", faults });
-  const answer = askOther(world, 1);
+  const answer = askOtherRequest(world, 1);
   await until(() => engine.runs.length > 0);
   const listenAddress = engine.address;
   await world.store.delete("servers/i-1");
-  await until(() => !knows(world, '"i-1"'));
+  await until(() => !stateContains(world, '"i-1"'));
   await engine.down();
   await world.worker("i-2", { model: "m", listenAddress });
-  assertAllWhole(world, [await answer], { requests: 1 });
+  assertAllComplete(world, [await answer], { requests: 1 });
   assert.equal(runsOf(world), 2);
 });
 
 // Refusals while the engine was silent used up the sends, and its end cut the answer.
 test("silent engine breaks off after another one refused", async (t) => {
-  const world = await openPatientWorld(t, { maxAttempts: 3 });
+  const world = await openLongTimeoutSetup(t, { maxAttempts: 3 });
   const hangs = { ...NO_FAULTS, hang: 1 };
   const first = await world.worker("i-1", { model: "m", faults: hangs });
-  const answer = ask(world, "/stream/a", ASKED);
+  const answer = ask(world, "/stream/a", LONG_TIMEOUT_HEADERS);
   await until(() => first.runs.length > 0);
   const refuses = { ...NO_FAULTS, refuse: 3 };
   const other = await world.worker("i-2", { model: "m", faults: refuses });
   await until(() => other.refused >= 3);
   await sleep(SILENT_MS);
   await first.down();
-  assertWhole(await answer, JSON.stringify(requestsOf(world.lines)));
+  assertComplete(await answer, JSON.stringify(requestsOf(world.lines)));
 });
 
 // Waiting for an engine must not lead to more runs than the route allows.
 test("stream that breaks off at every engine runs as often as its route allows", async (t) => {
-  const world = await openPatientWorld(t, { maxAttempts: 2 });
+  const world = await openLongTimeoutSetup(t, { maxAttempts: 2 });
   for (const id of ["i-1", "i-2", "i-3", "i-4"]) {
     const faults = { ...NO_FAULTS, cutAfterEvents: 1 };
     await world.worker(id, { model: "m", faults });
   }
-  assert.ok(!(await askTaken(world, "/stream/a")).isWhole);
+  assert.ok(!(await askUntilAccepted(world, "/stream/a")).isWhole);
   assert.equal(runsOf(world), 2);
 });
--- a/src/router/lessons.ts
+++ b/src/router/cache_transfer.ts
@@ -4,10 +4,14 @@
  */
 import type { Clock, Logger } from "../base/mod.ts";
 import { HttpCaller } from "../platform/mod.ts";
-import type { CacheBook, CachedPart, OwnedBook } from "./cache_book.ts";
+import type {
+  CachedPart,
+  ExpectedCache,
+  OwnedCache,
+} from "./expected_cache.ts";
 
 /** Path of the call, on the control address. */
-export const LESSONS_PATH = "/cached";
+export const CACHE_TRANSFER_PATH = "/cached";
 /** Timeout of the call. */
 const CALL_TIMEOUT_MS = 1000;
 /** An entry that has run for longer has learned enough from its own traffic. */
@@ -22,8 +26,8 @@
   parts: [string, number][];
 }
 
-/** Dependencies of a {@link Learner}. */
-export interface LearnerOptions {
+/** Dependencies of a {@link CacheTransfer}. */
+export interface CacheTransferOptions {
   clock: Clock;
   log: Logger;
   /** Port of the control address, the same on every entry. */
@@ -31,18 +35,18 @@
   /** Whether servers are known, so that cache contents can be assigned to them. */
   isReady(): boolean;
   /** Finds the cache model of a server start, by id, or of a store, by address. */
-  cacheOf(id: string, bornAtMs?: number): CacheBook | undefined;
+  cacheOf(id: string, bornAtMs?: number): ExpectedCache | undefined;
 }
 
 /** Copies the cache contents of the first peer that can provide them. */
-export class Learner {
-  readonly #options: LearnerOptions;
+export class CacheTransfer {
+  readonly #options: CacheTransferOptions;
   readonly #startedAtMs: number;
   readonly #askedPeers = new Set<string>();
   #isAsking = false;
   #hasLearned = false;
 
-  private constructor(options: LearnerOptions) {
+  private constructor(options: CacheTransferOptions) {
     this.#options = options;
     this.#startedAtMs = options.clock.nowMs();
   }
@@ -53,21 +57,21 @@
    * @param options Dependencies.
    * @returns The learner.
    */
-  static create(options: LearnerOptions): Learner {
-    return new Learner(options);
+  static create(options: CacheTransferOptions): CacheTransfer {
+    return new CacheTransfer(options);
   }
 
   /**
    * Builds the answer to a peer's request.
    *
-   * @param books Expected caches of this entry.
+   * @param caches Expected caches of this entry.
    * @returns The answer as JSON.
    */
-  answer(books: Iterable<OwnedBook>): string {
+  answer(caches: Iterable<OwnedCache>): string {
     const nowMs = this.#options.clock.nowMs();
     const lessons: CacheContents[] = [];
-    for (const { id, bornAtMs, cache } of books) {
-      const parts = cache.teach(nowMs).map((
+    for (const { id, bornAtMs, cache } of caches) {
+      const parts = cache.exportParts(nowMs).map((
         { key, tokens },
       ): [string, number] => [key, tokens]);
       lessons.push({ id, bornAtMs, parts });
@@ -81,7 +85,7 @@
    *
    * @param ipAddress Address of the peer.
    */
-  async meet(ipAddress: string): Promise<void> {
+  async fetchFrom(ipAddress: string): Promise<void> {
     const { clock, log, controlPort, isReady } = this.#options;
     const isWarm = clock.nowMs() - this.#startedAtMs > WARM_UP_MS;
     if (this.#hasLearned || this.#isAsking || isWarm || !isReady()) return;
@@ -94,7 +98,7 @@
     );
     const answer = await caller.send({
       method: "GET",
-      path: LESSONS_PATH,
+      path: CACHE_TRANSFER_PATH,
       callMs: CALL_TIMEOUT_MS,
     });
     await caller.close();
@@ -117,7 +121,7 @@
         key,
         tokens,
       }));
-      this.#options.cacheOf(id, bornAtMs)?.learn(cachedParts);
+      this.#options.cacheOf(id, bornAtMs)?.mergeParts(cachedParts);
       count += cachedParts.length;
     }
     return count;
--- a/src/router/lessons_test.ts
+++ b/src/router/cache_transfer_test.ts
@@ -3,37 +3,37 @@
 import type { AddressInfo } from "node:net";
 import { test, type TestContext } from "node:test";
 import { silentLog, TestClock } from "./_kit.ts";
-import { CacheBook } from "./cache_book.ts";
-import { Learner } from "./lessons.ts";
+import { ExpectedCache } from "./expected_cache.ts";
+import { CacheTransfer } from "./cache_transfer.ts";
 
 const CHAIN = { salt: "w1", parts: [{ id: "shared", tokens: 4000 }] };
 
 interface LearnerSetup {
   clock: TestClock;
-  cache: CacheBook;
-  learner: Learner;
+  cache: ExpectedCache;
+  transfer: CacheTransfer;
 }
 
 function create(controlPort = 0): LearnerSetup {
   const clock = new TestClock();
-  const cache = CacheBook.create(100_000);
-  const learner = Learner.create({
+  const cache = ExpectedCache.create(100_000);
+  const transfer = CacheTransfer.create({
     clock,
     log: silentLog,
     controlPort,
     isReady: () => true,
     cacheOf: () => cache,
   });
-  return { clock, cache, learner };
+  return { clock, cache, transfer };
 }
 
 /** Starts a peer that has run for this long and expects one part in a cache; returns its port. */
 async function peerUpFor(t: TestContext, upForMs: number): Promise<number> {
-  const { clock, cache, learner } = create();
-  cache.use(CHAIN, 0);
+  const { clock, cache, transfer } = create();
+  cache.recordPrompt(CHAIN, 0);
   clock.advance(upForMs);
   const server = createServer((_request, response) => {
-    response.end(learner.answer([{ id: "i-1", cache }]));
+    response.end(transfer.answer([{ id: "i-1", cache }]));
   });
   await new Promise<void>((resolve) => server.listen(0, "0.0.0.0", resolve));
   t.after(() => server.close());
@@ -45,11 +45,11 @@
  * after the second.
  */
 async function partsAfterTwoPeers(t: TestContext, upForMs: number) {
-  const { cache, learner } = create(await peerUpFor(t, upForMs));
-  await learner.meet("127.0.0.1");
+  const { cache, transfer } = create(await peerUpFor(t, upForMs));
+  await transfer.fetchFrom("127.0.0.1");
   const first = cache.cachedTokens(CHAIN);
   cache.clear();
-  await learner.meet("127.0.0.2");
+  await transfer.fetchFrom("127.0.0.2");
   return { first, second: cache.cachedTokens(CHAIN) };
 }
 
--- a/src/router/channel.ts
+++ b/src/router/channel.ts
@@ -5,7 +5,7 @@
 import type { IncomingHttpHeaders } from "node:http";
 import { connect, type Socket } from "node:net";
 import { type buildConnector, Client, type Dispatcher } from "undici";
-import { Wake } from "./wake.ts";
+import { WakeSignal } from "./wake_signal.ts";
 
 /** A request to send over a channel. */
 export interface ChannelRequest {
@@ -48,12 +48,12 @@
   readonly #steps: AnswerStep[] = [];
   #controller: Dispatcher.DispatchController | undefined;
   #unreadBytes = 0;
-  readonly #wake: Wake;
+  readonly #wake: WakeSignal;
   #aborted: Error | undefined;
   #sent = false;
   #done = false;
 
-  constructor(channel: Channel, wake: Wake) {
+  constructor(channel: Channel, wake: WakeSignal) {
     this.#channel = channel;
     this.#wake = wake;
   }
@@ -190,7 +190,7 @@
    * @param wake Notified of each step of the response.
    * @returns The exchange, which must be read to its end or aborted.
    */
-  send(request: ChannelRequest, wake: Wake): Exchange {
+  send(request: ChannelRequest, wake: WakeSignal): Exchange {
     const exchange = new Exchange(this, wake);
     this.#client.dispatch({
       method: request.method as Dispatcher.HttpMethod,
@@ -233,7 +233,7 @@
 }
 
 /** All connections to one server. */
-export class ChannelSet {
+export class ChannelPool {
   readonly #options: ChannelOptions;
   readonly #idle: Channel[] = [];
   readonly #busy = new Set<Channel>();
@@ -247,8 +247,8 @@
    * @param options Address and timeouts.
    * @returns A set without connections.
    */
-  static create(options: ChannelOptions): ChannelSet {
-    return new ChannelSet(options);
+  static create(options: ChannelOptions): ChannelPool {
+    return new ChannelPool(options);
   }
 
   /** Number of connections that carry a request. */
@@ -266,7 +266,7 @@
    * @param wake Notified of each step of the response.
    * @returns The exchange, which must be read to its end or aborted.
    */
-  send(request: ChannelRequest, wake = Wake.create()): Exchange {
+  send(request: ChannelRequest, wake = WakeSignal.create()): Exchange {
     // The most recently used channel is taken, so that the others can reach their idle timeout.
     const channel = this.#idle.pop() ?? this.#open();
     this.#busy.add(channel);
--- a/src/router/channel_test.ts
+++ b/src/router/channel_test.ts
@@ -3,7 +3,7 @@
 import { createServer, type Server, type Socket } from "node:net";
 import { test, type TestContext } from "node:test";
 import { Worker } from "node:worker_threads";
-import { type AnswerStep, ChannelSet, type Exchange } from "./channel.ts";
+import { type AnswerStep, ChannelPool, type Exchange } from "./channel.ts";
 
 const WAIT_MS = 5000;
 const REQUEST = { method: "GET", target: "/", headers: [], body: undefined };
@@ -12,7 +12,7 @@
 async function listen(
   t: TestContext,
   answer: (socket: Socket, asked: number) => void,
-): Promise<{ channels: ChannelSet; connections: () => number }> {
+): Promise<{ channels: ChannelPool; connections: () => number }> {
   let asked = 0;
   let connections = 0;
   const sockets = new Set<Socket>();
@@ -25,7 +25,7 @@
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
   const address = server.address();
   assert.ok(address && typeof address === "object");
-  const channels = ChannelSet.create({
+  const channels = ChannelPool.create({
     address: `127.0.0.1:${address.port}`,
     connectMs: 1000,
     idleMs: 4000,
@@ -102,7 +102,7 @@
 });
 
 test("request is not sent if the connection can't be established", async () => {
-  const channels = ChannelSet.create({
+  const channels = ChannelPool.create({
     address: "127.0.0.1:1",
     connectMs: 1000,
     idleMs: 4000,
@@ -145,7 +145,7 @@
   );
   t.after(() => server.terminate());
   const [port] = await once(server, "message");
-  const channels = ChannelSet.create({
+  const channels = ChannelPool.create({
     address: `127.0.0.1:${port}`,
     connectMs: 1000,
     idleMs: 4000,
--- a/src/router/choose.ts
+++ b/src/router/choose.ts
@@ -1,9 +1,9 @@
 /** Selects the backend server for one attempt of a request. */
-import type { Chain } from "./cache_book.ts";
+import type { Chain } from "./expected_cache.ts";
 import type { RunCopy } from "./model.ts";
 import { type PromptStore, selectStore } from "./prompt_store.ts";
 import type { Server } from "./server.ts";
-import { type ReplacedWeights, weighReplaced } from "./replaced_weights.ts";
+import { assessWeights, type ReplacedWeights } from "./replaced_weights.ts";
 
 /** Placement policies; all except `cost` are baselines for comparison. */
 export const ChoiceName = {
@@ -172,15 +172,15 @@
   const expectedMs = queueMs + processingMs + (copy?.copyMs ?? 0);
   const tokensToRecompute = Math.max(0, view.sharedTokens - availableTokens);
   const outputMs = server.outputMs(prompt.outputTokens);
-  const weights = weighReplaced(prompt, {
+  const weights = assessWeights(prompt, {
     version: weightsVersion,
     expectedMs,
     outputMs,
   });
   const delaysChange = outputMs > LONG_ANSWER_MS &&
-    server.isChangingNext(nowMs);
+    server.isNextToChange(nowMs);
   const extraCostMs = tokensToRecompute * RECOMPUTE_MS_PER_TOKEN +
-    weights.priceMs +
+    weights.penaltyMs +
     (delaysChange ? LONG_ANSWER_COST_MS : 0);
   return {
     server,
--- a/src/router/choose_test.ts
+++ b/src/router/choose_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { testServer } from "./_kit.ts";
-import { CacheBook } from "./cache_book.ts";
+import { ExpectedCache } from "./expected_cache.ts";
 import {
   ChoiceName,
   choose,
@@ -50,14 +50,14 @@
 
 test("prompt goes where its shared part is cached", () => {
   const servers = ["a", "b", "c"].map((id) => testServer(id));
-  servers[1]!.cache.use(CHAIN, 0);
+  servers[1]!.cache.recordPrompt(CHAIN, 0);
   assert.equal(choose(placement({ servers }))?.server.id, "b");
 });
 
 test("prompt goes to an idle server, with a copy from the busy one that has it cached", () => {
   const servers = ["a", "b"].map((id) => testServer(id));
-  servers[1]!.cache.use(CHAIN, 0);
-  servers[1]!.begin(80_000, false);
+  servers[1]!.cache.recordPrompt(CHAIN, 0);
+  servers[1]!.startRequest(80_000, false);
   const choice = choose(placement({ servers }));
   assert.equal(choice?.server.id, "a");
   assert.equal(choice?.copyFrom, servers[1]!.entry.address);
@@ -65,8 +65,8 @@
 
 test("part whose prefill is pending is not copied", () => {
   const servers = ["a", "b"].map((id) => testServer(id));
-  servers[1]!.cache.use(CHAIN, 5000);
-  servers[1]!.begin(80_000, false);
+  servers[1]!.cache.recordPrompt(CHAIN, 5000);
+  servers[1]!.startRequest(80_000, false);
   assert.equal(choose(placement({ servers }))?.copyFrom, undefined);
 });
 
@@ -75,8 +75,8 @@
     testServer("a", { weights: new Map([["m", 2]]) }),
     testServer("b", { weights: new Map([["m", 1]]) }),
   ];
-  servers[1]!.cache.use(CHAIN, 0);
-  servers[1]!.begin(80_000, false);
+  servers[1]!.cache.recordPrompt(CHAIN, 0);
+  servers[1]!.startRequest(80_000, false);
   const choice = choose(placement({ servers }));
   assert.equal(choice?.server.id, "a");
   assert.equal(choice?.weightsVersion, 2);
@@ -86,11 +86,11 @@
 
 test("shared part is saved to a store that lacks it, and otherwise copied from it", () => {
   const servers = [testServer("a")];
-  const cache = CacheBook.create(100_000);
+  const cache = ExpectedCache.create(100_000);
   const store = { address: "store", zone: "a", cache, copyMsPerToken: 0.002 };
   const asked = placement({ servers, prompt: prompt({ stores: [store] }) });
   assert.equal(choose(asked)?.saveTo, "store");
-  cache.use(CHAIN, 0);
+  cache.recordPrompt(CHAIN, 0);
   const again = choose(asked);
   assert.equal(again?.saveTo, undefined);
   assert.equal(again?.copyFrom, "store");
@@ -104,8 +104,8 @@
 
 test("request that would queue until weights are too old goes to another server", () => {
   const servers = ["busy", "free"].map((id) => testServer(id));
-  servers[0]!.cache.use(CHAIN, 0);
-  servers[0]!.begin(240_000, false);
+  servers[0]!.cache.recordPrompt(CHAIN, 0);
+  servers[0]!.startRequest(240_000, false);
   const aged = prompt({ wantedVersion: 2, replacedForMs: () => 6500 });
   const busy = { servers: [servers[0]!], prompt: aged };
   assert.equal(choose(placement(busy)), undefined);
@@ -119,8 +119,8 @@
 
 test("answer that would last until weights are too old goes to another server", () => {
   const servers = ["old", "new"].map((id) => testServer(id));
-  servers[1]!.learnWeights("m", 2);
-  servers[1]!.begin(60_000, false);
+  servers[1]!.recordWeights("m", 2);
+  servers[1]!.startRequest(60_000, false);
   const replacedForMs = (version: number) => version === 1 ? 6000 : 0;
   const short = prompt({ wantedVersion: 2, replacedForMs });
   const long = { ...short, outputTokens: 2000 };
@@ -136,8 +136,8 @@
 test("long answer starts on replaced weights although short answers take long per token", () => {
   const server = testServer("a");
   for (let i = 0; i < 200; i++) {
-    if (i % 5 === 0) server.learnOutput(600, 80);
-    else server.learnOutput(200, 5);
+    if (i % 5 === 0) server.recordOutput(600, 80);
+    else server.recordOutput(200, 5);
   }
   const servers = [server];
   for (const ageMs of [30, 6500]) {
@@ -148,7 +148,7 @@
 
 test("answer behind a long queue does not start on weights that expire soon", () => {
   const servers = [testServer("a")];
-  servers[0]!.begin(80_000, false);
+  servers[0]!.startRequest(80_000, false);
   const replaced = prompt({
     wantedVersion: 2,
     outputTokens: 40,
@@ -181,7 +181,7 @@
 
 test("call goes to the server with fewer requests in flight", () => {
   const servers = ["a", "b"].map((id) => testServer(id));
-  for (let i = 0; i < 4; i++) servers[0]!.begin(0, true);
+  for (let i = 0; i < 4; i++) servers[0]!.startRequest(0, true);
   const call = placement({ servers, prompt: undefined });
   assert.equal(choose(call)?.server.id, "b");
 });
@@ -210,7 +210,7 @@
     connectionLimit: 1,
     copyMsPerToken: 0.0012,
   });
-  servers[1]!.cache.use(CHAIN, 0);
+  servers[1]!.cache.recordPrompt(CHAIN, 0);
   assert.equal(choose(placement({ servers }))?.server.id, "b");
   servers[1]!.setPeerLoad(
     "entry-2",
@@ -225,8 +225,8 @@
 // server.
 test("outdated load data spreads requests over similarly loaded servers", () => {
   const servers = ["a", "b", "c"].map((id) => testServer(id));
-  servers[0]!.begin(0, false);
-  for (const server of servers) server.begin(0, false);
+  servers[0]!.startRequest(0, false);
+  for (const server of servers) server.startRequest(0, false);
   let seed = 0;
   const random = () => (seed = (seed + 0.37) % 1);
   const chosenAt = (loadAgeMs: number) => {
@@ -242,8 +242,8 @@
 
 test("long answers avoid an engine whose weights change next, short ones don't", () => {
   const servers = ["next", "later"].map((id) => testServer(id));
-  servers[0]!.changesNext(2000);
-  servers[1]!.begin(8000, false);
+  servers[0]!.markNextToChange(2000);
+  servers[1]!.startRequest(8000, false);
   const chosen = (outputTokens: number) =>
     choose(placement({ servers, prompt: prompt({ outputTokens }) }))?.server.id;
   assert.equal(chosen(800), "later");
@@ -252,7 +252,7 @@
 
 test("engine whose weights change next gets long answers if there is no other", () => {
   const servers = [testServer("next")];
-  servers[0]!.changesNext(2000);
+  servers[0]!.markNextToChange(2000);
   const long = prompt({ outputTokens: 800 });
   assert.equal(choose(placement({ servers, prompt: long }))?.server.id, "next");
 });
--- a/src/router/confirmed_age_test.ts
+++ b/src/router/confirmed_age_test.ts
@@ -8,7 +8,7 @@
 import fc from "fast-check";
 import { silentLog, TestClock } from "./_kit.ts";
 import { StoreMirror } from "./mirror.ts";
-import { RelayReader } from "./relay.ts";
+import { RelayClient } from "./relay.ts";
 
 const SEED = 20_261_203;
 /** Longest transit time of a datagram, as between processes that are short of CPU time. */
@@ -18,24 +18,24 @@
 
 interface Entry {
   mirror: StoreMirror;
-  relay: RelayReader;
+  relay: RelayClient;
 }
 
 /** A datagram in flight. */
 interface Flight {
   to: Entry;
-  knowledge: StoreMirror["knowledge"];
+  syncState: StoreMirror["syncState"];
   atMs: number;
 }
 
 function createEntry(clock: TestClock): Entry {
   const mirror = StoreMirror.create(clock);
-  const relay = RelayReader.create({
+  const relay = RelayClient.create({
     mirror,
     clock,
     log: silentLog,
     controlPort: 1,
-    gatherMs: () => 0,
+    coalesceMs: () => 0,
   });
   return { mirror, relay };
 }
@@ -73,9 +73,9 @@
       lastAnswerMs = nowMs;
     }
     for (
-      const { to, knowledge } of flights.filter(({ atMs }) => atMs <= nowMs)
+      const { to, syncState } of flights.filter(({ atMs }) => atMs <= nowMs)
     ) {
-      void to.relay.heard("peer", knowledge);
+      void to.relay.onPeerSyncState("peer", syncState);
     }
     flights = flights.filter(({ atMs }) => atMs > nowMs);
     for (const from of entries) {
@@ -83,7 +83,7 @@
         // One in five datagrams is lost.
         if (to === from || random() < 0.2) continue;
         const atMs = nowMs + random() * MAX_TRANSIT_MS;
-        flights.push({ to, knowledge: from.mirror.knowledge, atMs });
+        flights.push({ to, syncState: from.mirror.syncState, atMs });
       }
     }
     for (const { mirror } of entries) {
@@ -128,6 +128,6 @@
   clock.advance(3000);
   answer(near);
   clock.advance(100);
-  void far.relay.heard("near", near.mirror.knowledge);
+  void far.relay.onPeerSyncState("near", near.mirror.syncState);
   assert.equal(far.mirror.ageMs, 100);
 });
--- a/src/router/connect_test.ts
+++ b/src/router/connect_test.ts
@@ -2,7 +2,7 @@
 import { connect, type Socket } from "node:net";
 import { test, type TestContext } from "node:test";
 import { Worker } from "node:worker_threads";
-import { ChannelSet } from "./channel.ts";
+import { ChannelPool } from "./channel.ts";
 
 const CONNECT_MS = 300;
 const REQUEST = { method: "GET", target: "/", headers: [], body: undefined };
@@ -40,7 +40,7 @@
 test("connect timeout is extended while the process reads its sockets late", async (t) => {
   const port = await openUnresponsiveServer(t);
   let lagMs = CONNECT_MS;
-  const channels = ChannelSet.create({
+  const channels = ChannelPool.create({
     address: `127.0.0.1:${port}`,
     connectMs: CONNECT_MS,
     idleMs: 4000,
@@ -56,7 +56,7 @@
 
 test("unanswered connection attempt fails after the connect timeout", async (t) => {
   const port = await openUnresponsiveServer(t);
-  const channels = ChannelSet.create({
+  const channels = ChannelPool.create({
     address: `127.0.0.1:${port}`,
     connectMs: CONNECT_MS,
     idleMs: 4000,
--- a/src/router/control.ts
+++ b/src/router/control.ts
@@ -1,12 +1,12 @@
 /** HTTP servers of the control address (for other routers and operators) and of the readiness check. */
 import { createServer, type Server as HttpServer } from "node:http";
-import { LESSONS_PATH } from "./lessons.ts";
+import { CACHE_TRANSFER_PATH } from "./cache_transfer.ts";
 import { RELAY_PATH } from "./relay.ts";
 import type { SocketAddress } from "./settings.ts";
 
 /** Content that the control address serves. */
 export interface ControlOptions {
-  /** Changes of the store's content after a revision, for another router, as JSON. */
+  /** Changes of the store's content after a revision, for another entry, as JSON. */
   relay(after: bigint): string;
   /** Prompts that the servers' caches are expected to hold, as JSON. */
   expectedCaches(): string;
@@ -90,7 +90,7 @@
       if (!/^\d+$/.test(after)) return undefined;
       return { type: "application/json", text: options.relay(BigInt(after)) };
     }
-    case LESSONS_PATH:
+    case CACHE_TRANSFER_PATH:
       return { type: "application/json", text: options.expectedCaches() };
     case METRICS_PATH:
       return { type: "text/plain; version=0.0.4", text: options.metrics() };
--- a/src/router/told_of_servers_test.ts
+++ b/src/router/dead_server_gossip_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { ask, StandinPlatformWorker } from "../standin/mod.ts";
-import { knows, openWorld, until } from "./_world.ts";
+import { openWorld, stateContains, until } from "./_world.ts";
 
 /*
  * Guards against each entry having to find a dead server by itself. When 12 of 40 idle engines crashed
@@ -15,10 +15,12 @@
   const other = await StandinPlatformWorker.create({ id: "i-2" });
   t.after(() => other.close());
   await world.store.put("servers/i-1", other.entry("plain"));
-  await until(() => world.entries.every((entry) => knows(entry, '"i-1"')));
-  await until(() => knows(near!, '"entries":2'));
+  await until(() =>
+    world.entries.every((entry) => stateContains(entry, '"i-1"'))
+  );
+  await until(() => stateContains(near!, '"entries":2'));
   assert.equal((await ask(near!, "/look/a")).status, 503);
-  await until(() => !knows(far!, '"i-1"'));
+  await until(() => !stateContains(far!, '"i-1"'));
   assert.equal(other.runs.length, 0);
 });
 
@@ -26,9 +28,11 @@
   const world = await openWorld(t, { entryCount: 2 });
   const [near, far] = world.entries;
   const dead = await world.worker("i-1");
-  await until(() => world.entries.every((entry) => knows(entry, '"i-1"')));
-  await until(() => knows(near!, '"entries":2'));
+  await until(() =>
+    world.entries.every((entry) => stateContains(entry, '"i-1"'))
+  );
+  await until(() => stateContains(near!, '"entries":2'));
   await dead.down();
   assert.equal((await ask(near!, "/look/a")).status, 503);
-  await until(() => knows(far!, '"isDown":true'));
+  await until(() => stateContains(far!, '"isDown":true'));
 });
--- a/src/router/dispatch.ts
+++ b/src/router/dispatch.ts
@@ -2,15 +2,18 @@
 import { echoHeaders, retryHeaders } from "../platform/mod.ts";
 import { admissionRetryAfterMs, shouldAdmit } from "./admission.ts";
 import {
-  type AnswerEnd,
-  Answering,
-  type AnsweringParts,
+  type ForwardEnd,
+  type ForwarderParts,
   QUARANTINED,
+  RequestForwarder,
   TOO_LATE,
-} from "./answering.ts";
+} from "./request_forwarder.ts";
 import { type Progress, startProgress } from "./attempt.ts";
 import type { Choice } from "./choose.ts";
-import { NextServer, type NextServerOptions } from "./next_server.ts";
+import {
+  ServerSelector,
+  type ServerSelectorOptions,
+} from "./server_selector.ts";
 import type { Quotas } from "./quotas.ts";
 import { AnswerReader, type AnswerReaderOptions } from "./read_answer.ts";
 import {
@@ -18,7 +21,7 @@
   type Outcome,
   ResendRefusal,
   type RoutedRequest,
-  type Served,
+  type ServeResult,
 } from "./request.ts";
 import { RESEND_MIN_LEFT_MS, Resends, type ResendsOptions } from "./resends.ts";
 import { RunMover } from "./run_mover.ts";
@@ -38,11 +41,11 @@
 /** Dependencies of a {@link Dispatcher}. */
 export interface DispatcherOptions
   extends
-    NextServerOptions,
+    ServerSelectorOptions,
     SenderOptions,
     AnswerReaderOptions,
-    Omit<ResendsOptions, "hasOther" | "fleet">,
-    Pick<AnsweringParts, "log" | "quarantine"> {
+    Omit<ResendsOptions, "hasUntriedServer" | "fleet">,
+    Pick<ForwarderParts, "log" | "quarantine"> {
   /** Workspace quotas. */
   quotas: Pick<Quotas, "admit" | "runsAgain" | "giveBack">;
 }
@@ -50,17 +53,17 @@
 /** Sends requests to backend servers and relays the answers. */
 export class Dispatcher {
   readonly #options: DispatcherOptions;
-  readonly #servers: NextServer;
+  readonly #servers: ServerSelector;
   readonly #resends: Resends;
   readonly #mover: RunMover;
-  readonly #parts: AnsweringParts;
+  readonly #parts: ForwarderParts;
 
   private constructor(options: DispatcherOptions) {
     this.#options = options;
-    this.#servers = NextServer.create(options);
+    this.#servers = ServerSelector.create(options);
     this.#resends = Resends.create({
       ...options,
-      hasOther: (request, progress) =>
+      hasUntriedServer: (request, progress) =>
         this.#hasUntriedServer(request, progress),
     });
     this.#mover = RunMover.create({
@@ -92,7 +95,7 @@
    * @param sink Receives exactly one answer, unless the client disconnects.
    * @returns The outcome, for logs and metrics.
    */
-  async serve(request: RoutedRequest, sink: AnswerSink): Promise<Served> {
+  async serve(request: RoutedRequest, sink: AnswerSink): Promise<ServeResult> {
     this.#resends.recordRequest(request.service);
     const progress = startProgress(request.facts.lastEventId);
     const outcome = await this.#serveWithinQuota(request, sink, { progress });
@@ -125,7 +128,7 @@
       return { kind: "refused", reason: OVER_QUOTA };
     }
     const task = { request, sink, progress };
-    const end = await Answering.create(this.#parts, task).run();
+    const end = await RequestForwarder.create(this.#parts, task).run();
     if (progress.runs === 0) quotas.giveBack(request);
     return end.kind === "given_up"
       ? this.#giveUp(request, sink, { progress, end })
@@ -152,7 +155,7 @@
   }
 
   #hasUntriedServer({ service }: RoutedRequest, { tried }: Progress): boolean {
-    return this.#options.fleet.taking(service).some((server) =>
+    return this.#options.fleet.accepting(service).some((server) =>
       !tried.has(server)
     );
   }
@@ -162,7 +165,7 @@
     sink: AnswerSink,
     { progress, end }: {
       progress: Progress;
-      end: Extract<AnswerEnd, { kind: "given_up" }>;
+      end: Extract<ForwardEnd, { kind: "given_up" }>;
     },
   ): Outcome {
     const { refusal } = end;
@@ -177,11 +180,11 @@
         refusal,
         leftMs,
         resendsLeft: this.#resends.left(request.service),
-        passedOver: this.#servers.passedOver(request, progress),
+        passedOver: this.#servers.countSkipped(request, progress),
       };
     }
-    if (progress.begun) {
-      sink.breakOff();
+    if (progress.streamStarted) {
+      sink.abortAnswer();
       return { kind: "broken_off", reason };
     }
     const echo = echoHeaders(request.facts.requestId);
--- a/src/router/in_force.ts
+++ b/src/router/effective_state.ts
@@ -5,7 +5,7 @@
   decodeRemoval,
   type MalformedValue,
 } from "../platform/mod.ts";
-import { CacheBook, type OwnedBook } from "./cache_book.ts";
+import { ExpectedCache, type OwnedCache } from "./expected_cache.ts";
 import type { Fleet } from "./fleet.ts";
 import type { MirrorChange } from "./mirror.ts";
 import {
@@ -14,43 +14,43 @@
   type Service,
   type WantedWeights,
 } from "./model.ts";
-import { NAMED_RECORD_KEY } from "./named_record.ts";
+import { PUBLISH_TIMES_KEY } from "./publish_times_record.ts";
 import type { PromptStore } from "./prompt_store.ts";
 import { RoutingTable } from "./routing_table.ts";
 import { SUSPECT_RECORD_KEY } from "../suspects/mod.ts";
 import type { ServerLimits } from "./server.ts";
-import type { NamedAge, WantedVersions } from "./wanted_weights.ts";
+import type { VersionAge, WantedVersions } from "./wanted_weights.ts";
 
 /** Fraction of a configured cache capacity that is expected to hold cached prompts. */
 const USABLE_CACHE_RATIO = 0.8;
 
-/** Options of {@link InForce}. */
-export interface InForceOptions {
+/** Options of {@link EffectiveState}. */
+export interface EffectiveStateOptions {
   log: Logger;
   fleet: Fleet;
   wanted: WantedVersions;
   /** Longest time since the changes received now were made, from lost contact or a stall; 0: none. */
   maxAgeMs(): number;
   /** Longest time that the changes received now may have been delayed by coalescing. */
-  gatheredMs(): number;
-  /** Ages of wanted weights from the store's record, for versions named while this entry was away. */
-  recordedAges(): NamedAge[];
+  coalescedMs(): number;
+  /** Recorded ages of wanted weights, for versions published while this entry was away. */
+  recordedAges(): VersionAge[];
   /** Called when the store's record of suspected requests has changed. */
-  onSuspects(): void;
+  onSuspectRecord(): void;
   /** Called when a newer configuration was applied. */
   onConfig(config: RoutingConfig): void;
 }
 
 /** Current state by the store: routing table and prompt stores; servers and weights go to their owners. */
-export class InForce {
-  readonly #options: InForceOptions;
+export class EffectiveState {
+  readonly #options: EffectiveStateOptions;
   #table: RoutingTable | undefined;
   /** Prompt stores by address. */
   #promptStores = new Map<string, PromptStore>();
   /** Keys with a malformed value, so that each is logged once. */
   readonly #malformedKeys = new Set<string>();
 
-  private constructor(options: InForceOptions) {
+  private constructor(options: EffectiveStateOptions) {
     this.#options = options;
   }
 
@@ -58,8 +58,8 @@
    * @param options The fleet, the wanted weights, and callbacks.
    * @returns State without a configuration.
    */
-  static create(options: InForceOptions): InForce {
-    return new InForce(options);
+  static create(options: EffectiveStateOptions): EffectiveState {
+    return new EffectiveState(options);
   }
 
   /** Routing table of the current configuration; undefined until there is one. */
@@ -73,7 +73,7 @@
   }
 
   /** @param change A change of the store; a configuration that is not newer is ignored. */
-  take(change: MirrorChange): void {
+  apply(change: MirrorChange): void {
     if (change.kind === "delete") return this.#applyRemoval(change.key);
     const { key, value } = change.entry;
     const fact = decodeFact(key, value);
@@ -87,8 +87,8 @@
       case "weights":
         return this.#applyWanted(fact.value.wanted);
       case "other":
-        if (key === NAMED_RECORD_KEY) this.#restoreAges();
-        if (key === SUSPECT_RECORD_KEY) this.#options.onSuspects();
+        if (key === PUBLISH_TIMES_KEY) this.#restoreAges();
+        if (key === SUSPECT_RECORD_KEY) this.#options.onSuspectRecord();
         return;
     }
   }
@@ -98,13 +98,13 @@
    * @param bornAtMs Start time of the server process; if left out, any process.
    * @returns The expected content of its cache.
    */
-  cacheOf(id: string, bornAtMs?: number): CacheBook | undefined {
+  cacheOf(id: string, bornAtMs?: number): ExpectedCache | undefined {
     const store = this.#promptStores.get(id);
     return store?.cache ?? this.#options.fleet.get(id, bornAtMs)?.cache;
   }
 
   /** Expected caches of all servers and prompt stores. */
-  *books(): Generator<OwnedBook> {
+  *caches(): Generator<OwnedCache> {
     for (const { entry, cache } of this.#options.fleet.all()) {
       yield { id: entry.id, bornAtMs: entry.bornAtMs, cache };
     }
@@ -170,8 +170,8 @@
 
   #applyWanted(wanted: WantedWeights): void {
     const maxAgeMs = this.#options.maxAgeMs();
-    const gatheredMs = this.#options.gatheredMs();
-    if (!this.#options.wanted.name(wanted, { maxAgeMs, gatheredMs })) return;
+    const coalescedMs = this.#options.coalescedMs();
+    if (!this.#options.wanted.name(wanted, { maxAgeMs, coalescedMs })) return;
     const isFound = maxAgeMs > 0;
     if (isFound) this.#restoreAges();
     this.#options.log.info({ event: "weights_wanted", ...wanted, isFound });
@@ -179,7 +179,7 @@
 
   #restoreAges(): void {
     const { wanted, recordedAges } = this.#options;
-    for (const age of recordedAges()) wanted.recall(age);
+    for (const age of recordedAges()) wanted.mergeRecordedAge(age);
   }
 
   /** Rebuilds the list of prompt stores; expected caches survive a change of the configuration. */
@@ -193,7 +193,7 @@
       const { address, zone, cacheTokens, linkMbps } = cacheStore;
       const capacityTokens = cacheTokens * USABLE_CACHE_RATIO;
       const cache = before.get(address)?.cache ??
-        CacheBook.create(capacityTokens);
+        ExpectedCache.create(capacityTokens);
       cache.resize(capacityTokens);
       this.#promptStores.set(address, {
         address,
--- a/src/router/in_force_test.ts
+++ b/src/router/effective_state_test.ts
@@ -4,9 +4,9 @@
 import { CONFIG } from "../standin/mod.ts";
 import { type LogLine, recordedLog, TestClock, testFleet } from "./_kit.ts";
 import type { Fleet } from "./fleet.ts";
-import { InForce } from "./in_force.ts";
-import { NAMED_RECORD_KEY } from "./named_record.ts";
-import { type NamedAge, WantedVersions } from "./wanted_weights.ts";
+import { EffectiveState } from "./effective_state.ts";
+import { PUBLISH_TIMES_KEY } from "./publish_times_record.ts";
+import { type VersionAge, WantedVersions } from "./wanted_weights.ts";
 
 const SEED = 20_261_203;
 
@@ -18,15 +18,15 @@
   state: "ready",
 };
 
-/** An {@link InForce} with its dependencies, fed with raw values of the store. */
+/** An {@link EffectiveState} with its dependencies, fed with raw values of the store. */
 class Harness {
   readonly lines: LogLine[];
   readonly fleet: Fleet;
   readonly wanted: WantedVersions;
-  readonly inForce: InForce;
+  readonly state: EffectiveState;
   maxAgeMs = 0;
-  gatheredMs = 0;
-  recordedAges: NamedAge[] = [];
+  coalescedMs = 0;
+  recordedAges: VersionAge[] = [];
   #revision = 0n;
 
   constructor() {
@@ -39,17 +39,17 @@
       serverOptions: (service) => ({
         connectMs: 1,
         idleMs: 1,
-        ...this.inForce.limitsOf(service),
+        ...this.state.limitsOf(service),
       }),
     });
-    this.inForce = InForce.create({
+    this.state = EffectiveState.create({
       log,
       fleet: this.fleet,
       wanted: this.wanted,
       maxAgeMs: () => this.maxAgeMs,
-      gatheredMs: () => this.gatheredMs,
+      coalescedMs: () => this.coalescedMs,
       recordedAges: () => this.recordedAges,
-      onSuspects: () => {},
+      onSuspectRecord: () => {},
       onConfig: () => {},
     });
   }
@@ -66,11 +66,11 @@
       modRevision: revision,
       createRevision: revision,
     };
-    this.inForce.take({ kind: "put", entry });
+    this.state.apply({ kind: "put", entry });
   }
 
   delete(key: string): void {
-    this.inForce.take({ kind: "delete", key, revision: ++this.#revision });
+    this.state.apply({ kind: "delete", key, revision: ++this.#revision });
   }
 
   /** Ids of the servers that accept plain calls. */
@@ -120,7 +120,7 @@
   });
   harness.put("op/version/m", { model: "m", version: 2.5 });
   harness.put("op/version/m", { model: 1, version: 3 });
-  assert.equal(harness.inForce.table?.version, 1);
+  assert.equal(harness.state.table?.version, 1);
   assert.equal(harness.wanted.newest("m"), 2);
 });
 
@@ -153,8 +153,8 @@
 
 test("versions found at startup get their ages from the record", () => {
   // Guards against assuming the highest age after a restart: when all entries lost power 1.1 s after a
-  // version was named, engines on the previous weights counted as too old for any request, and the few
-  // with the new weights got all of them.
+  // version was published, engines on the previous weights counted as too old for any request, and
+  // the few with the new weights got all of them.
   for (const recordFirst of [true, false]) {
     const harness = new Harness();
     harness.maxAgeMs = Infinity;
@@ -164,7 +164,7 @@
         { model: "m", version: 2, ageMs: 9000 },
         { model: "m", version: 3, ageMs: 3600 },
       ];
-      harness.put(NAMED_RECORD_KEY, {});
+      harness.put(PUBLISH_TIMES_KEY, {});
     };
     if (recordFirst) recall();
     name();
@@ -182,10 +182,10 @@
 });
 
 test("weights named during a coalescing delay are as old as the delay", () => {
-  // All entries delay their watches together after a change. If each took a version named meanwhile as
-  // new, answers would start on replaced weights for that much longer than allowed.
+  // All entries delay their watches together after a change. If each took a version published
+  // meanwhile as new, answers would start on replaced weights for that much longer than allowed.
   const harness = new Harness();
-  harness.gatheredMs = 600;
+  harness.coalescedMs = 600;
   harness.put("op/version/m", { model: "m", version: 2 });
   assert.equal(harness.wanted.replacedForMs("m", 1), 600);
   assert.deepEqual(harness.wanted.ages(), [
--- a/src/router/engine_orders.ts
+++ b/src/router/engine_orders.ts
@@ -3,7 +3,11 @@
 import type { FencedLease } from "../lease/mod.ts";
 import { fetchReport, type OrderAnswer, sendOrder } from "../platform/mod.ts";
 import type { Fleet } from "./fleet.ts";
-import { isSameStart, type ServerReport, type WantedWeights } from "./model.ts";
+import {
+  isSameIncarnation,
+  type ServerReport,
+  type WantedWeights,
+} from "./model.ts";
 import type { Server } from "./server.ts";
 import type { OrderRecords } from "./order_records.ts";
 import type { WantedVersions } from "./wanted_weights.ts";
@@ -47,7 +51,7 @@
   /** Called when an engine has seen a higher fencing number. */
   onFenced(): Promise<void>;
   /** Called when a server is seen with newer weights, so that other entries can be notified. */
-  onWeights(server: Server, model: string, version: number): void;
+  onWeightsSeen(server: Server, model: string, version: number): void;
   /** Versions that the operator published. */
   wanted: WantedVersions;
 }
@@ -173,7 +177,7 @@
       case "accepted":
         return this.#awaitWeights(server, target, { signal });
       case "holds":
-        this.#learnWeights(server, target.model, target.version);
+        this.#recordWeights(server, target.model, target.version);
         return true;
       case "no_answer":
       case "conflict":
@@ -184,7 +188,7 @@
         await this.#options.onFenced();
         return true;
       case "wrong_server":
-        this.#options.fleet.giveUp(server);
+        this.#options.fleet.dropReplaced(server);
         return true;
       case "refused":
       case "not_holder":
@@ -232,7 +236,7 @@
   #detectRestart(server: Server, { bornAtMs, weights }: ServerReport): boolean {
     const { fleet, log } = this.#options;
     if (!fleet.has(server)) return true;
-    if (isSameStart(bornAtMs, server.entry)) return false;
+    if (isSameIncarnation(bornAtMs, server.entry)) return false;
     log.info({
       event: "order_void",
       server: server.id,
@@ -250,14 +254,14 @@
     report: ServerReport,
   ): boolean {
     for (const [model, version] of report.weights) {
-      this.#learnWeights(server, model, version);
+      this.#recordWeights(server, model, version);
     }
     return !isOutdated(server, [target]);
   }
 
-  #learnWeights(server: Server, model: string, version: number): void {
-    if (!server.learnWeights(model, version)) return;
-    this.#options.onWeights(server, model, version);
+  #recordWeights(server: Server, model: string, version: number): void {
+    if (!server.recordWeights(model, version)) return;
+    this.#options.onWeightsSeen(server, model, version);
     this.#options.log.info({
       event: "weights_seen",
       server: server.id,
--- a/src/router/event_splitter.ts
+++ b/src/router/event_splitter.ts
@@ -5,7 +5,7 @@
 const ID_FIELD = Buffer.from("id:");
 
 /** Complete events that were read from the stream. */
-export interface WholeEvents {
+export interface CompleteEvents {
   bytes: Buffer;
   /** Ids of these events, in order; events without an id are left out. */
   ids: string[];
@@ -23,7 +23,7 @@
   }
 
   /** Buffered bytes of an incomplete event. */
-  get rest(): Buffer {
+  get remainder(): Buffer {
     return this.#remainder;
   }
 
@@ -31,7 +31,7 @@
    * @param chunk Next bytes of the stream.
    * @returns All events that are complete now.
    */
-  push(chunk: Buffer): WholeEvents {
+  push(chunk: Buffer): CompleteEvents {
     const all = this.#remainder.length === 0
       ? chunk
       : Buffer.concat([this.#remainder, chunk]);
--- a/src/router/event_splitter_test.ts
+++ b/src/router/event_splitter_test.ts
@@ -13,20 +13,20 @@
   const second = splitter.push(Buffer.from("ta: b\n\n"));
   assert.equal(second.bytes.toString(), "id: 2\ndata: b\n\n");
   assert.deepEqual(second.ids, ["2"]);
-  assert.equal(splitter.rest.length, 0);
+  assert.equal(splitter.remainder.length, 0);
 });
 
 test("incomplete event stays in the buffer", () => {
   const splitter = EventSplitter.create();
   splitter.push(Buffer.from("id: 1\ndata: a\n"));
-  assert.equal(splitter.rest.toString(), "id: 1\ndata: a\n");
+  assert.equal(splitter.remainder.toString(), "id: 1\ndata: a\n");
 });
 
 test("lines may end with carriage return and line feed", () => {
   const splitter = EventSplitter.create();
   const whole = splitter.push(Buffer.from("id: 7\r\ndata: a\r\n\r\nid"));
   assert.deepEqual(whole.ids, ["7"]);
-  assert.equal(splitter.rest.toString(), "id");
+  assert.equal(splitter.remainder.toString(), "id");
 });
 
 test("id: within another field is not an event id", () => {
--- a/src/router/cache_book.ts
+++ b/src/router/expected_cache.ts
@@ -25,16 +25,16 @@
 }
 
 /** A cache model and its owner. */
-export interface OwnedBook {
+export interface OwnedCache {
   /** Server id or store address. */
   id: string;
   /** Start of the server, if known; a restart empties its cache. */
   bornAtMs?: number;
-  cache: CacheBook;
+  cache: ExpectedCache;
 }
 
 /** Expected contents of one server's or store's cache. */
-export class CacheBook {
+export class ExpectedCache {
   readonly #parts = new Map<string, PartState>();
   #capacityTokens: number;
   #tokens = 0;
@@ -49,8 +49,8 @@
    * @param capacityTokens Capacity of the cache in tokens.
    * @returns The model.
    */
-  static create(capacityTokens: number): CacheBook {
-    return new CacheBook(capacityTokens);
+  static create(capacityTokens: number): ExpectedCache {
+    return new ExpectedCache(capacityTokens);
   }
 
   /**
@@ -86,7 +86,7 @@
    * @param chain Parts of the prompt.
    * @param readyAtMs When the prefill is expected to be complete.
    */
-  use(chain: Chain, readyAtMs: number): void {
+  recordPrompt(chain: Chain, readyAtMs: number): void {
     for (const { id, tokens } of chain.parts) {
       const key = partKey(chain.salt, id);
       const held = this.#parts.get(key);
@@ -120,7 +120,7 @@
    * @param nowMs Current time.
    * @returns All ready parts, least recently used first.
    */
-  teach(nowMs: number): CachedPart[] {
+  exportParts(nowMs: number): CachedPart[] {
     const parts: CachedPart[] = [];
     for (const [key, { tokens, readyAtMs }] of this.#parts) {
       if (readyAtMs <= nowMs) parts.push({ key, tokens });
@@ -134,7 +134,7 @@
    *
    * @param parts Reported parts, least recently used first.
    */
-  learn(parts: readonly CachedPart[]): void {
+  mergeParts(parts: readonly CachedPart[]): void {
     const localParts = [...this.#parts];
     this.clear();
     for (const { key, tokens } of parts) {
--- a/src/router/explain.ts
+++ b/src/router/explain.ts
@@ -97,7 +97,7 @@
 
 /**
  * @param text A line of a log; any text before its JSON is ignored.
- * @returns The parsed line; undefined if it was not written by a router.
+ * @returns The parsed line; undefined if it was not written by an entry.
  */
 export function parseLogLine(text: string): LogLine | undefined {
   const start = text.indexOf("{");
--- a/src/router/fleet.ts
+++ b/src/router/fleet.ts
@@ -1,8 +1,12 @@
 /** Registry of the known backend servers, by id and by service. */
 import type { Clock, Logger } from "../base/mod.ts";
 import { LRUMap } from "../placement/lru_map.ts";
-import type { Announced } from "./announced.ts";
-import { type BackendServer, isSameStart, startOf } from "./model.ts";
+import type { Announcements } from "./announcements.ts";
+import {
+  type BackendServer,
+  incarnationKey,
+  isSameIncarnation,
+} from "./model.ts";
 import { Server, type ServerOptions } from "./server.ts";
 import type { Outage } from "./store_contact.ts";
 
@@ -15,9 +19,9 @@
   /** The store outage that may have caused a registration deleted now to lapse, if there is one. */
   outage(): Outage | undefined;
   /** Whether servers whose registrations lapsed in an outage may still register again. */
-  awaitsReturns(): boolean;
+  inRegistrationGrace(): boolean;
   /** Called when a server was removed or has restarted. */
-  onLeft(server: Server): void;
+  onRemoved(server: Server): void;
 }
 
 /** Maximum number of removed servers whose announcements are kept. */
@@ -31,7 +35,7 @@
   readonly #lapsed = new Set<string>();
 
   /** Announcements of removed servers, by id and start, in case a lapsed registration returns. */
-  readonly #keptAnnouncements = LRUMap.create<string, Announced>(
+  readonly #keptAnnouncements = LRUMap.create<string, Announcements>(
     MAX_KEPT_ANNOUNCEMENTS,
   );
 
@@ -63,7 +67,9 @@
    */
   get(id: string, bornAtMs?: number): Server | undefined {
     const server = this.#servers.get(id);
-    return server && isSameStart(bornAtMs, server.entry) ? server : undefined;
+    return server && isSameIncarnation(bornAtMs, server.entry)
+      ? server
+      : undefined;
   }
 
   /**
@@ -98,10 +104,10 @@
    * @param service Service name.
    * @returns Its servers that are neither leaving nor have asked for a pause.
    */
-  taking(service: string): Server[] {
+  accepting(service: string): Server[] {
     const nowMs = this.#options.clock.nowMs();
-    return this.open(service).filter(({ announced }) =>
-      announced.pausedMs(nowMs) === 0
+    return this.open(service).filter(({ announcements }) =>
+      announcements.pausedMs(nowMs) === 0
     );
   }
 
@@ -114,8 +120,8 @@
    */
   pausedMs(service: string): number | undefined {
     const nowMs = this.#options.clock.nowMs();
-    const pauses = this.open(service).map(({ announced }) =>
-      announced.pausedMs(nowMs)
+    const pauses = this.open(service).map(({ announcements }) =>
+      announcements.pausedMs(nowMs)
     );
     const shortestMs = Math.min(...pauses);
     return pauses.length > 0 && shortestMs > 0 ? shortestMs : undefined;
@@ -127,8 +133,8 @@
    * @param server The server.
    * @param saidAtMs Time of the announcement.
    */
-  leaves(server: Server, saidAtMs: number): void {
-    if (!server.announced.leaves(saidAtMs)) return;
+  markLeaving(server: Server, saidAtMs: number): void {
+    if (!server.announcements.markLeaving(saidAtMs)) return;
     this.#options.log.info({
       event: "server_leaving",
       server: server.id,
@@ -146,7 +152,7 @@
     // A registration of an earlier start may arrive late.
     if (known && isOlderStart(entry, known.entry)) return;
     this.#lapsed.delete(entry.id);
-    const isSame = known && isSameStart(entry.bornAtMs, known.entry);
+    const isSame = known && isSameIncarnation(entry.bornAtMs, known.entry);
     if (isSame && known.entry.address === entry.address) {
       this.#logDraining(known, entry);
       known.update(entry);
@@ -155,12 +161,15 @@
     // Nothing learned about the earlier start applies to the new one. Requests in flight at the
     // earlier start end on their own.
     known?.channels.closeIdle();
-    if (known) this.#options.onLeft(known);
+    if (known) this.#options.onRemoved(known);
     const options = this.#options.serverOptions(entry.service);
-    const announced = isSame
-      ? known.announced
-      : this.#keptAnnouncements.get(startOf(entry));
-    const server = Server.create(entry, { ...options, announced });
+    const announcements = isSame
+      ? known.announcements
+      : this.#keptAnnouncements.get(incarnationKey(entry));
+    const server = Server.create(entry, {
+      ...options,
+      announcements,
+    });
     this.#servers.set(entry.id, server);
     this.#logJoined(server, known && !isSame);
   }
@@ -190,9 +199,12 @@
     if (!server) return;
     this.#servers.delete(id);
     this.#lapsed.delete(id);
-    this.#keptAnnouncements.set(startOf(server.entry), server.announced);
+    this.#keptAnnouncements.set(
+      incarnationKey(server.entry),
+      server.announcements,
+    );
     server.channels.closeIdle();
-    this.#options.onLeft(server);
+    this.#options.onRemoved(server);
     this.#options.log.info({ event: "server_left", server: id, reason });
   }
 
@@ -202,13 +214,13 @@
    *
    * @param server The server that was called.
    */
-  giveUp(server: Server): void {
+  dropReplaced(server: Server): void {
     if (this.has(server)) this.drop(server.id, "address_has_another_server");
   }
 
   /** Removes servers whose registration lapsed in an outage and was not written again in time. */
-  sweep(): void {
-    if (this.#options.awaitsReturns()) return;
+  dropLapsed(): void {
+    if (this.#options.inRegistrationGrace()) return;
     for (const id of this.#lapsed) this.drop(id, "registration_lapsed");
   }
 
--- a/src/router/fleet_test.ts
+++ b/src/router/fleet_test.ts
@@ -13,19 +13,19 @@
 interface FleetSetup {
   fleet: Fleet;
   clock: TestClock;
-  outage: { mayLapse: boolean; awaitsReturns: boolean };
+  outage: { mayLapse: boolean; inRegistrationGrace: boolean };
   lines: LogLine[];
 }
 
 function create(): FleetSetup {
   const clock = new TestClock();
-  const outage = { mayLapse: false, awaitsReturns: false };
+  const outage = { mayLapse: false, inRegistrationGrace: false };
   const { log, lines } = recordedLog();
   const fleet = testFleet(clock, {
     log,
     outage: () =>
       outage.mayLapse ? { isOver: false, lengthMs: 5000 } : undefined,
-    awaitsReturns: () => outage.awaitsReturns,
+    inRegistrationGrace: () => outage.inRegistrationGrace,
   });
   return { fleet, clock, outage, lines };
 }
@@ -54,16 +54,16 @@
   const { fleet, clock, outage } = create();
   fleet.put(registration("a"));
   outage.mayLapse = true;
-  outage.awaitsReturns = true;
+  outage.inRegistrationGrace = true;
   fleet.remove("a");
   clock.advance(60_000);
-  fleet.sweep();
+  fleet.dropLapsed();
   assert.deepEqual(ids(fleet), ["a"]);
   outage.mayLapse = false;
-  fleet.sweep();
+  fleet.dropLapsed();
   assert.deepEqual(ids(fleet), ["a"]);
-  outage.awaitsReturns = false;
-  fleet.sweep();
+  outage.inRegistrationGrace = false;
+  fleet.dropLapsed();
   assert.deepEqual(ids(fleet), []);
 });
 
@@ -72,7 +72,7 @@
   fleet.put(registration("a"));
   fleet.put(registration("b"));
   outage.mayLapse = true;
-  outage.awaitsReturns = true;
+  outage.inRegistrationGrace = true;
   fleet.remove("a");
   outage.mayLapse = false;
   fleet.remove("b");
@@ -84,7 +84,7 @@
   fleet.put(registration("a"));
   outage.mayLapse = true;
   fleet.remove("a");
-  fleet.sweep();
+  fleet.dropLapsed();
   assert.deepEqual(ids(fleet), []);
 });
 
@@ -104,11 +104,11 @@
   const { fleet, outage } = create();
   fleet.put(registration("a"));
   outage.mayLapse = true;
-  outage.awaitsReturns = true;
+  outage.inRegistrationGrace = true;
   fleet.remove("a");
   fleet.put(registration("a"));
-  outage.awaitsReturns = false;
-  fleet.sweep();
+  outage.inRegistrationGrace = false;
+  fleet.dropLapsed();
   assert.deepEqual(ids(fleet), ["a"]);
 });
 
@@ -124,8 +124,8 @@
   fleet.put(registration("a"));
   const chain = { salt: "w1", parts: [{ id: "p", tokens: 10 }] };
   const server = fleet.get("a")!;
-  server.cache.use(chain, 0);
-  server.learnWeights("m", 2);
+  server.cache.recordPrompt(chain, 0);
+  server.recordWeights("m", 2);
   assert.equal(server.cache.cachedTokens(chain), 0);
 });
 
@@ -144,7 +144,7 @@
   const { fleet, clock } = create();
   fleet.put(registration("a"));
   const server = fleet.get("a")!;
-  const ticket = server.begin(100, true);
+  const ticket = server.startRequest(100, true);
   assert.deepEqual(server.load(clock.nowMs()), {
     pendingTokens: 100,
     running: 1,
@@ -167,9 +167,9 @@
   const { fleet } = create();
   fleet.put(registration("a", { bornAtMs: 5 }));
   const former = fleet.get("a")!;
-  former.cache.use(CHAIN, 0);
-  former.learnWeights("m", 3);
-  former.cache.use(CHAIN, 0);
+  former.cache.recordPrompt(CHAIN, 0);
+  former.recordWeights("m", 3);
+  former.cache.recordPrompt(CHAIN, 0);
   former.health.unreachable(0);
   former.holdBack(Infinity);
   return { fleet, former };
@@ -229,12 +229,12 @@
   const { fleet, outage } = create();
   fleet.put(registration("a", { bornAtMs: 5 }));
   outage.mayLapse = true;
-  outage.awaitsReturns = true;
+  outage.inRegistrationGrace = true;
   fleet.remove("a");
   fleet.put(registration("a", { bornAtMs: 6 }));
   outage.mayLapse = false;
-  outage.awaitsReturns = false;
-  fleet.sweep();
+  outage.inRegistrationGrace = false;
+  fleet.dropLapsed();
   assert.deepEqual(ids(fleet), ["a"]);
 });
 
@@ -242,12 +242,12 @@
   const { fleet, outage } = create();
   fleet.put(registration("a", { bornAtMs: 6 }));
   outage.mayLapse = true;
-  outage.awaitsReturns = true;
+  outage.inRegistrationGrace = true;
   fleet.remove("a");
   fleet.put(registration("a", { bornAtMs: 5 }));
   outage.mayLapse = false;
-  outage.awaitsReturns = false;
-  fleet.sweep();
+  outage.inRegistrationGrace = false;
+  fleet.dropLapsed();
   assert.deepEqual(ids(fleet), []);
 });
 
@@ -258,9 +258,9 @@
 test("removing an earlier start does not remove the new one", () => {
   const { fleet, former } = fleetWithUsedServer();
   fleet.put(registration("a", { bornAtMs: 6, address: "127.0.0.1:2" }));
-  fleet.giveUp(former);
+  fleet.dropReplaced(former);
   assert.deepEqual(ids(fleet), ["a"]);
-  fleet.giveUp(fleet.get("a")!);
+  fleet.dropReplaced(fleet.get("a")!);
   assert.deepEqual(ids(fleet), []);
 });
 
@@ -268,7 +268,7 @@
   const clock = new TestClock();
   const fleet = testFleet(clock);
   fleet.put(registration("i-1", { bornAtMs: 1 }));
-  fleet.leaves(fleet.get("i-1")!, clock.nowMs());
+  fleet.markLeaving(fleet.get("i-1")!, clock.nowMs());
   assert.equal(fleet.open("engines").length, 0);
   fleet.put(registration("i-1", { bornAtMs: 2 }));
   assert.equal(fleet.open("engines").length, 1);
@@ -278,7 +278,7 @@
   const clock = new TestClock();
   const fleet = testFleet(clock);
   fleet.put(registration("i-1"));
-  fleet.leaves(fleet.get("i-1")!, clock.nowMs());
+  fleet.markLeaving(fleet.get("i-1")!, clock.nowMs());
   clock.advance(60_000);
   assert.equal(fleet.open("engines").length, 0);
   clock.advance(3_600_000);
@@ -289,12 +289,12 @@
   const clock = new TestClock();
   const fleet = testFleet(clock);
   fleet.put(registration("i-1"));
-  fleet.get("i-1")!.announced.pause(clock.nowMs(), 5000);
-  assert.equal(fleet.taking("engines").length, 0);
+  fleet.get("i-1")!.announcements.pause(clock.nowMs(), 5000);
+  assert.equal(fleet.accepting("engines").length, 0);
   assert.equal(fleet.open("engines").length, 1);
   assert.equal(fleet.pausedMs("engines"), 5000);
   clock.advance(5000);
-  assert.equal(fleet.taking("engines").length, 1);
+  assert.equal(fleet.accepting("engines").length, 1);
   assert.equal(fleet.pausedMs("engines"), undefined);
 });
 
@@ -302,23 +302,23 @@
   const clock = new TestClock();
   const fleet = testFleet(clock);
   fleet.put(registration("i-1"));
-  const { announced } = fleet.get("i-1")!;
-  announced.pause(clock.nowMs(), 5000);
-  announced.pause(clock.nowMs(), 100);
+  const { announcements } = fleet.get("i-1")!;
+  announcements.pause(clock.nowMs(), 5000);
+  announcements.pause(clock.nowMs(), 100);
   clock.advance(4999);
-  assert.equal(fleet.taking("engines").length, 0);
+  assert.equal(fleet.accepting("engines").length, 0);
 });
 
 test("announcements of a server survive a lapsed registration", () => {
   const clock = new TestClock();
   const fleet = testFleet(clock);
   fleet.put(registration("i-1"));
-  fleet.leaves(fleet.get("i-1")!, clock.nowMs());
+  fleet.markLeaving(fleet.get("i-1")!, clock.nowMs());
   fleet.put(registration("i-2"));
-  fleet.get("i-2")!.announced.pause(clock.nowMs(), 5000);
+  fleet.get("i-2")!.announcements.pause(clock.nowMs(), 5000);
   for (const id of ["i-1", "i-2"]) {
     fleet.drop(id, "registration_lapsed");
     fleet.put(registration(id));
   }
-  assert.deepEqual(fleet.taking("engines"), []);
+  assert.deepEqual(fleet.accepting("engines"), []);
 });
--- a/src/router/follower.ts
+++ b/src/router/follower.ts
@@ -33,7 +33,7 @@
   /** Interval at which servers write their registration. */
   heartbeatMs: number;
   /** Delay before the watch continues after changes, so that the next ones come in one answer. */
-  gatherMs(): number;
+  coalesceMs(): number;
   clock: Clock;
   log: Logger;
   /** Random number from 0 to 1. */
@@ -46,7 +46,7 @@
   readonly contact: StoreContact;
   readonly #options: FollowerOptions;
   #retryMs = MIN_RETRY_MS;
-  #gatheredMs = 0;
+  #coalescedMs = 0;
   #needsList = true;
   /** When the last call was sent; a watch sends its next call once one is answered. */
   #calledAtMs = -Infinity;
@@ -65,8 +65,8 @@
   }
 
   /** Longest time that the changes received now may have been delayed by coalescing. */
-  get gatheredMs(): number {
-    return this.#gatheredMs;
+  get coalescedMs(): number {
+    return this.#coalescedMs;
   }
 
   /**
@@ -97,7 +97,7 @@
   }
 
   async #watch(signal: AbortSignal): Promise<StoreFailure | undefined> {
-    const { store, mirror, clock, gatherMs } = this.#options;
+    const { store, mirror, clock, coalesceMs } = this.#options;
     let answers = 0;
     let hasChanged = false;
     for await (
@@ -113,8 +113,8 @@
       this.contact.markCaughtUp();
       // The first answer of a watch does not show that the store recovered: the next call may fail.
       if (++answers > 1) this.#retryMs = MIN_RETRY_MS;
-      this.#gatheredMs = hasChanged ? gatherMs() : 0;
-      if (hasChanged) await clock.sleep(this.#gatheredMs, signal);
+      this.#coalescedMs = hasChanged ? coalesceMs() : 0;
+      if (hasChanged) await clock.sleep(this.#coalescedMs, signal);
       hasChanged = false;
     }
     return undefined;
@@ -161,7 +161,10 @@
  * @param heartbeatMs Interval at which servers write their registration.
  * @returns How long an entry waits after changes before it continues its watch.
  */
-export function gatherMs(entryCount: number, heartbeatMs: number): number {
+export function coalesceDelayMs(
+  entryCount: number,
+  heartbeatMs: number,
+): number {
   const longestMs = heartbeatMs * MAX_COALESCE_INTERVALS;
   return Math.min(longestMs, entryCount * COALESCE_MS_PER_ENTRY);
 }
--- a/src/router/follower_test.ts
+++ b/src/router/follower_test.ts
@@ -8,7 +8,7 @@
   WatchStep,
 } from "../store/mod.ts";
 import { recordedLog, TestClock } from "./_kit.ts";
-import { gatherMs, StoreFollower } from "./follower.ts";
+import { coalesceDelayMs, StoreFollower } from "./follower.ts";
 import { StoreMirror } from "./mirror.ts";
 
 const HEARTBEAT_MS = 1200;
@@ -81,7 +81,7 @@
   /** Longest time since each deletion was made. */
   agesMs: number[];
   /** Longest time that each deletion was delayed by coalescing. */
-  gatheredMs: number[];
+  coalescedMs: number[];
   events: unknown[];
   pausesMs: number[];
 }
@@ -96,7 +96,7 @@
   const observed: Observed = {
     deletions: [],
     agesMs: [],
-    gatheredMs: [],
+    coalescedMs: [],
     events: [],
     pausesMs: [],
   };
@@ -114,14 +114,14 @@
     log,
     random: () => 1,
     heartbeatMs: HEARTBEAT_MS,
-    gatherMs: () => COALESCE_MS,
+    coalesceMs: () => COALESCE_MS,
   });
   mirror.onChange((change) => {
     if (change.kind !== "delete") return;
     const mayHaveLapsed = follower.contact.outage !== undefined;
     observed.deletions.push([change.key, mayHaveLapsed]);
     observed.agesMs.push(follower.contact.maxAgeMs);
-    observed.gatheredMs.push(follower.gatheredMs);
+    observed.coalescedMs.push(follower.coalescedMs);
   });
   await follower.run(stop.signal);
   observed.events = lines.map(({ event }) => event);
@@ -327,20 +327,20 @@
 
 test("coalescing delay limits the watch calls of all entries together", () => {
   const callsPerS = (entryCount: number) =>
-    entryCount * 1000 / gatherMs(entryCount, HEARTBEAT_MS);
+    entryCount * 1000 / coalesceDelayMs(entryCount, HEARTBEAT_MS);
   assert.ok(callsPerS(30) <= callsPerS(6));
   // Changes arrive, and an unresponsive store is detected, before a registration lapses.
-  const longestMs = gatherMs(360, HEARTBEAT_MS) + 1.3 * HEARTBEAT_MS;
+  const longestMs = coalesceDelayMs(360, HEARTBEAT_MS) + 1.3 * HEARTBEAT_MS;
   assert.ok(longestMs < 2 * HEARTBEAT_MS);
 });
 
 test("change after a coalescing delay may have waited, change during a watch's wait has not", async () => {
-  const { gatheredMs } = await runFollower([
+  const { coalescedMs } = await runFollower([
     listed(KEYS, 1n),
     watched(2n, "a"),
     watched(3n, "b"),
     watched(3n),
     watched(4n, "c"),
   ]);
-  assert.deepEqual(gatheredMs, [0, COALESCE_MS, 0]);
+  assert.deepEqual(coalescedMs, [0, COALESCE_MS, 0]);
 });
--- a/src/router/tell_pace.ts
+++ b/src/router/gossip_interval.ts
@@ -18,7 +18,7 @@
  * @param entryCount Number of live entries.
  * @returns Interval between an entry's datagrams while loads and prompts change.
  */
-export function tellPauseMs(entryCount: number): number {
+export function gossipIntervalFor(entryCount: number): number {
   const pauseMs = entryCount * INTERVAL_MS_PER_ENTRY;
   return Math.min(
     MAX_INTERVAL_MS,
--- a/src/router/tell_pace_test.ts
+++ b/src/router/gossip_interval_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { seededRandom } from "../base/random.ts";
-import { jittered, MIN_INTERVAL_MS, rotated } from "./tell_pace.ts";
+import { jittered, MIN_INTERVAL_MS, rotated } from "./gossip_interval.ts";
 
 const SEED = 20_261_204;
 const DRAWS = 1000;
--- a/src/router/health.ts
+++ b/src/router/health.ts
@@ -109,7 +109,7 @@
    *
    * @param nowMs Current time.
    */
-  doubted(nowMs: number): void {
+  markSuspected(nowMs: number): void {
     if (this.#isDown) return;
     this.#isDown = true;
     this.#probeAtMs = nowMs;
--- a/src/router/ingress.ts
+++ b/src/router/ingress.ts
@@ -20,7 +20,7 @@
   AnswerSink,
   LocalAnswer,
   RoutedRequest,
-  Served,
+  ServeResult,
 } from "./request.ts";
 import type { RequestFacts, Route, ServiceShare } from "./model.ts";
 import type { RoutingTable } from "./routing_table.ts";
@@ -49,11 +49,11 @@
   table(): RoutingTable | undefined;
   /** Time since the configuration was last confirmed to be the newest. */
   knowledgeAgeMs(): number;
-  serve(request: RoutedRequest, sink: AnswerSink): Promise<Served>;
+  serve(request: RoutedRequest, sink: AnswerSink): Promise<ServeResult>;
   /** Called when a routed request has ended. */
-  onServed(request: RoutedRequest, served: Served): void;
-  /** Called when the router answered a request itself, without a backend server. */
-  onLocal(facts: RequestFacts, answer: LocalAnswer): void;
+  onServed(request: RoutedRequest, served: ServeResult): void;
+  /** Called when the entry answered a request itself, without a backend server. */
+  onLocalAnswer(facts: RequestFacts, answer: LocalAnswer): void;
 }
 
 /** HTTP server that accepts, checks and routes client requests. */
@@ -210,8 +210,8 @@
     const body = await readBody(request, table ? maxBytes : Infinity);
     if (body.kind === "cut") return;
     const enteredAtMs = clock.nowMs();
-    await this.#intake.enter();
-    if (sink.gone) return this.#options.onLocal(facts, "client_gone");
+    await this.#intake.waitForTurn();
+    if (sink.gone) return this.#options.onLocalAnswer(facts, "client_gone");
     if (this.#isClosing) return this.#refuse(facts, sink, "stopping");
     const nowMs = clock.nowMs();
     const behindMs = Math.max(this.#intake.maxWaitMs, nowMs - enteredAtMs);
@@ -284,7 +284,7 @@
     const leftMs = Math.min(facts.deadlineMs ?? Infinity, REFUSAL_LEFT_MS);
     const pauseMs = retryAfterMs(leftMs, this.#options.random);
     sink.send(503, retryHeaders(pauseMs), Buffer.alloc(0));
-    this.#options.onLocal(facts, why);
+    this.#options.onLocalAnswer(facts, why);
   }
 
   #answer(
@@ -293,7 +293,7 @@
     { status, why }: { status: number; why: LocalAnswer },
   ): void {
     sink.send(status, [], Buffer.alloc(0));
-    this.#options.onLocal(facts, why);
+    this.#options.onLocalAnswer(facts, why);
   }
 }
 
--- a/src/router/intake.ts
+++ b/src/router/intake.ts
@@ -70,7 +70,7 @@
   }
 
   /** Enqueues a request that was just read; resolves when it may be served. */
-  enter(): Promise<void> {
+  waitForTurn(): Promise<void> {
     const isBehind = this.maxWaitMs >= LATE_READ_LAG_MS;
     const fromTurn = this.#turn + (isBehind ? LATE_READ_TURNS : 0);
     return new Promise((admit) => {
--- a/src/router/intake_test.ts
+++ b/src/router/intake_test.ts
@@ -17,7 +17,7 @@
   });
   const served: string[] = [];
   const enter = (name: string) =>
-    void intake.enter().then(() => served.push(name));
+    void intake.waitForTurn().then(() => served.push(name));
   /** Runs one turn of 20 ms, in which a connection is accepted or not. */
   const turn = async ({ accepts = false } = {}) => {
     clock.advance(20);
--- a/src/router/spoilt_answers_test.ts
+++ b/src/router/invalid_responses_test.ts
@@ -5,7 +5,7 @@
 import { test, type TestContext } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
 import { ask, type Asked, PROMPT } from "../standin/mod.ts";
-import { knows, openWorld, until, type World } from "./_world.ts";
+import { openWorld, stateContains, until, type World } from "./_world.ts";
 
 /** Writes raw bytes as the response to the nth request; may close the connection itself. */
 type RawResponder = (socket: Socket, attemptId: string, nth: number) => void;
@@ -61,7 +61,7 @@
     sequence: 0,
     born: 1,
   });
-  await until(() => knows(world, `"${id}"`));
+  await until(() => stateContains(world, `"${id}"`));
   return { requests, connections: () => connections };
 }
 
--- a/src/router/leaving_news.ts
+++ b/src/router/leaving_announcements.ts
@@ -48,9 +48,13 @@
     const from = this.#nextIndex < servers.length ? this.#nextIndex : 0;
     this.#nextIndex = from + MAX_ROWS_PER_DATAGRAM;
     return servers.slice(from, from + MAX_ROWS_PER_DATAGRAM).map(
-      ({ entry, announced }): LeavingRow => {
+      ({ entry, announcements }): LeavingRow => {
         const { id, bornAtMs = 0 } = entry;
-        return [id, bornAtMs, Math.round(announced.leavingSaidMs(nowMs) ?? 0)];
+        return [
+          id,
+          bornAtMs,
+          Math.round(announcements.leavingAgeMs(nowMs) ?? 0),
+        ];
       },
     );
   }
@@ -61,7 +65,7 @@
     const nowMs = clock.nowMs();
     for (const [id, start, saidMs] of rows) {
       const server = fleet.get(id, start || undefined);
-      if (server) fleet.leaves(server, nowMs - saidMs);
+      if (server) fleet.markLeaving(server, nowMs - saidMs);
     }
   }
 
@@ -70,7 +74,8 @@
     const nowMs = clock.nowMs();
     const servers: Server[] = [];
     for (const server of fleet.all()) {
-      const isAnnounced = server.announced.leavingSaidMs(nowMs) !== undefined;
+      const isAnnounced =
+        server.announcements.leavingAgeMs(nowMs) !== undefined;
       if (isAnnounced && !server.entry.draining) servers.push(server);
     }
     return servers;
--- a/src/router/leaving_test.ts
+++ b/src/router/leaving_test.ts
@@ -3,8 +3,8 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { ask, type StandinPlatformWorker } from "../standin/mod.ts";
 import {
-  knows,
   openWorld,
+  stateContains,
   type TestEntry,
   until,
   type World,
@@ -29,14 +29,20 @@
 ): Promise<{ world: World; leaving: StandinPlatformWorker }> {
   const world = await openWorld(t, { entryCount });
   const leaving = await world.worker("i-1");
-  await until(() => world.entries.every((entry) => knows(entry, '"i-1"')));
   await until(() =>
-    world.entries.every((entry) => knows(entry, `"entries":${entryCount}`))
+    world.entries.every((entry) => stateContains(entry, '"i-1"'))
+  );
+  await until(() =>
+    world.entries.every((entry) =>
+      stateContains(entry, `"entries":${entryCount}`)
+    )
   );
   leaving.faults.leaving = true;
   assert.equal((await ask(world, "/book/a")).status, 200);
   await world.worker("i-2");
-  await until(() => world.entries.every((entry) => knows(entry, '"i-2"')));
+  await until(() =>
+    world.entries.every((entry) => stateContains(entry, '"i-2"'))
+  );
   leaving.runs.length = 0;
   return { world, leaving };
 }
@@ -67,7 +73,7 @@
   const [, second] = world.entries;
   await second!.router.stop();
   const again = await world.restart(second!);
-  await until(() => knows(again, '"i-2"'));
+  await until(() => stateContains(again, '"i-2"'));
   await sleep(GOSSIP_MS * 5);
   await askRepeatedly(again);
   assert.equal(leaving.runs.length, 0);
--- a/src/router/turned_away_test.ts
+++ b/src/router/lost_store_contact_test.ts
@@ -2,8 +2,8 @@
 import { test } from "node:test";
 import { CONFIG } from "../standin/mod.ts";
 import {
-  knows,
   openWorld,
+  stateContains,
   type TestEntry,
   until,
   useConfig,
@@ -42,7 +42,7 @@
       const worker = await world.worker("i-1");
       await until(() =>
         world.entries.every((entry) =>
-          knows(entry, '"i-1"') && knows(entry, '"entries":2')
+          stateContains(entry, '"i-1"') && stateContains(entry, '"entries":2')
         )
       );
       lose(away);
@@ -54,10 +54,10 @@
           key,
           worker.entry("plain", { state: "draining" }),
         );
-        await until(() => knows(away, '"leaving":true'));
+        await until(() => stateContains(away, '"leaving":true'));
       } else {
         await world.store.delete(key);
-        await until(() => !knows(away, '"i-1"'));
+        await until(() => !stateContains(away, '"i-1"'));
       }
     });
   }
--- a/src/router/malformed_test.ts
+++ b/src/router/malformed_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { ask, CONFIG } from "../standin/mod.ts";
-import { knows, openBareWorld, openWorld, until } from "./_world.ts";
+import { openBareWorld, openWorld, stateContains, until } from "./_world.ts";
 import { LAST_ROLL_KEY, ROLL_LEASE_KEY } from "./roll_lease.ts";
 
 /*
@@ -21,8 +21,8 @@
   assert.equal((await ask(world, "/book/a")).status, 200);
   await other!.router.stop();
   const again = await world.restart(other!);
-  await until(() => knows(again, "i-1"));
-  assert.ok(knows(again, '"storeConnected":true'));
+  await until(() => stateContains(again, "i-1"));
+  assert.ok(stateContains(again, '"storeConnected":true'));
 });
 
 test("server with an unreadable registration gets no requests until it is repaired", async (t) => {
@@ -31,7 +31,7 @@
   const [first, second] = workers;
   world.store.spoilt.set("servers/i-1", { value: "%%%%" });
   await world.store.put("servers/i-1", first!.entry("plain"));
-  await until(() => !knows(world, "i-1"));
+  await until(() => !stateContains(world, "i-1"));
   for (let i = 0; i < 4; i++) {
     assert.equal((await ask(world, "/book/a")).status, 200);
   }
@@ -39,7 +39,7 @@
   assert.equal(second!.runs.length, 4);
   world.store.spoilt.clear();
   await world.store.put("servers/i-1", first!.entry("plain"));
-  await until(() => knows(world, "i-1"));
+  await until(() => stateContains(world, "i-1"));
 });
 
 /*
--- a/src/router/mirror.ts
+++ b/src/router/mirror.ts
@@ -83,7 +83,7 @@
   }
 
   /** Revision and confirmation of the replica, as sent to peers. */
-  get knowledge(): SyncState {
+  get syncState(): SyncState {
     const revision = this.#revision;
     if (!this.#confirmed) return { revision };
     const { origin, count } = this.#confirmed;
--- a/src/router/mirror_test.ts
+++ b/src/router/mirror_test.ts
@@ -120,5 +120,5 @@
     return;
   }
   for (const change of catchup.changes) peer.applyStep(change);
-  peer.advanceTo({ ...mirror.knowledge, revision: catchup.revision });
+  peer.advanceTo({ ...mirror.syncState, revision: catchup.revision });
 }
--- a/src/router/model.ts
+++ b/src/router/model.ts
@@ -166,7 +166,7 @@
  * @param server A server.
  * @returns Whether the information may refer to the server's current incarnation.
  */
-export function isSameStart(
+export function isSameIncarnation(
   bornAtMs: number | undefined,
   server: BackendServer,
 ): boolean {
@@ -178,7 +178,7 @@
  * @param server A server.
  * @returns Key of the server's incarnation: its id and start time, so that a restart changes the key.
  */
-export function startOf({ id, bornAtMs = 0 }: BackendServer): string {
+export function incarnationKey({ id, bornAtMs = 0 }: BackendServer): string {
   return `${id}/${bornAtMs}`;
 }
 
--- a/src/router/moved_runs_test.ts
+++ b/src/router/moved_runs_test.ts
@@ -2,13 +2,13 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { type Asked, streamOf } from "../standin/mod.ts";
-import { LONG_EVENTS, streamAtEach } from "./_patient_world.ts";
+import { LONG_EVENTS, startStreamPerEngine } from "./_long_timeout_kit.ts";
 import { openWorld, until, type World } from "./_world.ts";
 
 test("long runs continue at another engine when their engine's weights change", async (t) => {
   for (const moveFull of [0, 9]) {
     const world = await openWorld(t);
-    const { engines, answers } = await streamAtEach(world);
+    const { engines, answers } = await startStreamPerEngine(world);
     for (const { faults } of engines) faults.moveFull = moveFull;
     await world.store.put("op/version/m", { model: "m", version: 2 });
     for (const answer of answers) {
@@ -29,7 +29,7 @@
 // Guards against moving a run if the resend budget allows the move but no further send: if the target
 // then refuses the run, the stream is cut although it has time left (13.3 s in the case seen).
 test("run is moved only if the budget allows one more resend", async (t) => {
-  // With this many routers, the initial share of each is one resend.
+  // With this many entries, the initial share of each is one resend.
   const world = await openWorld(t, { entryCount: 16 });
   const answers = await answersOfMovedRuns(world);
   for (const { isWhole, body } of answers) {
@@ -51,7 +51,9 @@
 
 test("run that may not be repeated is not moved", async (t) => {
   const world = await openWorld(t);
-  const { engines, answers } = await streamAtEach(world, { route: "once" });
+  const { engines, answers } = await startStreamPerEngine(world, {
+    route: "once",
+  });
   await world.store.put("op/version/m", { model: "m", version: 2 });
   for (const answer of answers) {
     assert.equal((await answer).body, streamOf(LONG_EVENTS));
@@ -61,7 +63,7 @@
 
 /** Runs two streams while their weights change; each engine refuses its next run. */
 async function answersOfMovedRuns(world: World): Promise<Asked[]> {
-  const { engines, answers } = await streamAtEach(world);
+  const { engines, answers } = await startStreamPerEngine(world);
   for (const { faults } of engines) faults.refuse = 1;
   await world.store.put("op/version/m", { model: "m", version: 2 });
   return Promise.all(answers);
--- a/src/router/several_test.ts
+++ b/src/router/multiple_entries_test.ts
@@ -2,7 +2,7 @@
 import { connect, type Socket } from "node:net";
 import { test } from "node:test";
 import { ask, CONFIG, HOST, KEY, PROMPT, streamOf } from "../standin/mod.ts";
-import { knows, openWorld, type TestEntry, until } from "./_world.ts";
+import { openWorld, stateContains, type TestEntry, until } from "./_world.ts";
 
 const OTHER_KEY = { authorization: "Bearer other" };
 
@@ -10,14 +10,14 @@
   const world = await openWorld(t, { entryCount: 2 });
   const [, far] = world.entries;
   const worker = await world.worker("i-1");
-  await until(() => knows(far!, "i-1"));
+  await until(() => stateContains(far!, "i-1"));
   far!.link.down();
   await world.store.configure({ ...CONFIG, version: 2 });
-  await until(() => knows(far!, '"configVersion":2'));
+  await until(() => stateContains(far!, '"configVersion":2'));
   await world.worker("i-2");
-  await until(() => knows(far!, "i-2"));
+  await until(() => stateContains(far!, "i-2"));
   await world.store.delete("servers/i-1");
-  await until(() => !knows(far!, "i-1"));
+  await until(() => !stateContains(far!, "i-1"));
   worker.runs.length = 0;
   assert.equal((await ask(far!, "/book/a")).status, 200);
   assert.equal(worker.runs.length, 0);
@@ -27,20 +27,22 @@
   const world = await openWorld(t, { entryCount: 2 });
   const [away, served] = world.entries;
   const leaving = await world.worker("i-1");
-  await until(() => knows(served!, "i-1"));
+  await until(() => stateContains(served!, "i-1"));
   // Wait until the peer has had store contact long enough to vouch for the store's state.
   for (const version of [2, 3, 4]) {
     for (const { clock } of world.entries) clock.aheadMs += 1000;
     await world.store.configure({ ...CONFIG, version });
     await until(() =>
-      world.entries.every((entry) => knows(entry, `"configVersion":${version}`))
+      world.entries.every((entry) =>
+        stateContains(entry, `"configVersion":${version}`)
+      )
     );
   }
   away!.link.down();
-  await until(() => knows(away!, '"storeConnected":false'));
+  await until(() => stateContains(away!, '"storeConnected":false'));
   await world.store.delete("servers/i-1");
-  await until(() => !knows(away!, "i-1"));
-  assert.ok(knows(away!, '"storeConnected":false'));
+  await until(() => !stateContains(away!, "i-1"));
+  assert.ok(stateContains(away!, '"storeConnected":false'));
   assert.equal((await ask(away!, "/book/a")).status, 503);
   assert.equal(leaving.runs.length, 0);
 });
@@ -52,7 +54,7 @@
   await world.store.down();
   await second!.router.stop();
   const again = await world.restart(second!);
-  await until(() => knows(again, "i-1"));
+  await until(() => stateContains(again, "i-1"));
   assert.equal((await ask(again, "/book/a")).status, 200);
   assert.equal((await ask(again, "/book/a", OTHER_KEY)).status, 401);
 });
@@ -79,7 +81,7 @@
   await world.store.put("op/version/m", { model: "m", version: 2 });
   await until(() => workers.every(({ version }) => version === 2));
   const holder = world.entries.find((entry) =>
-    knows(entry, '"holdsRollLease":true')
+    stateContains(entry, '"holdsRollLease":true')
   );
   assert.ok(holder);
   holder.link.down();
@@ -100,13 +102,13 @@
   await world.store.put("op/version/m", { model: "m", version: 2 });
   await until(() => workers.every(({ version }) => version === 2));
   const holder = world.entries.find((entry) =>
-    knows(entry, '"holdsRollLease":true')
+    stateContains(entry, '"holdsRollLease":true')
   );
   assert.ok(holder);
   // By the holder's own clock the lease has expired, although no message said so.
   holder.link.freezeOpen();
   holder.clock.aheadMs = 10_000;
-  assert.ok(knows(holder, '"holdsRollLease":false'));
+  assert.ok(stateContains(holder, '"holdsRollLease":false'));
   await world.store.put("op/version/m", { model: "m", version: 3 });
   await until(() => workers.every(({ version }) => version === 3));
   const orders = workers.flatMap(({ orders }) => orders);
@@ -121,7 +123,9 @@
   const world = await openWorld(t, { entryCount: 8 });
   const workers = [await world.worker("i-1"), await world.worker("i-2")];
   for (const entry of world.entries) {
-    await until(() => knows(entry, "i-2") && knows(entry, '"entries":8'));
+    await until(() =>
+      stateContains(entry, "i-2") && stateContains(entry, '"entries":8')
+    );
   }
   for (const worker of workers) worker.faults.loseAnswer = 1000;
   const rounds = 20;
@@ -146,7 +150,7 @@
   const meet = (entries: TestEntry[]) =>
     until(() =>
       entries.every((entry) =>
-        knows(entry, "i-2") && knows(entry, '"entries":8')
+        stateContains(entry, "i-2") && stateContains(entry, '"entries":8')
       )
     );
   let entries = [...world.entries];
--- a/src/router/open_answer_test.ts
+++ b/src/router/open_answer_test.ts
@@ -6,15 +6,15 @@
 import { test } from "node:test";
 import { ask, headersOf, NO_FAULTS } from "../standin/mod.ts";
 import {
-  ASKED,
-  askOther,
-  askTaken,
-  assertAllWhole,
-  openPatientWorld,
+  askOtherRequest,
+  askUntilAccepted,
+  assertAllComplete,
+  createClosedGate,
+  LONG_TIMEOUT_HEADERS,
+  openLongTimeoutSetup,
   refuseFor,
   runsOf,
-  shutGate,
-} from "./_patient_world.ts";
+} from "./_long_timeout_kit.ts";
 import {
   assertSurvivesPause,
   EVERY_TIME,
@@ -34,7 +34,7 @@
   const [other] = others;
   await until(() => other!.refused > 0);
   refuseFor(other!, 2000);
-  assertAllWhole(world, [await answer]);
+  assertAllComplete(world, [await answer]);
 });
 
 // Guards against ending the run when the other engine refuses because of its weights version.
@@ -51,7 +51,7 @@
 test("pause while the other engine's port is closed", async (t) => {
   const { world, others, answer } = await pausedStream(t, [{}]);
   await others[0]!.down();
-  assertAllWhole(world, [await answer]);
+  assertAllComplete(world, [await answer]);
   assert.equal(runsOf(world), 1);
 });
 
@@ -60,7 +60,7 @@
   const { world, answer } = await pausedStream(t, [{ hang: 1 }], {
     timeMs: 10_000,
   });
-  assertAllWhole(world, [await answer]);
+  assertAllComplete(world, [await answer]);
   assert.ok(runsOf(world) <= 2);
 });
 
@@ -71,7 +71,7 @@
     timeMs: 10_000,
     stall,
   });
-  assertAllWhole(world, [await answer]);
+  assertAllComplete(world, [await answer]);
   assert.ok(runsOf(world) <= 2);
 });
 
@@ -87,7 +87,7 @@
         maxAttempts: 2,
       },
     );
-    assertAllWhole(world, [await answer]);
+    assertAllComplete(world, [await answer]);
     await world.router.stop();
   }
 });
@@ -95,23 +95,23 @@
 // Guards against keeping a stream only at a hung engine because it seems to be queued there behind
 // another request.
 test("engine hangs after another answer while a free one is available", async (t) => {
-  const world = await openPatientWorld(t);
-  const gate = shutGate();
+  const world = await openLongTimeoutSetup(t);
+  const gate = createClosedGate();
   const faults = {
     ...NO_FAULTS,
     stall: { afterEvent: 0, pauseMs: 0, opened: gate.opened },
   };
   const first = await world.worker("i-1", { model: "m", faults });
-  const before = askOther(world, 1);
+  const before = askOtherRequest(world, 1);
   await until(() => first.runs.length === 1);
   faults.hang = 1;
-  const headers = { ...ASKED, ...headersOf({ timeMs: 9000 }) };
-  const answer = askTaken(world, "/stream/a", { headers });
+  const headers = { ...LONG_TIMEOUT_HEADERS, ...headersOf({ timeMs: 9000 }) };
+  const answer = askUntilAccepted(world, "/stream/a", { headers });
   await until(() => first.runs.length === 2);
   gate.open();
   await before;
   await world.engine("i-2");
-  assertAllWhole(world, [await answer], { requests: 2 });
+  assertAllComplete(world, [await answer], { requests: 2 });
 });
 
 // Guards against two engines running the same stream to its end: wasted work and duplicate events.
@@ -119,7 +119,7 @@
   for (const afterEvent of [0, 2]) {
     const stall = { afterEvent, pauseMs: GONE_MS };
     const { world, pausing, answer } = await pausedStream(t, [{}], { stall });
-    assertAllWhole(world, [await answer]);
+    assertAllComplete(world, [await answer]);
     assert.equal(runsOf(world), 2);
     await until(() => pausing.streams === 0);
     await world.router.stop();
@@ -129,7 +129,7 @@
 // Guards against merging the events of both engines if the silent one resumes when the other answers.
 test("two engines that answer at the same time deliver each event once", async (t) => {
   for (const afterEvent of [0, 2]) {
-    const gate = shutGate();
+    const gate = createClosedGate();
     const stall = { afterEvent, pauseMs: 0, opened: gate.opened };
     const { world, pausing, others, answer } = await pausedStream(
       t,
@@ -138,7 +138,7 @@
     );
     await until(() => others[0]!.runs.length > 0);
     gate.open();
-    assertAllWhole(world, [await answer]);
+    assertAllComplete(world, [await answer]);
     await until(() => pausing.streams + others[0]!.streams === 0);
     await world.router.stop();
   }
@@ -155,7 +155,7 @@
         maxAttempts,
         stall: { afterEvent, pauseMs: PAUSE_MS },
       });
-      assertAllWhole(world, [await answer]);
+      assertAllComplete(world, [await answer]);
       assert.equal(runsOf(world), 1);
       await world.router.stop();
     }
@@ -164,12 +164,16 @@
 
 // Guards against keeping a request waiting, as for an open answer, that no engine has accepted.
 test("request that no engine takes is refused as not run", async (t) => {
-  const world = await openPatientWorld(t);
+  const world = await openLongTimeoutSetup(t);
   for (const id of ["i-1", "i-2"]) {
     const faults = { ...NO_FAULTS, refuse: Infinity };
     await world.worker(id, { model: "m", faults });
   }
-  const { status, headers } = await ask(world, "/stream/a", ASKED);
+  const { status, headers } = await ask(
+    world,
+    "/stream/a",
+    LONG_TIMEOUT_HEADERS,
+  );
   assert.equal(status, 503);
   assert.ok(Number(headers["retry-after"]) > 0);
   assert.equal(runsOf(world), 0);
--- a/src/router/open_call_test.ts
+++ b/src/router/open_call_test.ts
@@ -7,7 +7,7 @@
   type StandinPlatformWorkerFaults,
 } from "../standin/mod.ts";
 import { recordedLog } from "./_kit.ts";
-import { askTaken, requestsOf, runsOf } from "./_patient_world.ts";
+import { askUntilAccepted, requestsOf, runsOf } from "./_long_timeout_kit.ts";
 import { openWorld, until } from "./_world.ts";
 
 /** Longer than a call waits at one server while another server could be tried. */
@@ -35,7 +35,7 @@
   const world = await openWorld(t, { log });
   const faultsOf = (faults: Faults) => ({ ...NO_FAULTS, ...faults });
   const server = await world.worker("i-1", { faults: faultsOf(first) });
-  const answer = askTaken(world, path, { headers: ASKED });
+  const answer = askUntilAccepted(world, path, { headers: ASKED });
   await until(() => server.runs.length > 0);
   for (const [i, faults] of others.entries()) {
     await world.worker(`i-${i + 2}`, { faults: faultsOf(faults) });
--- a/src/router/open_runs.ts
+++ b/src/router/open_runs.ts
@@ -1,8 +1,8 @@
 /** Tracks the open runs of one request, which may still answer it, and accounts for their ends. */
 import type { Clock } from "../base/mod.ts";
 import {
+  closedEnd,
   CloseReason,
-  endClosed,
   type Payment,
   type Progress,
   type Send,
@@ -17,7 +17,7 @@
 import type { RunMover } from "./run_mover.ts";
 import type { Sender } from "./send.ts";
 import type { Server } from "./server.ts";
-import type { Wake } from "./wake.ts";
+import type { WakeSignal } from "./wake_signal.ts";
 
 /** Dependencies of {@link OpenRuns}. */
 export interface OpenRunsParts {
@@ -32,7 +32,7 @@
 }
 
 /** A request that is being answered, with its sink and its state. */
-export interface AnsweringTask {
+export interface ForwardTask {
   request: RoutedRequest;
   sink: AnswerSink;
   progress: Progress;
@@ -41,14 +41,14 @@
 /** Open runs of a request, in the order in which they were sent. */
 export class OpenRuns {
   readonly #parts: OpenRunsParts;
-  readonly #task: AnsweringTask;
-  readonly #wake: Wake;
+  readonly #task: ForwardTask;
+  readonly #wake: WakeSignal;
   #sends: Send[] = [];
 
   private constructor(
     parts: OpenRunsParts,
-    task: AnsweringTask,
-    { wake }: { wake: Wake },
+    task: ForwardTask,
+    { wake }: { wake: WakeSignal },
   ) {
     this.#parts = parts;
     this.#task = task;
@@ -63,8 +63,8 @@
    */
   static create(
     parts: OpenRunsParts,
-    task: AnsweringTask,
-    options: { wake: Wake },
+    task: ForwardTask,
+    options: { wake: WakeSignal },
   ): OpenRuns {
     return new OpenRuns(parts, task, options);
   }
@@ -113,7 +113,7 @@
    *
    * @param send The run to keep.
    */
-  goOnWith(send: Send): void {
+  keepOnly(send: Send): void {
     if (this.count === 1) return;
     for (const other of this.#sends) {
       if (other !== send) this.#close(other, closeReasonOf(other, send));
@@ -136,7 +136,7 @@
    * @param send The run.
    * @param end How it ended.
    */
-  over(send: Send, end: SendEnd): void {
+  finishRun(send: Send, end: SendEnd): void {
     const { choice, sentAtMs, move } = send;
     const nowMs = this.#parts.clock.nowMs();
     const reason = end.kind === "moved" ? end.kind : end.reason;
@@ -146,7 +146,7 @@
         break;
       case "unknown":
         if (end.isBroken && send.exchange.sent) {
-          this.#parts.quarantine.broken(send);
+          this.#parts.quarantine.recordBrokenSend(send);
         }
         this.#countRun(send);
         break;
@@ -174,7 +174,7 @@
     const isFailure = reason !== CloseReason.notNeeded &&
       reason !== CloseReason.clientGone;
     if (isFailure) send.choice.server.health.failed(this.#parts.clock.nowMs());
-    this.over(send, endClosed(send, reason));
+    this.finishRun(send, closedEnd(send, reason));
   }
 
   #countRun({ exchange, choice }: Send): void {
@@ -189,7 +189,7 @@
     const { choice, payment } = send;
     this.#giveBackRun(send);
     if (isUnsent) {
-      progress.arrivals--;
+      progress.possibleDeliveries--;
       resends.refundUnsent(request, payment);
     }
     if (!choice.copy) return;
--- a/src/router/order_records.ts
+++ b/src/router/order_records.ts
@@ -30,7 +30,7 @@
    * event on every entry's watch.
    */
   enginesCheckFences: boolean;
-  /** Records of all holders in the local copy of the store. */
+  /** Records of all holders in the local replica of the store. */
   orderRecords(): KeyValueEntry[];
 }
 
--- a/src/router/outage_test.ts
+++ b/src/router/outage_test.ts
@@ -2,8 +2,8 @@
 import { test, type TestContext } from "node:test";
 import { ask, CONFIG } from "../standin/mod.ts";
 import {
-  knows,
   openWorld,
+  stateContains,
   type TestEntry,
   until,
   useConfig,
@@ -41,12 +41,12 @@
 async function loseStore(entry: TestEntry): Promise<void> {
   entry.link.silent();
   entry.clock.aheadMs += OUTAGE_MS;
-  await until(() => knows(entry, '"storeConnected":false'));
+  await until(() => stateContains(entry, '"storeConnected":false'));
 }
 
 async function regainStore(entry: TestEntry): Promise<void> {
   entry.link.up();
-  await until(() => knows(entry, '"storeConnected":true'));
+  await until(() => stateContains(entry, '"storeConnected":true'));
 }
 
 /*
@@ -87,8 +87,8 @@
   await world.store.put("servers/i-1", returning.entry("plain"));
   await useConfig(world, { ...CONFIG, version: 5 });
   world.clock.aheadMs += OUTAGE_MS;
-  await until(() => !knows(world, "i-2"));
-  assert.ok(knows(world, "i-1"));
+  await until(() => !stateContains(world, "i-2"));
+  assert.ok(stateContains(world, "i-1"));
   assert.equal((await ask(world, "/book/a")).status, 200);
 });
 
@@ -97,7 +97,7 @@
   const [near, far] = world.entries;
   assert.ok(near && far);
   await world.worker("i-1");
-  await until(() => knows(far, "i-1"));
+  await until(() => stateContains(far, "i-1"));
   await Promise.all([loseStore(near), loseStore(far)]);
   await world.store.delete("servers/i-1");
   // Reports of store contact from before the outage was detected no longer count.
@@ -109,8 +109,8 @@
   await until(async () => {
     // Each change makes the peer report its revision.
     await world.store.configure({ ...CONFIG, version: ++version });
-    return !knows(far, '"configVersion":1,');
+    return !stateContains(far, '"configVersion":1,');
   });
-  assert.ok(knows(far, '"storeConnected":false'));
+  assert.ok(stateContains(far, '"storeConnected":false'));
   assert.equal((await ask(far, "/book/a")).status, 200);
 });
--- a/src/router/peer_datagram.ts
+++ b/src/router/peer_datagram.ts
@@ -13,10 +13,10 @@
  * to the end (null: the answer had not started), time since the end, and how long the request had been
  * at the server; times in ms.
  */
-export type EndedUnder = [string, string, number | null, number, number];
+export type ServerEndRow = [string, string, number | null, number, number];
 
 /** A suspected request that completed normally, and the time since then in ms. */
-export type Cleared = [string, number];
+export type ClearedRow = [string, number];
 
 /** Decoded content of one datagram. */
 export interface Datagram {
@@ -41,9 +41,9 @@
   /** Servers that announced leaving: id, start time, ms since then; absent from earlier releases. */
   leaving?: [string, StartMs, number][];
   /** Servers that ended during a request; absent from earlier releases. */
-  ended?: EndedUnder[];
+  ended?: ServerEndRow[];
   /** Suspected requests that completed normally; absent from earlier releases. */
-  cleared?: Cleared[];
+  cleared?: ClearedRow[];
   /** Sender's start time in ms since 1970, by its own clock; absent from earlier releases. */
   startedAtMs?: number;
   /** Workspace, units of its limit that the sender has consumed since its start, and units left. */
@@ -54,7 +54,7 @@
   storeServedMs?: number;
   /** Weights seen at servers: server, model, version, start time. */
   weights: [string, string, number, StartMs][];
-  /** Wanted weights: model, version, and ms since the version was named. */
+  /** Wanted weights: model, version, and ms since the version was published. */
   named: [string, number, number][];
 }
 
--- a/src/router/peers.ts
+++ b/src/router/peer_gossip.ts
@@ -5,22 +5,22 @@
  */
 import { createSocket, type Socket } from "node:dgram";
 import type { Clock, Logger } from "../base/mod.ts";
-import type { CacheBook } from "./cache_book.ts";
+import type { ExpectedCache } from "./expected_cache.ts";
 import type { BackendServer } from "./model.ts";
 import type { PlacedPrompt } from "./request.ts";
 import type { Fleet } from "./fleet.ts";
-import { LeavingAnnouncements } from "./leaving_news.ts";
+import { LeavingAnnouncements } from "./leaving_announcements.ts";
 import type { SyncState } from "./mirror.ts";
 import { ownLoads, PeerLoads } from "./peer_loads.ts";
 import { type Datagram, readDatagram, type StartMs } from "./peer_datagram.ts";
 import type { Quarantine } from "./quarantine.ts";
 import type { Quotas } from "./quotas.ts";
 import {
+  gossipIntervalFor,
   jittered,
   MIN_INTERVAL_MS,
   rotated,
-  tellPauseMs,
-} from "./tell_pace.ts";
+} from "./gossip_interval.ts";
 import type { WantedVersions } from "./wanted_weights.ts";
 
 /** Longest interval while servers are held back: one lost datagram must not let a hold expire. */
@@ -36,8 +36,8 @@
 /** How long a server stays held back after the last datagram of a peer that asks for it. */
 const HELD_BACK_TTL_MS = 1000;
 
-/** Options of {@link Peers}. */
-export interface PeersOptions {
+/** Options of {@link PeerGossip}. */
+export interface PeerGossipOptions {
   name: string;
   ipAddress: string;
   port: number;
@@ -47,11 +47,11 @@
   random: () => number;
   fleet: Fleet;
   /** Expected cache of one process of a server, by id and start time, or of a store, by address. */
-  cacheOf(id: string, bornAtMs?: number): CacheBook | undefined;
+  cacheOf(id: string, bornAtMs?: number): ExpectedCache | undefined;
   /** IP addresses of the configured seeds and the registered entries. */
   knownAddresses(): string[];
   /** Store revision up to which this entry is in sync, and the store answer that confirms it. */
-  knowledge(): SyncState;
+  syncState(): SyncState;
   /** Time since the store's last answer; undefined unless contact with the store is stable. */
   storeServedMs(): number | undefined;
   /** Wanted weights versions; entries exchange their ages. */
@@ -61,12 +61,12 @@
   /** Workspace rate limits; entries exchange what they have consumed. */
   quotas: Pick<Quotas, "hasUpdate" | "takeUpdate" | "applyPeerUpdate">;
   /** Called with the sync state that a peer reported. */
-  onKnowledge(ipAddress: string, knowledge: SyncState): void;
+  onPeerSyncState(ipAddress: string, syncState: SyncState): void;
 }
 
 /** Sends this entry's state to the other entries, and applies the state that they send. */
-export class Peers {
-  readonly #options: PeersOptions;
+export class PeerGossip {
+  readonly #options: PeerGossipOptions;
   readonly #socket: Socket;
   readonly #lastSeenAtMs = new Map<string, number>();
   readonly #prompts: Datagram["prompts"] = [];
@@ -77,14 +77,14 @@
   readonly #peerLoads: PeerLoads;
   #heldBack: () => string[] = () => [];
   #changingNext: () => string[] = () => [];
-  #storeServedPeerAtMs = -Infinity;
+  #peerStoreContactAtMs = -Infinity;
   /** Number of registered and seed entries, this one included; updated with each datagram sent. */
   #knownEntryCount = 1;
   #lastContent = "";
   #lastUrgent = "";
   #lastSentAtMs = -Infinity;
 
-  private constructor(options: PeersOptions) {
+  private constructor(options: PeerGossipOptions) {
     this.#options = options;
     this.#socket = createSocket("udp4");
     this.#leaving = LeavingAnnouncements.create(options);
@@ -95,8 +95,8 @@
    * @param options Own address, and the sources and receivers of the exchanged state.
    * @returns Peers to which nothing has been sent yet.
    */
-  static create(options: PeersOptions): Peers {
-    return new Peers(options);
+  static create(options: PeerGossipOptions): PeerGossip {
+    return new PeerGossip(options);
   }
 
   /** Number of live entries, this one included. */
@@ -110,31 +110,34 @@
   }
 
   /** Number of entries that may be live, this one included, with those not heard from yet. */
-  get possibleCount(): number {
+  get possibleEntryCount(): number {
     return Math.max(this.count, this.#knownEntryCount);
   }
 
   /** Interval between datagrams while loads and prompts change: the age that peers' loads may have. */
-  get tellPauseMs(): number {
-    return tellPauseMs(this.count);
+  get gossipIntervalMs(): number {
+    return gossipIntervalFor(this.count);
   }
 
   /** Latest time at which the store answered another entry, as far as reported. */
-  get storeServedPeerAtMs(): number {
-    return this.#storeServedPeerAtMs;
+  get peerStoreContactAtMs(): number {
+    return this.#peerStoreContactAtMs;
   }
 
   /**
    * @param heldBack Returns the ids of servers to which no entry should send new requests.
    * @param changingNext Returns the ids of the servers whose weights change after theirs.
    */
-  tellHeldBack(heldBack: () => string[], changingNext: () => string[]): void {
+  setHeldBackSources(
+    heldBack: () => string[],
+    changingNext: () => string[],
+  ): void {
     this.#heldBack = heldBack;
     this.#changingNext = changingNext;
   }
 
   /** @param placed A prompt that was sent to a server, or written to a prompt store. */
-  tellPrompt({ id, bornAtMs = 0, chain, readyInMs }: PlacedPrompt): void {
+  announcePrompt({ id, bornAtMs = 0, chain, readyInMs }: PlacedPrompt): void {
     const parts = chain.parts.map(({ id, tokens }): [string, number] => [
       id,
       tokens,
@@ -145,17 +148,17 @@
   }
 
   /** @param serverId A server that stopped answering, or refuses connections. */
-  tellSilent(serverId: string): void {
+  announceSilent(serverId: string): void {
     this.#silent.push(serverId);
   }
 
   /** @param server A server whose address now belongs to another server. */
-  tellGone({ id, bornAtMs = 0 }: BackendServer): void {
+  announceReplaced({ id, bornAtMs = 0 }: BackendServer): void {
     this.#gone.push([id, bornAtMs]);
   }
 
   /** Announces the version of a model's weights that was seen at a server. */
-  tellWeights(
+  announceWeights(
     { id, bornAtMs = 0 }: BackendServer,
     model: string,
     version: number,
@@ -225,7 +228,7 @@
   #isDue({ heldBack }: Datagram, content: string, urgent: string): boolean {
     if (urgent !== this.#lastUrgent) return true;
     const sinceMs = this.#options.clock.nowMs() - this.#lastSentAtMs;
-    const pauseMs = this.tellPauseMs;
+    const pauseMs = this.gossipIntervalMs;
     if (heldBack.length > 0 && sinceMs >= HELD_BACK_INTERVAL_MS) return true;
     if (content === this.#lastContent && !this.#options.quotas.hasUpdate) {
       return sinceMs >= Math.max(IDLE_INTERVAL_MS, pauseMs);
@@ -243,8 +246,8 @@
   }
 
   #buildDatagram(): Datagram {
-    const { name, fleet, knowledge, wanted } = this.#options;
-    const { revision, confirmed } = knowledge();
+    const { name, fleet, syncState, wanted } = this.#options;
+    const { revision, confirmed } = syncState();
     const storeServedMs = this.#options.storeServedMs();
     return {
       name,
@@ -294,7 +297,7 @@
       this.#options.quotas.applyPeerUpdate(ipAddress, { startedAtMs, taken });
     }
     const revision = BigInt(datagram.revision);
-    this.#options.onKnowledge(ipAddress, {
+    this.#options.onPeerSyncState(ipAddress, {
       revision,
       confirmed: datagram.confirmed,
     });
@@ -309,35 +312,35 @@
         parts: parts.map(([id, tokens]) => ({ id, tokens })),
       };
       const cache = this.#options.cacheOf(id, start || undefined);
-      cache?.use(chain, nowMs + readyInMs);
+      cache?.recordPrompt(chain, nowMs + readyInMs);
     }
     // Matched by id alone, also from an earlier process: a hold or doubt ends soon (TTL, next probe).
     for (const id of report.heldBack) {
       fleet.get(id)?.holdBack(nowMs + HELD_BACK_TTL_MS);
     }
     for (const id of report.changingNext ?? []) {
-      fleet.get(id)?.changesNext(nowMs + HELD_BACK_TTL_MS);
+      fleet.get(id)?.markNextToChange(nowMs + HELD_BACK_TTL_MS);
     }
-    for (const id of report.silent) fleet.get(id)?.health.doubted(nowMs);
+    for (const id of report.silent) fleet.get(id)?.health.markSuspected(nowMs);
     for (const [id, start] of report.gone ?? []) {
       const server = fleet.get(id, start || undefined);
-      if (server) fleet.giveUp(server);
+      if (server) fleet.dropReplaced(server);
     }
     this.#leaving.applyRows(report.leaving ?? []);
     if (report.storeServedMs !== undefined) {
       const servedAtMs = nowMs - report.storeServedMs;
-      this.#storeServedPeerAtMs = Math.max(
-        this.#storeServedPeerAtMs,
+      this.#peerStoreContactAtMs = Math.max(
+        this.#peerStoreContactAtMs,
         servedAtMs,
       );
     }
     for (const [id, model, version, start] of report.weights) {
-      fleet.get(id, start || undefined)?.learnWeights(model, version);
+      fleet.get(id, start || undefined)?.recordWeights(model, version);
     }
     const { ended = [], cleared = [] } = report;
     this.#options.quarantine.hear({ ended, cleared });
     for (const [model, version, ageMs] of report.named) {
-      if (!wanted.tell({ model, version, ageMs })) continue;
+      if (!wanted.mergePeerAge({ model, version, ageMs })) continue;
       log.info({ event: "weights_wanted", model, version, peer: report.name });
     }
   }
--- a/src/router/peers_test.ts
+++ b/src/router/peer_gossip_test.ts
@@ -5,9 +5,9 @@
 import { setImmediate as nextTurn } from "node:timers/promises";
 import fc from "fast-check";
 import { ask, type Asked } from "../standin/mod.ts";
-import { knows, openWorld, until, type World } from "./_world.ts";
+import { openWorld, stateContains, until, type World } from "./_world.ts";
 import { silentLog, TestClock } from "./_kit.ts";
-import { tellPauseMs } from "./tell_pace.ts";
+import { gossipIntervalFor } from "./gossip_interval.ts";
 import { StoreMirror } from "./mirror.ts";
 import { ENTRIES_PREFIX, Registration } from "./registration.ts";
 
@@ -97,7 +97,7 @@
   await until(async () => {
     // Repeated, as datagrams may be lost.
     await peer.sendFields({ weights: [["i-1", "m", 9]] });
-    return knows(world, '"entries":2');
+    return stateContains(world, '"entries":2');
   });
   await world.worker("i-last");
   assert.equal((await askUntilAccepted(world)).status, 200);
@@ -137,8 +137,8 @@
     await peer.send(Buffer.from(text));
   }
   await assertEntryWorks(world, peer);
-  assert.ok(!knows(world, '"running":7'));
-  assert.ok(!knows(world, '"heldBack":true'));
+  assert.ok(!stateContains(world, '"running":7'));
+  assert.ok(!stateContains(world, '"heldBack":true'));
 });
 
 test("datagram with a malformed optional field is ignored", async (t) => {
@@ -160,7 +160,7 @@
     }
   }
   await assertEntryWorks(world, peer);
-  assert.ok(!knows(world, '"heldBack":true'));
+  assert.ok(!stateContains(world, '"heldBack":true'));
 });
 
 test("datagrams of random bytes or fields are ignored", async (t) => {
@@ -209,7 +209,7 @@
   }
   await until(() => peer.asked.includes("/cached"));
   await assertEntryWorks(world, peer);
-  assert.ok(!knows(world, '"storeRevision":"99999"'));
+  assert.ok(!stateContains(world, '"storeRevision":"99999"'));
 });
 
 /** Opens a world whose entry lost the store and learns from a peer that a registration is deleted. */
@@ -222,14 +222,14 @@
   const peer = await FakePeer.create(t, world);
   world.link.silent();
   world.clock.aheadMs += OUTAGE_MS;
-  await until(() => knows(world, '"storeConnected":false'));
+  await until(() => stateContains(world, '"storeConnected":false'));
   const revision = "99999";
   const deletes = [{ key: "servers/i-1", revision }];
   const catchup = { revision, ageMs: 0, isAll: false, entries: [], deletes };
   peer.answers.set("/relay", JSON.stringify(catchup));
   await until(async () => {
     await peer.sendFields({ revision, storeServes: true, ...told });
-    return knows(world, '"storeRevision":"99999"');
+    return stateContains(world, '"storeRevision":"99999"');
   });
   return world;
 }
@@ -261,7 +261,7 @@
   await world.worker("i-1");
   const peer = await FakePeer.create(t, world);
   world.link.silent();
-  await until(() => knows(world, '"storeConnected":false'));
+  await until(() => stateContains(world, '"storeConnected":false'));
   const deletedAtMs = world.clock.nowMs() - 100;
   // Stops the entry's clock, so that a later reaction doesn't count; its loops continue.
   setTimeout(() => world.clock.stop(), DRAIN_MS - 100).unref();
@@ -269,7 +269,7 @@
   const deletes = [{ key: "servers/i-1", revision }];
   const catchup = { revision, ageMs: 0, isAll: false, entries: [], deletes };
   peer.answers.set("/relay", JSON.stringify(catchup));
-  for (let sent = 0; knows(world, '"i-1"'); sent++) {
+  for (let sent = 0; stateContains(world, '"i-1"'); sent++) {
     const storeServedMs = Math.round(world.clock.nowMs() - deletedAtMs);
     assert.ok(sent < MAX_DATAGRAMS, "the deleted server is still in use");
     await peer.sendFields({ revision, storeServes: true, storeServedMs });
@@ -351,10 +351,10 @@
 // 1,340 datagrams per second.
 test("gossip interval grows with the number of entries", () => {
   const heardPerSecond = (entryCount: number) =>
-    (entryCount - 1) * 1000 / tellPauseMs(entryCount);
+    (entryCount - 1) * 1000 / gossipIntervalFor(entryCount);
   for (const entryCount of [2, 6, 31, 68]) {
     assert.ok(heardPerSecond(entryCount) <= 125);
   }
   // A reported load counts for 1.5 s, so it must outlive one lost datagram.
-  assert.ok(tellPauseMs(1000) * 2 < 1500);
+  assert.ok(gossipIntervalFor(1000) * 2 < 1500);
 });
--- a/src/router/poison_request_test.ts
+++ b/src/router/poison_request_test.ts
@@ -3,8 +3,8 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { ask, NO_FAULTS, PROMPT } from "../standin/mod.ts";
 import {
-  knows,
   openWorld,
+  stateContains,
   type TestEntry,
   until,
   type World,
@@ -36,10 +36,12 @@
     await world.worker(`i-${i}`, { model: "m", faults });
   }
   await until(() =>
-    world.entries.every((entry) => knows(entry, `"i-${ENGINES - 1}"`))
+    world.entries.every((entry) => stateContains(entry, `"i-${ENGINES - 1}"`))
   );
   await until(() =>
-    world.entries.every((entry) => knows(entry, `"entries":${entryCount}`))
+    world.entries.every((entry) =>
+      stateContains(entry, `"entries":${entryCount}`)
+    )
   );
   return world;
 }
@@ -77,7 +79,9 @@
   for (const entry of world.entries.slice()) {
     again.push(await world.restart(entry));
   }
-  await until(() => again.every((entry) => knows(entry, '"configVersion":1')));
+  await until(() =>
+    again.every((entry) => stateContains(entry, '"configVersion":1'))
+  );
   await askInTurn(again, { path: ONCE_PATH, times: ENGINES - 3 });
   assert.ok(runsOf(world, ONCE_PATH) <= MAX_RUNS);
 });
@@ -89,7 +93,7 @@
   const [, second] = world.entries;
   await second!.router.stop();
   const again = await world.restart(second!);
-  await until(() => knows(again, '"configVersion":1'));
+  await until(() => stateContains(again, '"configVersion":1'));
   await sleep(GOSSIP_MS * 5);
   await askInTurn([again], { path: ONCE_PATH, times: ENGINES - 3 });
   assert.ok(runsOf(world, ONCE_PATH) <= MAX_RUNS);
--- a/src/router/probe.ts
+++ b/src/router/probe.ts
@@ -25,7 +25,7 @@
 export async function probe(server: Server, clock: Clock): Promise<boolean> {
   // Schedules the next probe first, whatever the result of this one.
   server.health.unreachable(clock.nowMs());
-  const outcome = await connectTo(server.entry.address);
+  const outcome = await tryConnect(server.entry.address);
   switch (outcome) {
     case "reached":
       server.health.reached();
@@ -44,7 +44,7 @@
  * @param address `ip:port`.
  * @returns Result of the connection attempt.
  */
-export function connectTo(address: string): Promise<ConnectResult> {
+export function tryConnect(address: string): Promise<ConnectResult> {
   const at = address.lastIndexOf(":");
   const host = address.slice(0, at);
   const port = Number(address.slice(at + 1));
--- a/src/router/prompt_store.ts
+++ b/src/router/prompt_store.ts
@@ -4,13 +4,13 @@
  * stores.
  */
 import { textHash } from "../placement/rendezvous.ts";
-import type { CacheBook, Chain } from "./cache_book.ts";
+import type { Chain, ExpectedCache } from "./expected_cache.ts";
 
 /** A store of cached prompts and its expected contents. */
 export interface PromptStore {
   address: string;
   zone: string;
-  cache: CacheBook;
+  cache: ExpectedCache;
   /** Time per token to copy from the store within its zone. */
   copyMsPerToken: number;
 }
--- a/src/router/prompt_store_test.ts
+++ b/src/router/prompt_store_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { CacheBook } from "./cache_book.ts";
+import { ExpectedCache } from "./expected_cache.ts";
 import { type PromptStore, selectStore } from "./prompt_store.ts";
 
 const SUBJECTS = 300;
@@ -10,7 +10,7 @@
   return Array.from({ length: count }, (_, i) => ({
     address: `10.0.0.${i}:80`,
     zone: "a",
-    cache: CacheBook.create(1000),
+    cache: ExpectedCache.create(1000),
     copyMsPerToken: 0.002,
   }));
 }
--- a/src/router/named_record.ts
+++ b/src/router/publish_times_record.ts
@@ -8,10 +8,10 @@
 import { type FencedLease, readJson } from "../lease/mod.ts";
 import type { KeyValueEntry, KeyValueStore } from "../store/store.ts";
 import { ROLL_LEASE_KEY } from "./roll_lease.ts";
-import type { NamedAge, WantedVersions } from "./wanted_weights.ts";
+import type { VersionAge, WantedVersions } from "./wanted_weights.ts";
 
 /** Store key of the record. */
-export const NAMED_RECORD_KEY = "cicadahitch/weights-named";
+export const PUBLISH_TIMES_KEY = "cicadahitch/weights-named";
 /** Maximum clock skew between two instances; added to every age that is read. */
 const CLOCK_ERROR_MS = 2500;
 /** Delay before a failed write is retried. */
@@ -32,14 +32,14 @@
   store: KeyValueStore;
   clock: Clock;
   wanted: WantedVersions;
-  /** The record in the local copy of the store. */
-  namedRecord(): KeyValueEntry | undefined;
+  /** The record in the local replica of the store. */
+  publishTimesRecord(): KeyValueEntry | undefined;
 }
 
 /** Updates the record while this entry holds the lease of the weights roll. */
 export class PublishTimesRecord {
   readonly #options: PublishTimesRecordOptions;
-  /** Versions in the last successful write; the local copy of the store may lag behind it. */
+  /** Versions in the last successful write; the local replica of the store may lag behind it. */
   #writtenKeys = "";
   #isWriting = false;
   #retryAtMs = -Infinity;
@@ -62,9 +62,9 @@
    * @param lease The lease of the weights roll. The write fails if another entry has acquired it.
    */
   async update(lease: FencedLease): Promise<void> {
-    const { store, clock, namedRecord } = this.#options;
+    const { store, clock, publishTimesRecord } = this.#options;
     if (this.#isWriting || clock.nowMs() < this.#retryAtMs) return;
-    const known = readRows(namedRecord()?.value);
+    const known = readRows(publishTimesRecord()?.value);
     const rows = this.#merge(known);
     const keys = joinKeys(rows);
     if (keys === joinKeys(known) || keys === this.#writtenKeys) return;
@@ -72,7 +72,7 @@
     const value = new TextEncoder().encode(JSON.stringify({ rows }));
     const committed = await store.commit(
       [{ key: ROLL_LEASE_KEY, modRevision: lease.fencingNumber }],
-      [{ kind: "put", key: NAMED_RECORD_KEY, value }],
+      [{ kind: "put", key: PUBLISH_TIMES_KEY, value }],
     );
     this.#isWriting = false;
     const isWritten = committed.isOk && committed.value.kind === "committed";
@@ -97,10 +97,10 @@
  * @param wallMs The current wall-clock time of this instance.
  * @returns Upper bounds of the ages of the recorded versions, allowing for clock skew.
  */
-export function readNamedAges(
+export function readVersionAges(
   record: KeyValueEntry | undefined,
   wallMs: number,
-): NamedAge[] {
+): VersionAge[] {
   const ages = readRows(record?.value).map(({ model, version, atWallMs }) => ({
     model,
     version,
--- a/src/router/named_record_test.ts
+++ b/src/router/publish_times_record_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { openRollWorld } from "./_roll_kit.ts";
-import { NAMED_RECORD_KEY, readNamedAges } from "./named_record.ts";
+import { PUBLISH_TIMES_KEY, readVersionAges } from "./publish_times_record.ts";
 
 /** Maximum clock skew between instances. */
 const CLOCK_ERROR_MS = 2500;
@@ -14,13 +14,13 @@
   await clock.advance(1000);
   wanted.name({ model: "m", version: 2 }, { maxAgeMs: 0 });
   await clock.advance(400);
-  const record = store.table.get(NAMED_RECORD_KEY);
+  const record = store.table.get(PUBLISH_TIMES_KEY);
   await clock.advance(3000);
   assert.equal(
-    store.table.get(NAMED_RECORD_KEY)?.modRevision,
+    store.table.get(PUBLISH_TIMES_KEY)?.modRevision,
     record?.modRevision,
   );
-  const [age, ...others] = readNamedAges(record, clock.wallMs());
+  const [age, ...others] = readVersionAges(record, clock.wallMs());
   assert.deepEqual(others, []);
   assert.equal(age?.version, 2);
   assert.ok(Math.abs(age!.ageMs - 3400 - CLOCK_ERROR_MS) < 100);
@@ -40,20 +40,20 @@
   await clock.advance(3000);
   wanted.name({ model: "m", version: 3 }, { maxAgeMs: 0 });
   await clock.advance(400);
-  const record = store.table.get(NAMED_RECORD_KEY);
-  const ages = readNamedAges(record, clock.wallMs());
+  const record = store.table.get(PUBLISH_TIMES_KEY);
+  const ages = readVersionAges(record, clock.wallMs());
   assert.deepEqual(ages.map(({ version }) => version), [2, 3]);
 });
 
 test("malformed record, or one with a time in the future, yields no ages", () => {
   const read = (text: string, wallMs: number) =>
-    readNamedAges({
-      key: NAMED_RECORD_KEY,
+    readVersionAges({
+      key: PUBLISH_TIMES_KEY,
       value: new TextEncoder().encode(text),
       modRevision: 1n,
       createRevision: 1n,
     }, wallMs);
-  assert.deepEqual(readNamedAges(undefined, 0), []);
+  assert.deepEqual(readVersionAges(undefined, 0), []);
   for (const text of ["", "[]", '{"rows":7}', '{"rows":[null,{"model":1}]}']) {
     assert.deepEqual(read(text, 0), []);
   }
--- a/src/router/quarantine.ts
+++ b/src/router/quarantine.ts
@@ -5,12 +5,12 @@
  */
 import type { Clock, Logger, Metrics } from "../base/mod.ts";
 import type { Send } from "./attempt.ts";
-import { type BackendServer, startOf } from "./model.ts";
-import type { Cleared, EndedUnder } from "./peer_datagram.ts";
+import { type BackendServer, incarnationKey } from "./model.ts";
+import type { ClearedRow, ServerEndRow } from "./peer_datagram.ts";
 import type { RoutedRequest } from "./request.ts";
 import { digestOf } from "./request_digest.ts";
 import type { Server } from "./server.ts";
-import { type LostRequest, ServerEndDetector } from "./server_ends.ts";
+import { type LostRequest, ServerEndDetector } from "./server_end_detector.ts";
 import {
   SERIOUS_ENDS,
   type ServerEnd,
@@ -43,8 +43,8 @@
 
 /** Gossip between entries about suspected requests. */
 export interface QuarantineGossip {
-  ended: EndedUnder[];
-  cleared: Cleared[];
+  ended: ServerEndRow[];
+  cleared: ClearedRow[];
 }
 
 type GossipItem =
@@ -115,11 +115,11 @@
    *
    * @param send The send.
    */
-  broken(send: Send): void {
-    const { request, choice, runsFromMs, headAtMs, sentAtMs } = send;
+  recordBrokenSend(send: Send): void {
+    const { request, choice, firstEventAtMs, headAtMs, sentAtMs } = send;
     const nowMs = this.#options.clock.nowMs();
-    const isSettled = runsFromMs !== undefined &&
-      nowMs - runsFromMs >= SETTLED_MS;
+    const isSettled = firstEventAtMs !== undefined &&
+      nowMs - firstEventAtMs >= SETTLED_MS;
     if (isSettled) return;
     this.#serverEnds.lost(choice.server, {
       requestId: request.facts.requestId,
@@ -256,9 +256,9 @@
       service,
       requests: lost.map(({ requestId }) => requestId),
     });
-    const start = startOf(server);
+    const incarnation = incarnationKey(server);
     for (const { digest, answeringMs, atMs, runMs } of lost) {
-      const end = { server: start, answeringMs, atMs, runMs };
+      const end = { server: incarnation, answeringMs, atMs, runMs };
       const before = this.table.verdict(digest);
       if (!this.table.note(digest, end)) continue;
       this.#enqueue({ kind: "ended", digest, end });
@@ -324,7 +324,7 @@
   digest: string,
   { server, answeringMs, atMs, runMs }: ServerEnd,
   nowMs: number,
-): EndedUnder {
+): ServerEndRow {
   const answering = answeringMs === undefined ? null : Math.round(answeringMs);
   return [
     digest,
--- a/src/router/quarantine_test.ts
+++ b/src/router/quarantine_test.ts
@@ -4,7 +4,7 @@
 import { Metrics } from "../base/mod.ts";
 import { ask, PROMPT } from "../standin/mod.ts";
 import { recordedLog, silentLog, TestClock } from "./_kit.ts";
-import { knows, openWorld, until } from "./_world.ts";
+import { openWorld, stateContains, until } from "./_world.ts";
 import { Quarantine } from "./quarantine.ts";
 
 /** Longer than the investigation of a lost connection takes. */
@@ -105,11 +105,11 @@
       ...worker.entry("engines"),
       state: "draining",
     });
-    await until(() => knows(world, '"draining":true'));
+    await until(() => stateContains(world, '"draining":true'));
     await worker.down();
     await asked;
     await world.store.delete(`servers/i-${i}`);
-    await until(() => !knows(world, `"i-${i}"`));
+    await until(() => !stateContains(world, `"i-${i}"`));
   }
   await world.engine("i-5");
   assert.equal((await ask(world, "/once/long", PROMPT)).status, 200);
--- a/src/router/quotas.ts
+++ b/src/router/quotas.ts
@@ -58,7 +58,7 @@
   }
 
   /** @param workspaces Workspaces of the current configuration, with their limits. */
-  use(workspaces: readonly Workspace[]): void {
+  setLimits(workspaces: readonly Workspace[]): void {
     const limits = new Map<string, RateLimit>();
     for (const { name, quota } of workspaces) {
       if (quota) limits.set(name, quota);
--- a/src/router/quotas_test.ts
+++ b/src/router/quotas_test.ts
@@ -1,7 +1,13 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { ask, CONFIG, PROMPT } from "../standin/mod.ts";
-import { knows, openWorld, until, useConfig, type World } from "./_world.ts";
+import {
+  openWorld,
+  stateContains,
+  until,
+  useConfig,
+  type World,
+} from "./_world.ts";
 
 /** Prompt and output tokens of {@link PROMPT}. */
 const PROMPT_COST = 1280;
@@ -47,8 +53,8 @@
   await useConfig(world, limited(2, 100));
   const [first, ...others] = world.entries;
   for (const entry of others) {
-    await until(() => knows(entry, '"configVersion":2'));
-    await until(() => knows(entry, '"i-1"'));
+    await until(() => stateContains(entry, '"configVersion":2'));
+    await until(() => stateContains(entry, '"i-1"'));
   }
   await until(() => level(first!) > 50);
   assert.equal((await ask(first!, "/stream/a", PROMPT)).status, 200);
@@ -65,7 +71,7 @@
   const [first, second] = world.entries;
   await until(() => level(first!) === 1000);
   await useConfig(world, limited(3, 10, 1000));
-  await until(() => knows(second!, '"configVersion":3'));
+  await until(() => stateContains(second!, '"configVersion":3'));
   assert.equal((await ask(first!, "/stream/a", PROMPT)).status, 200);
   await until(() => level(second!) < 0);
   await second!.router.stop();
@@ -118,5 +124,5 @@
   for (let i = 0; i < 20; i++) {
     assert.equal((await ask(world, "/look/a")).status, 200);
   }
-  assert.ok(knows(world, '"quotas":[]'));
+  assert.ok(stateContains(world, '"quotas":[]'));
 });
--- a/src/router/read_answer.ts
+++ b/src/router/read_answer.ts
@@ -1,8 +1,8 @@
 /** Reads and validates a backend server's response, and updates the server's state from it. */
 import type { Clock } from "../base/mod.ts";
 import { readAnswer } from "../platform/mod.ts";
-import { follows, problemOf } from "./answer_rules.ts";
-import { endBroken, type PartialBody, type Send } from "./attempt.ts";
+import { areIdsAscending, rejectionReason } from "./answer_rules.ts";
+import { brokenEnd, type PartialBody, type Send } from "./attempt.ts";
 import type { SendEnd } from "./attempt.ts";
 import type { AnswerHead, AnswerStep, ChannelFailure } from "./channel.ts";
 import { EventSplitter } from "./event_splitter.ts";
@@ -34,9 +34,9 @@
 export interface AnswerReaderOptions {
   clock: Clock;
   fleet: Fleet;
-  /** Called when a server refuses connections, to notify the other routers. */
+  /** Called when a server refuses connections, to notify the other entries. */
   onSilent(serverId: string): void;
-  /** Called when another server uses a server's address, to notify the other routers. */
+  /** Called when another server uses a server's address, to notify the other entries. */
   onGone(server: BackendServer): void;
 }
 
@@ -85,7 +85,7 @@
     const { request, choice, progress } = send;
     const facts = readAnswer(head.status, head.headers);
     const nowMs = this.#options.clock.nowMs();
-    choice.server.heard(nowMs);
+    choice.server.recordByte(nowMs);
     this.#recordAnnouncements(choice.server, facts, nowMs);
     if (isForeign(facts, request.facts.requestId)) {
       // A late response to an earlier request: the one to this request may still follow.
@@ -95,7 +95,7 @@
     if (facts.notRun) return over(this.#endOfRefusal(send, facts));
     this.#recordResponse(send, facts, nowMs);
     send.headAtMs = nowMs;
-    send.quietSinceMs = nowMs;
+    send.idleSinceMs = nowMs;
     progress.ttftMs ??= nowMs - request.arrivedAtMs;
     const isStream = request.route.kind === RequestKind.stream &&
       facts.status === 200;
@@ -104,7 +104,7 @@
       : { kind: "whole", chunks: [], sizeBytes: 0 };
     send.answer = { head, facts, body };
     if (!isStream) return undefined;
-    const problem = problemOf(facts);
+    const problem = rejectionReason(facts);
     return problem
       ? over({ kind: "unknown", reason: problem })
       : { kind: "began" };
@@ -119,13 +119,13 @@
       return over({ kind: "unknown", reason: "answer_without_head" });
     }
     const nowMs = this.#options.clock.nowMs();
-    choice.server.heard(nowMs);
-    send.quietSinceMs = nowMs;
+    choice.server.recordByte(nowMs);
+    send.idleSinceMs = nowMs;
     const { body, facts } = answer;
     switch (body.kind) {
       case "stream":
         if (step.kind === "end") return endOfStream(body);
-        send.runsFromMs ??= nowMs;
+        send.firstEventAtMs ??= nowMs;
         return this.#handleEvents(send, body.splitter.push(step.bytes));
       case "whole":
         if (step.kind === "end") return this.#endWhole(send, facts, body);
@@ -142,7 +142,7 @@
     { bytes, ids }: { bytes: Buffer; ids: string[] },
   ): AnswerPart | undefined {
     if (bytes.length === 0) return undefined;
-    if (!follows(ids, progress.lastEventId)) {
+    if (!areIdsAscending(ids, progress.lastEventId)) {
       choice.server.health.failed(this.#options.clock.nowMs());
       return over({ kind: "unknown", reason: "events_out_of_order" });
     }
@@ -154,7 +154,7 @@
     facts: AnswerFacts,
     { chunks }: Extract<PartialBody, { kind: "whole" }>,
   ): AnswerPart {
-    const problem = problemOf(facts);
+    const problem = rejectionReason(facts);
     if (problem || facts.status >= 500) {
       choice.server.health.failed(this.#options.clock.nowMs());
     }
@@ -165,10 +165,10 @@
 
   #endOfFailure(send: Send, { kind, message }: ChannelFailure): SendEnd {
     const nowMs = this.#options.clock.nowMs();
-    if (kind === "broken") return endBroken(send, message, nowMs);
+    if (kind === "broken") return brokenEnd(send, message, nowMs);
     const { health, id } = send.choice.server;
     // A server that refuses connections looks idle and would attract the next requests of every
-    // router. Other failures may come from this router's own links or from too many connections.
+    // entry. Other failures may come from this entry's own links or from too many connections.
     const isRefused = message === REFUSED_CODE;
     if (isRefused && !health.isDown) this.#options.onSilent(id);
     if (isRefused) health.refusedConnection(nowMs);
@@ -180,7 +180,7 @@
     const { server } = choice;
     const nowMs = this.#options.clock.nowMs();
     if (facts.serverId !== undefined && facts.serverId !== server.id) {
-      this.#options.fleet.giveUp(server);
+      this.#options.fleet.dropReplaced(server);
       this.#options.onGone(server.entry);
       return { kind: "not_run", reason: "wrong_server" };
     }
@@ -190,7 +190,7 @@
       // server from being ordered to load it.
       if (facts.weightsVersion === undefined) {
         server.refused(nowMs + REFUSED_HOLD_MS);
-      } else server.learnWeights(prompt.model, facts.weightsVersion);
+      } else server.recordWeights(prompt.model, facts.weightsVersion);
       return { kind: "not_run", reason: "other_weights" };
     }
     server.refused(nowMs + REFUSED_HOLD_MS);
@@ -204,10 +204,10 @@
     nowMs: number,
   ): void {
     const { leaving, notRun, status, retryAfterMs } = facts;
-    if (leaving) this.#options.fleet.leaves(server, nowMs);
+    if (leaving) this.#options.fleet.markLeaving(server, nowMs);
     const isRejected = notRun || status === 503;
     if (isRejected && retryAfterMs) {
-      server.announced.pause(nowMs, retryAfterMs);
+      server.announcements.pause(nowMs, retryAfterMs);
     }
   }
 
@@ -216,11 +216,11 @@
     const { server } = choice;
     const baseMs = choice.expectedMs / server.health.slowness(nowMs);
     server.health.answered(nowMs, (nowMs - sentAtMs) / Math.max(1, baseMs));
-    server.order.began(send, nowMs);
+    server.order.recordStart(send, nowMs);
     ticket.started();
     const { prompt } = request.facts;
     if (prompt && facts.weightsVersion !== undefined) {
-      server.learnWeights(prompt.model, facts.weightsVersion);
+      server.recordWeights(prompt.model, facts.weightsVersion);
     }
   }
 }
@@ -228,7 +228,7 @@
 function endOfStream(
   { splitter }: Extract<PartialBody, { kind: "stream" }>,
 ): AnswerPart {
-  return splitter.rest.length > 0
+  return splitter.remainder.length > 0
     ? over({ kind: "unknown", reason: "cut_event", isBroken: true })
     : { kind: "stream_end" };
 }
--- a/src/router/recovered_server_test.ts
+++ b/src/router/recovered_server_test.ts
@@ -97,7 +97,7 @@
     // Servers are twice as fast as expected, so that the other servers' slowness favors them.
     const ratio = (isSlow ? SLOW_FACTOR : 0.5) * (0.8 + 0.4 * random());
     const tookMs = ratio * expectedMs / server.health.slowness(nowMs);
-    const ticket = server.begin(uncachedTokens, false);
+    const ticket = server.startRequest(uncachedTokens, false);
     agenda.after(tookMs, () => {
       ticket.started();
       server.health.answered(clock.nowMs(), ratio);
--- a/src/router/refused_in_a_pause_test.ts
+++ b/src/router/refusals_during_pause_test.ts
@@ -1,7 +1,7 @@
 /** Streams whose engine pauses while the other engines refuse requests. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { assertAllWhole, refuseFor, runsOf } from "./_patient_world.ts";
+import { assertAllComplete, refuseFor, runsOf } from "./_long_timeout_kit.ts";
 import {
   assertSurvivesPause,
   EVERY_TIME,
@@ -54,7 +54,7 @@
     const [other] = others;
     await until(() => other!.refused > 0);
     refuseFor(other!, REFUSED_FOR_MS);
-    assertAllWhole(world, [await answer]);
+    assertAllComplete(world, [await answer]);
     assert.equal(runsOf(world), 2);
   });
 }
--- a/src/router/relay.ts
+++ b/src/router/relay.ts
@@ -45,7 +45,7 @@
   deletes: WireDelete[];
 }
 
-/** Options of a {@link RelayReader}. */
+/** Options of a {@link RelayClient}. */
 export interface RelayOptions {
   mirror: StoreMirror;
   clock: Clock;
@@ -53,7 +53,7 @@
   /** Port of the control address; it is the same on every entry. */
   controlPort: number;
   /** Delay of this entry's own watch for coalescing changes. */
-  gatherMs(): number;
+  coalesceMs(): number;
 }
 
 /**
@@ -63,11 +63,11 @@
  */
 export function relayAnswer(mirror: StoreMirror, after: bigint): string {
   const catchup = mirror.changesSince(after);
-  return JSON.stringify(encodeCatchup(catchup, mirror.knowledge.confirmed));
+  return JSON.stringify(encodeCatchup(catchup, mirror.syncState.confirmed));
 }
 
 /** Brings the local replica up to date from peers. */
-export class RelayReader {
+export class RelayClient {
   readonly #options: RelayOptions;
   #behindSinceMs: number | undefined;
   #isAsking = false;
@@ -80,8 +80,8 @@
    * @param options The local replica, and how to reach peers.
    * @returns A reader.
    */
-  static create(options: RelayOptions): RelayReader {
-    return new RelayReader(options);
+  static create(options: RelayOptions): RelayClient {
+    return new RelayClient(options);
   }
 
   /**
@@ -91,8 +91,11 @@
    * @param ipAddress Address of the peer.
    * @param syncState Sync state that the peer reported.
    */
-  async heard(ipAddress: string, syncState: SyncState): Promise<void> {
-    const { mirror, clock, gatherMs } = this.#options;
+  async onPeerSyncState(
+    ipAddress: string,
+    syncState: SyncState,
+  ): Promise<void> {
+    const { mirror, clock, coalesceMs } = this.#options;
     if (syncState.revision <= mirror.revision) {
       mirror.confirm(syncState);
       if (syncState.revision === mirror.revision) {
@@ -102,7 +105,7 @@
     }
     this.#behindSinceMs ??= clock.nowMs();
     const behindMs = clock.nowMs() - this.#behindSinceMs;
-    if (behindMs < LAG_TOLERANCE_MS + gatherMs()) return;
+    if (behindMs < LAG_TOLERANCE_MS + coalesceMs()) return;
     await this.ask(ipAddress);
   }
 
@@ -112,7 +115,7 @@
    * @param ipAddresses Addresses of the peers.
    * @param signal Stops the requests.
    */
-  async askUntilKnown(
+  async pollUntilSynced(
     ipAddresses: string[],
     signal: AbortSignal,
   ): Promise<void> {
--- a/src/router/replaced_weights.ts
+++ b/src/router/replaced_weights.ts
@@ -30,7 +30,7 @@
   leftMs?: number;
   maySend: boolean;
   /** Penalty in equivalent waiting time. */
-  priceMs: number;
+  penaltyMs: number;
 }
 
 /**
@@ -39,7 +39,7 @@
  *   time.
  * @returns Whether the request may be sent to the engine, and the penalty.
  */
-export function weighReplaced(
+export function assessWeights(
   { replacedForMs, weightsLimits }: ReplacedWeights,
   { version, expectedMs, outputMs }: {
     version: number;
@@ -48,7 +48,7 @@
   },
 ): WeightsAssessment {
   const ageMs = replacedForMs(version);
-  if (ageMs <= 0) return { maySend: true, priceMs: 0 };
+  if (ageMs <= 0) return { maySend: true, penaltyMs: 0 };
   const { beginUntilMs, retiredFromMs } = weightsLimits;
   const leftMs = beginUntilMs - ageMs;
   const startsInTime = expectedMs < retiredFromMs - ageMs;
@@ -58,7 +58,7 @@
     // The engine gets this time as its deadline, so that it starts nothing late even if no entry is
     // left to cancel the request.
     maySend: startsInTime && answerMs < leftMs,
-    priceMs: agePenaltyMs(ageMs, weightsLimits),
+    penaltyMs: agePenaltyMs(ageMs, weightsLimits),
   };
 }
 
--- a/src/router/replaced_weights_test.ts
+++ b/src/router/replaced_weights_test.ts
@@ -7,8 +7,8 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { ask, PROMPT, streamOf } from "../standin/mod.ts";
 import {
-  knows,
   openWorld,
+  stateContains,
   type TestEntry,
   until,
   type World,
@@ -27,7 +27,7 @@
 }
 
 function knowsNewVersion(entry: TestEntry): boolean {
-  return knows(entry, '"wanted":[{"model":"m","version":2');
+  return stateContains(entry, '"wanted":[{"model":"m","version":2');
 }
 
 test("restarted entry does not treat replaced weights as new", async (t) => {
@@ -38,7 +38,8 @@
   await second!.router.stop();
   const again = await world.restart(second!);
   await until(() =>
-    knowsNewVersion(again) && knows(again, "i-1") && knows(again, `"entries":2`)
+    knowsNewVersion(again) && stateContains(again, "i-1") &&
+    stateContains(again, `"entries":2`)
   );
   for (const entry of [first!, again]) {
     const asked = await ask(entry, "/stream/a", PROMPT);
@@ -53,7 +54,7 @@
   const engine = await replaceWeights(world);
   await world.router.stop();
   const again = await world.restart(world.entries[0]!);
-  await until(() => knowsNewVersion(again) && knows(again, "i-1"));
+  await until(() => knowsNewVersion(again) && stateContains(again, "i-1"));
   // An entry that had observed the publication would use the engine for much longer.
   again.clock.aheadMs = RETIRED_MS / 3;
   assert.equal((await ask(again, "/stream/a", PROMPT)).status, 503);
@@ -80,7 +81,7 @@
   const engine = await world.engine("i-1");
   engine.faults.refuseOrder = Infinity;
   world.link.down();
-  await until(() => knows(world, '"storeConnected":false'));
+  await until(() => stateContains(world, '"storeConnected":false'));
   await world.store.put("op/version/m", { model: "m", version: 2 });
   world.entries[0]!.clock.aheadMs = RETIRED_MS;
   world.link.up();
--- a/src/router/request.ts
+++ b/src/router/request.ts
@@ -1,5 +1,5 @@
 /** Types of a request in the router: its input, the sink of its answer, and its outcome. */
-import type { Chain } from "./cache_book.ts";
+import type { Chain } from "./expected_cache.ts";
 import type { RequestFacts, Route, Workspace } from "./model.ts";
 
 /** A request that has been read, routed and authenticated. */
@@ -12,7 +12,7 @@
   rawHeaders: string[];
   body: Buffer | undefined;
   arrivedAtMs: number;
-  /** Deadline of the answer, by the router's clock. */
+  /** Deadline of the answer, by the entry's clock. */
   answerByMs: number;
 }
 
@@ -29,7 +29,7 @@
   /** Completes an answer that was started with {@link AnswerSink.begin}. */
   end(): void;
   /** Aborts an answer that was started, so that the client can't take it for a complete one. */
-  breakOff(): void;
+  abortAnswer(): void;
   /** Sends a complete answer. */
   send(status: number, headers: string[], body: Buffer): void;
 }
@@ -49,7 +49,7 @@
 export type ResendRefusal = typeof ResendRefusal[keyof typeof ResendRefusal];
 
 /** Why a request was not sent to a server of its service. */
-export const PassedOver = {
+export const SkipReason = {
   /** The request is running at the server, or may have run there. */
   ran: "ran",
   down: "down",
@@ -62,11 +62,11 @@
   free: "free",
 } as const;
 
-/** One of {@link PassedOver}. */
-export type PassedOver = typeof PassedOver[keyof typeof PassedOver];
+/** One of {@link SkipReason}. */
+export type SkipReason = typeof SkipReason[keyof typeof SkipReason];
 
 /** State of a request at the time when it was given up after at least one send. */
-export interface GivenUp {
+export interface GiveUpDetails {
   /** Why the request was not sent again. */
   refusal: ResendRefusal;
   /** Time until the request's deadline. */
@@ -74,7 +74,7 @@
   /** Resends that this entry's budget still allowed for the service. */
   resendsLeft: number;
   /** Number of servers of the service, by the reason why they were not used. */
-  passedOver: Partial<Record<PassedOver, number>>;
+  passedOver: Partial<Record<SkipReason, number>>;
 }
 
 /** How a request ended, for logs and metrics. */
@@ -86,14 +86,14 @@
   | { kind: "client_gone" };
 
 /** Result of serving a request, for logs and metrics. */
-export interface Served {
+export interface ServeResult {
   outcome: Outcome;
   /** Ids of the servers to which the request was sent, in order. */
   servers: string[];
   /** Why each send that brought no complete answer ended. */
   ends: string[];
   /** Set if the request was given up after at least one send. */
-  givenUp?: GivenUp;
+  givenUp?: GiveUpDetails;
   /** Time to the first byte of the answer; absent if there was no answer. */
   ttftMs?: number;
   /** Expected time to the first byte when the last server was chosen. */
--- a/src/router/answering.ts
+++ b/src/router/request_forwarder.ts
@@ -4,32 +4,28 @@
  * continues. A run is closed only
  * - when another run of the request has responded or continues the stream,
  * - when its engine has stopped it in order to move it,
- * - before it starts on weights that were replaced too long ago to begin a response,
+ * - before it starts on weights that were replaced too long ago to start a response,
  * - when the client has disconnected or the deadline has passed.
  * A started stream without an open run, if it may be sent again, waits for a server and for the resend
  * budget while its client stays connected.
  */
 import type { Logger } from "../base/mod.ts";
 import { AnswerWriter } from "./answer_writer.ts";
-import { CloseReason, endClosed, type Send, type SendEnd } from "./attempt.ts";
+import { closedEnd, CloseReason, type Send, type SendEnd } from "./attempt.ts";
 import type { Choice } from "./choose.ts";
-import type { NextServer } from "./next_server.ts";
+import type { ServerSelector } from "./server_selector.ts";
+import { type ForwardTask, OpenRuns, type OpenRunsParts } from "./open_runs.ts";
 import {
-  type AnsweringTask,
-  OpenRuns,
-  type OpenRunsParts,
-} from "./open_runs.ts";
-import {
-  beginUntilMs,
   isSilent,
-  movedAtMs,
-  nextLookAtMs,
+  movedCloseDeadlineMs,
+  nextCheckAtMs,
+  startDeadlineMs,
   suspectAtMs,
-} from "./patience.ts";
+} from "./run_timeouts.ts";
 import type { AnswerPart } from "./read_answer.ts";
 import { ResendRefusal, type RoutedRequest } from "./request.ts";
-import { mayPass } from "./resends.ts";
-import { Wake } from "./wake.ts";
+import { isTemporary } from "./resends.ts";
+import { WakeSignal } from "./wake_signal.ts";
 import type { WantedVersions } from "./wanted_weights.ts";
 
 /** Longest wait before the open runs and the available servers are checked again. */
@@ -51,28 +47,28 @@
 export const QUARANTINED = "quarantined";
 
 /** Result of serving a request. */
-export type AnswerEnd =
+export type ForwardEnd =
   | { kind: "answered"; status: number }
   | { kind: "client_gone" }
   /** The client has received no complete response and no server will deliver one. */
   | { kind: "given_up"; reason: string; refusal: ResendRefusal };
 
-/** Dependencies of an {@link Answering}. */
-export interface AnsweringParts extends OpenRunsParts {
+/** Dependencies of a {@link RequestForwarder}. */
+export interface ForwarderParts extends OpenRunsParts {
   log: Logger;
   wanted: WantedVersions;
-  servers: NextServer;
+  servers: ServerSelector;
   /** Whether the first send of a request can still meet the deadline. */
   isWorthSending(request: RoutedRequest, choice: Choice): boolean;
-  /** Called when a server has become silent, to notify the other routers. */
+  /** Called when a server has become silent, to notify the other entries. */
   onSilent(serverId: string): void;
 }
 
 /** Serves one request, with retries and additional sends beside silent runs. */
-export class Answering {
-  readonly #parts: AnsweringParts;
-  readonly #task: AnsweringTask;
-  readonly #wake = Wake.create();
+export class RequestForwarder {
+  readonly #parts: ForwarderParts;
+  readonly #task: ForwardTask;
+  readonly #wake = WakeSignal.create();
   readonly #runs: OpenRuns;
   readonly #writer: AnswerWriter;
   /** Earliest time of the next send. */
@@ -82,7 +78,7 @@
   /** Reason to report if the request is given up. */
   #reason = NO_SERVER;
 
-  private constructor(parts: AnsweringParts, task: AnsweringTask) {
+  private constructor(parts: ForwarderParts, task: ForwardTask) {
     this.#parts = parts;
     this.#task = task;
     this.#runs = OpenRuns.create(parts, task, { wake: this.#wake });
@@ -94,12 +90,12 @@
    * @param task The request and the sink for its response.
    * @returns An instance that has sent nothing yet.
    */
-  static create(parts: AnsweringParts, task: AnsweringTask): Answering {
-    return new Answering(parts, task);
+  static create(parts: ForwarderParts, task: ForwardTask): RequestForwarder {
+    return new RequestForwarder(parts, task);
   }
 
   /** @returns The result. If it is `given_up`, the caller must still respond to the client. */
-  async run(): Promise<AnswerEnd> {
+  async run(): Promise<ForwardEnd> {
     const { sink } = this.#task;
     sink.onGone(() => {
       this.#runs.abort();
@@ -118,7 +114,7 @@
   }
 
   /** Handles the next part of a response; if there is none, performs due actions and waits. */
-  async #step(): Promise<AnswerEnd | undefined> {
+  async #step(): Promise<ForwardEnd | undefined> {
     const read = this.#runs.read();
     if (read) return await this.#onPart(read.send, read.part);
     if (this.#nowMs >= this.#task.request.answerByMs) return this.#timeOut();
@@ -138,7 +134,7 @@
     return this.#parts.clock.nowMs();
   }
 
-  async #onPart(send: Send, part: AnswerPart): Promise<AnswerEnd | undefined> {
+  async #onPart(send: Send, part: AnswerPart): Promise<ForwardEnd | undefined> {
     switch (part.kind) {
       case "began":
         // The other runs stay open until this one delivers events.
@@ -146,7 +142,7 @@
       case "events":
         this.#continueWith(send);
         await this.#writer.writeEvents(send, part);
-        send.quietSinceMs = this.#nowMs;
+        send.idleSinceMs = this.#nowMs;
         return undefined;
       case "stream_end":
         this.#continueWith(send);
@@ -164,17 +160,17 @@
   #recordOutputTime({ choice, headAtMs }: Send): void {
     const tookMs = this.#nowMs - headAtMs!;
     const { prompt } = this.#task.request.facts;
-    choice.server.learnOutput(tookMs, prompt?.outputTokens ?? 0);
+    choice.server.recordOutput(tookMs, prompt?.outputTokens ?? 0);
   }
 
-  #handleWhole(send: Send, body: Buffer): AnswerEnd | undefined {
+  #handleWhole(send: Send, body: Buffer): ForwardEnd | undefined {
     const { request, progress } = this.#task;
     const { status } = send.answer!.facts;
     const isReplaced = status >= 500 && (this.#runs.count > 1 ||
-      this.#parts.resends.mayReplace(request, progress));
+      this.#parts.resends.mayResendElsewhere(request, progress));
     if (isReplaced) this.#writer.keepFailure(send, body);
     // A started stream can be continued only by another stream.
-    if (isReplaced || progress.begun) {
+    if (isReplaced || progress.streamStarted) {
       this.#endRun(send, { kind: "unknown", reason: `status_${status}` });
       return undefined;
     }
@@ -183,7 +179,7 @@
     return this.#finish(send);
   }
 
-  #finish(send: Send): AnswerEnd {
+  #finish(send: Send): ForwardEnd {
     this.#runs.answered(send);
     return { kind: "answered", status: send.answer!.facts.status };
   }
@@ -191,7 +187,7 @@
   #continueWith(send: Send): void {
     this.#refusedCount = 0;
     this.#nextSendAtMs = -Infinity;
-    this.#runs.goOnWith(send);
+    this.#runs.keepOnly(send);
   }
 
   #isMoveDue(send: Send): boolean {
@@ -203,13 +199,13 @@
     const nowMs = this.#nowMs;
     const { move } = send;
     if (move?.kind === "copied") {
-      if (nowMs < movedAtMs(send)) return;
+      if (nowMs < movedCloseDeadlineMs(send)) return;
       return this.#endRun(send, { kind: "moved", choice: move.choice });
     }
     if (send.answer) return;
-    if (nowMs >= beginUntilMs(send, { wanted: this.#parts.wanted, nowMs })) {
+    if (nowMs >= startDeadlineMs(send, { wanted: this.#parts.wanted, nowMs })) {
       // Closing the connection cancels the request before the engine starts it.
-      return this.#endRun(send, endClosed(send, CloseReason.weightsRetired));
+      return this.#endRun(send, closedEnd(send, CloseReason.weightsRetired));
     }
     if (!send.isSuspected && nowMs >= suspectAtMs(send)) this.#suspect(send);
   }
@@ -217,7 +213,7 @@
   #suspect(send: Send): void {
     send.isSuspected = true;
     const { choice: { server, expectedMs }, sentAtMs } = send;
-    if (server.heardAtMs >= sentAtMs) return;
+    if (server.lastByteAtMs >= sentAtMs) return;
     server.health.unreachable(this.#nowMs);
     this.#parts.onSilent(server.id);
     this.#parts.log.warn({
@@ -229,14 +225,14 @@
   }
 
   /** Sends the request if it has no open run, or if all of them are silent. */
-  #sendIfDue(): AnswerEnd | undefined {
+  #sendIfDue(): ForwardEnd | undefined {
     const nowMs = this.#nowMs;
     if (nowMs < this.#nextSendAtMs) return undefined;
     if (this.#runs.all.some((send) => !isSilent(send, nowMs))) return undefined;
     const refusal = this.#sendNext();
     if (!refusal) return undefined;
     // A client that has received nothing yet is better off with an error that it can retry.
-    const mayWait = this.#task.progress.begun && mayPass(refusal);
+    const mayWait = this.#task.progress.streamStarted && isTemporary(refusal);
     if (this.#runs.count === 0 && !mayWait) {
       return { kind: "given_up", reason: this.#reason, refusal };
     }
@@ -259,9 +255,9 @@
       this.#reason = TOO_LATE;
       return ResendRefusal.noTime;
     }
-    const payment = resends.pay(request, progress, open);
+    const payment = resends.chargeSend(request, progress, open);
     if (payment.kind === "refused") return ResendRefusal.noBudget;
-    if (open.count > 0) progress.sendsBeside++;
+    if (open.count > 0) progress.hedgedSends++;
     this.#runs.open(choice, payment);
     return undefined;
   }
@@ -274,7 +270,7 @@
   #choose(): Choice | undefined {
     const { servers } = this.#parts;
     const { request, progress } = this.#task;
-    return progress.begun || this.#runs.count > 0
+    return progress.streamStarted || this.#runs.count > 0
       ? servers.ready(request, progress, this.#runs.servers)
       : servers.any(request, progress);
   }
@@ -299,12 +295,12 @@
 
   /** Handles a send that ended without a complete response. */
   #endRun(send: Send, end: SendEnd): void {
-    this.#runs.over(send, end);
+    this.#runs.finishRun(send, end);
     switch (end.kind) {
       case "moved":
         return this.#runs.open(
           end.choice,
-          this.#parts.resends.payReserved(this.#task.progress),
+          this.#parts.resends.chargeReservedSend(this.#task.progress),
         );
       case "not_run":
         this.#reason = end.reason;
@@ -320,14 +316,14 @@
   /** Delays the next send if the stream has started or another run is open. */
   #backOff(): void {
     const isOpen = this.#runs.count > 0;
-    if (!this.#task.progress.begun && !isOpen) return;
+    if (!this.#task.progress.streamStarted && !isOpen) return;
     const minMs = isOpen ? RETRY_OPEN_MIN_MS : RETRY_MIN_MS;
     const pauseMs = Math.min(RETRY_MAX_MS, minMs * 2 ** this.#refusedCount);
     this.#refusedCount++;
     this.#nextSendAtMs = this.#nowMs + pauseMs;
   }
 
-  #timeOut(): AnswerEnd {
+  #timeOut(): ForwardEnd {
     if (this.#runs.count > 0) this.#reason = CloseReason.deadline;
     const reason = this.#reason;
     return { kind: "given_up", reason, refusal: ResendRefusal.noTime };
@@ -338,7 +334,7 @@
     const nowMs = this.#nowMs;
     const times = [this.#task.request.answerByMs, this.#nextSendAtMs];
     for (const send of this.#runs.all) {
-      times.push(nextLookAtMs(send, { wanted, nowMs }));
+      times.push(nextCheckAtMs(send, { wanted, nowMs }));
     }
     return times.reduce(
       (first, atMs) => atMs > nowMs ? Math.min(first, atMs) : first,
--- a/src/router/request_log.ts
+++ b/src/router/request_log.ts
@@ -2,11 +2,11 @@
 import type { Clock, Logger, Metrics } from "../base/mod.ts";
 import { digestOf } from "./request_digest.ts";
 import type {
-  GivenUp,
+  GiveUpDetails,
   LocalAnswer,
   Outcome,
   RoutedRequest,
-  Served,
+  ServeResult,
 } from "./request.ts";
 import type { RequestFacts } from "./model.ts";
 
@@ -49,7 +49,7 @@
    * @param request A request that has ended.
    * @param result How it ended.
    */
-  served(request: RoutedRequest, result: Served): void {
+  logServed(request: RoutedRequest, result: ServeResult): void {
     const { outcome } = result;
     const { route, service } = request;
     this.#metrics.counter("requests_total", {
@@ -89,13 +89,13 @@
   }
 
   /**
-   * Records a request that the router answered itself.
+   * Records a request that the entry answered itself.
    *
    * @param facts The request.
    * @param answer Why no backend server was used.
    * @param version Version of the configuration in force.
    */
-  local(facts: RequestFacts, answer: LocalAnswer, version?: number): void {
+  logLocal(facts: RequestFacts, answer: LocalAnswer, version?: number): void {
     this.#metrics.counter("local_answers_total", {
       help: "Requests that were answered without a backend server, by reason",
       labels: { reason: answer },
@@ -151,7 +151,7 @@
 }
 
 function describeGivenUp(
-  givenUp: GivenUp | undefined,
+  givenUp: GiveUpDetails | undefined,
 ): Record<string, unknown> {
   if (!givenUp) return {};
   const { refusal, leftMs, resendsLeft, passedOver } = givenUp;
--- a/src/router/resends.ts
+++ b/src/router/resends.ts
@@ -26,7 +26,7 @@
   /** Number of entries that may be alive, including this one; they share the resend budget. */
   entryCount(): number;
   /** Whether an available server exists to which the request was not sent yet. */
-  hasOther(request: RoutedRequest, progress: Progress): boolean;
+  hasUntriedServer(request: RoutedRequest, progress: Progress): boolean;
 }
 
 /** Open runs of a request: runs that may still answer it. */
@@ -99,10 +99,10 @@
    * @param progress Its state.
    * @returns Whether the request may be sent to another server instead of relaying the failure.
    */
-  mayReplace(request: RoutedRequest, progress: Progress): boolean {
+  mayResendElsewhere(request: RoutedRequest, progress: Progress): boolean {
     const open = { count: 1, isAnyUp: true };
     return this.refusalOf(request, progress, open) === undefined &&
-      this.#options.hasOther(request, progress) &&
+      this.#options.hasUntriedServer(request, progress) &&
       this.#budget.canSpend(request.service);
   }
 
@@ -136,7 +136,7 @@
    * @param progress State of a request with reserved sends.
    * @returns How the send was charged.
    */
-  payReserved(progress: Progress): Payment {
+  chargeReservedSend(progress: Progress): Payment {
     progress.reservedSends--;
     return { kind: "paid", atMs: progress.reservedAtMs };
   }
@@ -149,7 +149,7 @@
    */
   refusalOf(
     { route, answerByMs }: RoutedRequest,
-    { runs, sends, sendsBeside, begun, ranAt }: Progress,
+    { runs, sends, hedgedSends, streamStarted, ranAt }: Progress,
     open: OpenState,
   ): ResendRefusal | undefined {
     if (sends === 0) return undefined;
@@ -168,8 +168,8 @@
     }
     const leftMs = answerByMs - this.#options.clock.nowMs();
     if (leftMs < RESEND_MIN_LEFT_MS) return ResendRefusal.noTime;
-    const isCut = begun && !open.isAnyUp;
-    const isUsed = sends - sendsBeside >= MAX_SENDS;
+    const isCut = streamStarted && !open.isAnyUp;
+    const isUsed = sends - hedgedSends >= MAX_SENDS;
     return isUsed && !isCut ? ResendRefusal.sendsUsed : undefined;
   }
 
@@ -182,14 +182,14 @@
    * @param open Its open runs.
    * @returns How the send was charged, or a refusal if the budget is used up.
    */
-  pay(
+  chargeSend(
     { service }: RoutedRequest,
     progress: Progress,
     open: OpenState,
   ): Payment | { kind: "refused" } {
-    if (progress.arrivals === 0) return { kind: "free" };
-    if (progress.reservedSends > 0) return this.payReserved(progress);
-    const isSpent = progress.begun && !open.isAnyUp
+    if (progress.possibleDeliveries === 0) return { kind: "free" };
+    if (progress.reservedSends > 0) return this.chargeReservedSend(progress);
+    const isSpent = progress.streamStarted && !open.isAnyUp
       ? this.#budget.spendForStartedStream(service)
       : this.#budget.spend(service);
     const atMs = this.#options.clock.nowMs();
@@ -201,7 +201,7 @@
  * @param refusal Why a request is not sent again.
  * @returns Whether the refusal is temporary, so that a later attempt may be allowed.
  */
-export function mayPass(refusal: ResendRefusal): boolean {
+export function isTemporary(refusal: ResendRefusal): boolean {
   switch (refusal) {
     case ResendRefusal.noBudget:
     case ResendRefusal.noServer:
--- a/src/router/response_sink.ts
+++ b/src/router/response_sink.ts
@@ -56,7 +56,7 @@
     this.#response.end();
   }
 
-  breakOff(): void {
+  abortAnswer(): void {
     this.#response.destroy();
   }
 
--- a/src/router/reborn_test.ts
+++ b/src/router/restarted_server_test.ts
@@ -7,8 +7,8 @@
   streamOf,
 } from "../standin/mod.ts";
 import {
-  knows,
   openWorld,
+  stateContains,
   type TestEntry,
   until,
   type World,
@@ -26,7 +26,7 @@
   await worker.restart(listenAddress);
   await world.store.put(`servers/${worker.id}`, worker.entry(service));
   for (const entry of world.entries) {
-    await until(() => knows(entry, `"bornAtMs":${worker.bornAtMs}`));
+    await until(() => stateContains(entry, `"bornAtMs":${worker.bornAtMs}`));
   }
 }
 
@@ -50,7 +50,7 @@
     const world = await openWorld(t, { entryCount: 2 });
     const [, peer] = world.entries;
     const worker = await world.engine("i-1");
-    await until(() => knows(peer!, "i-1"));
+    await until(() => stateContains(peer!, "i-1"));
     const { address } = worker;
     assert.equal((await ask(world, "/stream/a", PROMPT)).status, 200);
     for (const entry of world.entries) {
@@ -102,7 +102,7 @@
   await worker.restart();
   await world.store.put("op/version/m", { model: "m", version: 3 });
   await until(() => worker.version === 3);
-  assert.ok(knows(world, `"bornAtMs":${worker.bornAtMs}`));
+  assert.ok(stateContains(world, `"bornAtMs":${worker.bornAtMs}`));
   assert.deepEqual(await expectedCaches(world), []);
   // A registration of the earlier start is outdated and must be ignored.
   await world.store.put("servers/i-1", { ...former, state: "draining" });
--- a/src/router/roll_lease.ts
+++ b/src/router/roll_lease.ts
@@ -33,9 +33,9 @@
   random: () => number;
   /** Whether engines refuse an order with a lower fencing number than one they have seen. */
   enginesCheckFences: boolean;
-  /** Whether the lease is held according to the local copy of the store. */
+  /** Whether the lease is held according to the local replica of the store. */
   isLeaseHeld(): boolean;
-  /** The value of {@link LAST_ROLL_KEY} in the local copy of the store. */
+  /** The value of {@link LAST_ROLL_KEY} in the local replica of the store. */
   lastHolder(): KeyValueEntry | undefined;
 }
 
