--- a/src/admin/_fuzz_world.ts
+++ b/src/admin/_fuzz_world.ts
@@ -115,7 +115,7 @@
       loseNextRequest: false,
       lateNextEffectMs: 0,
     });
-    this.fleet.cutOff.clear();
+    this.fleet.isolated.clear();
     for (const { store } of this.fleet.nodes.values()) store.open = true;
     await Promise.all(this.#pending);
     const untilMs = performance.now() + QUIET_MS;
--- a/src/admin/fuzz_test.ts
+++ b/src/admin/fuzz_test.ts
@@ -159,9 +159,9 @@
   }),
   step("cutPeer", CUT, (world, { at, ms }) => {
     const { fleet } = world;
-    fleet.cutOff.add(at);
+    fleet.isolated.add(at);
     world.beside(
-      systemClock.sleep(ms).then(() => void fleet.cutOff.delete(at)),
+      systemClock.sleep(ms).then(() => void fleet.isolated.delete(at)),
     );
   }),
   step("cutStore", CUT, (world, { at, ms }) => {
@@ -175,10 +175,10 @@
   }),
   step("restart", NODE, (world, address) => world.restart(address)),
   step("push", NODE, async (world, address) => {
-    await world.node(address).sync.pushTo(AGENT, [...TEAMS]);
+    await world.node(address).sync.pushToAgent(AGENT, [...TEAMS]);
   }),
   step("fetch", NODE, async (world, address) => {
-    await world.node(address).sync.fetchFrom(AGENT);
+    await world.node(address).sync.fetchFromAgent(AGENT);
   }),
   step("compact", NONE, ({ store }) => {
     store.table.compact(store.table.revision);
--- a/src/admin/queries.ts
+++ b/src/admin/queries.ts
@@ -2,8 +2,8 @@
 import { Result } from "true-myth";
 import type { Clock } from "../base/mod.ts";
 import {
-  type BranchInForce,
   type BranchProblem,
+  type BranchRecord,
   type BranchSet,
   type ConfigSync,
   decodeStored,
@@ -207,7 +207,7 @@
 
   #showHeld(team: string): Result<TeamView, AdminFailure> {
     const { branches, sync } = this.#options;
-    const held = branches.held(team);
+    const held = branches.getRecord(team);
     if (!held || held.json.length === 0) {
       return missing(team, held !== undefined || sync.knowsAllTeams);
     }
@@ -241,7 +241,7 @@
       inForce: this.#hasHere(team, version) ? "yes" : "no",
     };
     const peers = sync.peerAddresses.map((peer) => ({
-      processId: sync.book.get(peer)?.processId ?? "",
+      processId: sync.peerTable.get(peer)?.processId ?? "",
       address: peer,
       inForce: this.#peerHas(peer, team, version),
     }));
@@ -250,8 +250,8 @@
 
   #hasHere(team: string, version: bigint): boolean {
     const { branches } = this.#options;
-    if (branches.held(team)?.unread) return false;
-    return branches.knownTo(team) >= version;
+    if (branches.getRecord(team)?.readError) return false;
+    return branches.latestKnownRevision(team) >= version;
   }
 
   #peerHas(
@@ -259,18 +259,18 @@
     team: string,
     version: bigint,
   ): ProcessInForce["inForce"] {
-    const { book } = this.#options.sync;
-    const record = book.get(address);
+    const { peerTable } = this.#options.sync;
+    const record = peerTable.get(address);
     if (!record) return "unknown";
-    if (!book.has(record, team, version)) return "no";
+    if (!peerTable.hasVersion(record, team, version)) return "no";
     // It holds the version, but some branch that it holds it can't read.
     return record.unreadCount > 0 ? "unknown" : "yes";
   }
 }
 
-function summaryOf(held: BranchInForce): TeamSummary {
-  const { team, revision, json, unread } = held;
-  const inForceHere = unread === undefined;
+function summaryOf(held: BranchRecord): TeamSummary {
+  const { team, revision, json, readError } = held;
+  const inForceHere = readError === undefined;
   const stored = decodeStored(json);
   if (stored.isOk) {
     return { team, ...versionOf(revision, stored.value), inForceHere };
--- a/src/admin/server_test.ts
+++ b/src/admin/server_test.ts
@@ -336,14 +336,14 @@
   withRig(3, async ({ nodes: [one, two, three], fleet }) => {
     assert(one && two && three);
     three.store.open = false;
-    fleet.cutOff.add(three.address);
+    fleet.isolated.add(three.address);
     const { version } = value(await one.client.create("a", BRANCH));
     const partly = value(await one.client.inForce("a", 0, version));
     assert.equal(partly.inForceEverywhere, false);
     const last = partly.processes.at(-1);
     assert.equal(last?.address, three.address);
     assert.notEqual(last?.inForce, "yes");
-    fleet.cutOff.delete(three.address);
+    fleet.isolated.delete(three.address);
     const all = value(await one.client.inForce("a", 60_000, version));
     assert(all.inForceEverywhere);
     assert.equal(three.branches.get("a")?.revision, BigInt(version));
--- a/src/admin/team_store.ts
+++ b/src/admin/team_store.ts
@@ -16,7 +16,7 @@
   MAX_STORED_BYTES,
   type StoredBranch,
   teamKey,
-  type WriteMark,
+  type WriteMetadata,
 } from "../config/mod.ts";
 import type {
   CommitOutcome,
@@ -36,7 +36,7 @@
   /** Number of the last write; 0: none. */
   number: number;
   /** Who wrote last, deletes included. */
-  lastWrite: WriteMark | undefined;
+  lastWrite: WriteMetadata | undefined;
   /** The envelope; undefined also where it can't be read. */
   stored: StoredBranch | undefined;
 }
@@ -62,7 +62,7 @@
 export interface AcceptedWrite {
   team: string;
   revision: bigint;
-  mark: WriteMark;
+  mark: WriteMetadata;
   /** The stored value; empty for a delete. */
   json: Uint8Array;
 }
@@ -243,7 +243,7 @@
 /** A commit that can be sent more than once. */
 interface Commit {
   before: TeamSnapshot;
-  mark: WriteMark;
+  mark: WriteMetadata;
   json: Uint8Array;
   writes: Write[];
 }
--- a/src/agent/_fake_engine.ts
+++ b/src/agent/_fake_engine.ts
@@ -2,18 +2,18 @@
 import { Result } from "true-myth";
 import type {
   CacheEvent,
-  CacheFeedStep,
+  CacheFeedItem,
   Engine,
   EngineCall,
   EngineFailure,
   EngineInfo,
   EngineLoad,
   EngineOrder,
-  EngineStep,
+  EngineResponsePart,
 } from "../backends/engine.ts";
-import { Wakeup } from "./wakeup.ts";
+import { ConditionVariable } from "./condition_variable.ts";
 
-type Snapshot = Extract<CacheFeedStep, { kind: "snapshot" }>;
+type Snapshot = Extract<CacheFeedItem, { kind: "snapshot" }>;
 
 /** A request that the engine received, with controls for its output. */
 export interface FakeRun {
@@ -21,7 +21,7 @@
   isCancelled: boolean;
   /** Number of pieces that the agent has read. */
   piecesRead: number;
-  say(text: string): void;
+  emitPiece(text: string): void;
   end(cachedTokens?: number): void;
   fail(failure: EngineFailure): void;
 }
@@ -41,9 +41,9 @@
   snapshots = 0;
   /** If set, orders wait until this promise resolves. */
   orderGate: Promise<void> | undefined;
-  readonly #runAdded = Wakeup.create();
-  readonly #eventAdded = Wakeup.create();
-  readonly #events: CacheFeedStep[] = [];
+  readonly #runAdded = ConditionVariable.create();
+  readonly #eventAdded = ConditionVariable.create();
+  readonly #events: CacheFeedItem[] = [];
 
   private constructor() {}
 
@@ -52,7 +52,7 @@
   }
 
   /** Waits for the request with this zero-based index. */
-  async nthRun(index: number): Promise<FakeRun> {
+  async waitForRun(index: number): Promise<FakeRun> {
     while (!this.runs[index]) await this.#runAdded.wait();
     return this.runs[index];
   }
@@ -87,10 +87,10 @@
   async *run(
     call: EngineCall,
     signal: AbortSignal,
-  ): AsyncGenerator<Result<EngineStep, EngineFailure>> {
-    const steps: Result<EngineStep, EngineFailure>[] = [];
-    const stepAdded = Wakeup.create();
-    const push = (step: Result<EngineStep, EngineFailure>) => {
+  ): AsyncGenerator<Result<EngineResponsePart, EngineFailure>> {
+    const steps: Result<EngineResponsePart, EngineFailure>[] = [];
+    const stepAdded = ConditionVariable.create();
+    const push = (step: Result<EngineResponsePart, EngineFailure>) => {
       steps.push(step);
       stepAdded.notify();
     };
@@ -98,7 +98,7 @@
       call,
       isCancelled: false,
       piecesRead: 0,
-      say: (text) =>
+      emitPiece: (text) =>
         push(Result.ok({ kind: "piece", data: Buffer.from(text) })),
       end: (cachedTokens = 0) =>
         push(Result.ok({
@@ -144,7 +144,7 @@
   async *cacheEvents(
     _sinceSeq: number,
     signal: AbortSignal,
-  ): AsyncGenerator<Result<CacheFeedStep, EngineFailure>> {
+  ): AsyncGenerator<Result<CacheFeedItem, EngineFailure>> {
     signal.addEventListener("abort", () => this.#eventAdded.notify());
     while (!signal.aborted) {
       const step = this.#events.shift();
--- a/src/agent/_fake_service.ts
+++ b/src/agent/_fake_service.ts
@@ -4,11 +4,11 @@
   PlainService,
   ServiceCall,
   ServiceFailure,
-  ServiceStep,
+  ServiceResponsePart,
 } from "../backends/service.ts";
-import { Wakeup } from "./wakeup.ts";
+import { ConditionVariable } from "./condition_variable.ts";
 
-type Step = Result<ServiceStep, ServiceFailure>;
+type Step = Result<ServiceResponsePart, ServiceFailure>;
 
 /** A {@link PlainService} that records calls and can delay or fail its answers. */
 export class FakeService implements PlainService {
@@ -17,8 +17,8 @@
   failure: ServiceFailure | undefined;
   /** Text appended to every answer. */
   padding = "";
-  readonly arrived = Wakeup.create();
-  readonly #released = Wakeup.create();
+  readonly callArrived = ConditionVariable.create();
+  readonly #released = ConditionVariable.create();
   #isPaused = false;
 
   private constructor() {}
@@ -42,7 +42,7 @@
       return yield Result.err(this.failure);
     }
     this.calls.push(call);
-    this.arrived.notify();
+    this.callArrived.notify();
     if (this.failure) return yield Result.err(this.failure);
     while (this.#isPaused) await this.#released.wait();
     yield Result.ok({ kind: "head", status: 201, headers: [] });
--- a/src/agent/_test_kit.ts
+++ b/src/agent/_test_kit.ts
@@ -11,7 +11,7 @@
   type StartRun,
 } from "../wire/gen/cicadahitch.ts";
 import { Agent } from "./agent.ts";
-import type { AgentParts } from "./agent_parts.ts";
+import type { AgentDependencies } from "./agent_dependencies.ts";
 import type { AgentOptions } from "./options.ts";
 
 const closeCallbacks: (() => Promise<void>)[] = [];
@@ -37,12 +37,12 @@
 
 /** Starts an agent with a client; both are closed after the test at the latest. */
 export async function openAgent(
-  parts: Omit<AgentParts, "owned">,
+  dependencies: Omit<AgentDependencies, "owned">,
   changes: Partial<AgentOptions> = {},
 ) {
   const agent = await Agent.create(testOptions(changes), {
     owned: [],
-    ...parts,
+    ...dependencies,
   });
   const client = new AgentClient(
     agent.address,
@@ -149,7 +149,7 @@
    * Reads to the end and acknowledges all pieces. Returns a text for each step; that of a piece is
    * `#`, its number and its content.
    */
-  async rest(): Promise<string[]> {
+  async readAll(): Promise<string[]> {
     const received: string[] = [];
     for (;;) {
       const step = await this.next();
--- a/src/agent/admission.ts
+++ b/src/agent/admission.ts
@@ -16,7 +16,11 @@
 import { Holds } from "./holds.ts";
 import { Jitter } from "./jitter.ts";
 import { refuse } from "./refusals.ts";
-import { rankOf, type WaitingRequest, WaitQueue } from "./wait_queue.ts";
+import {
+  effectivePriority,
+  type WaitingRequest,
+  WaitQueue,
+} from "./wait_queue.ts";
 
 /** The work that a request needs from the engine, and its limits. */
 export interface Demand {
@@ -42,7 +46,7 @@
   /** Queued in the agent, sent to the engine, or no longer in either. */
   state: "waiting" | "placed" | "left";
   /** True if no other request was in prefill on the engine when this one was sent. */
-  hadEngineAlone: boolean;
+  prefilledAlone: boolean;
   /** Resolves to undefined when the request may be sent, or to the refusal if it never will be. */
   ready: Promise<Refusal | undefined>;
   settle: (refusal: Refusal | undefined) => void;
@@ -114,7 +118,7 @@
   }
 
   /** @param load The engine's load report, which lags behind its actual load. */
-  noteLoad(load: EngineLoad): void {
+  updateLoad(load: EngineLoad): void {
     this.#backlog.applyReport(load, this.#clock.nowMs());
     this.#dispatch();
   }
@@ -129,8 +133,8 @@
    * @param demand The work that the request needs.
    * @returns Its expected latency, or the refusal that it would get.
    */
-  quote(demand: Demand): Result<LatencyEstimate, Refusal> {
-    const estimate = this.#estimate(demand);
+  estimate(demand: Demand): Result<LatencyEstimate, Refusal> {
+    const estimate = this.#estimateLatency(demand);
     const nowMs = this.#clock.nowMs();
     const endMs = nowMs + estimate.expectedTtftMs +
       this.#costs.outputMs(demand.maxTokens);
@@ -154,9 +158,9 @@
    * @param isHeld True if the request used up a valid hold, so it skips the admission checks.
    * @returns The admitted request, or the refusal.
    */
-  enter(demand: Demand, isHeld: boolean): Result<Ticket, Refusal> {
+  enqueue(demand: Demand, isHeld: boolean): Result<Ticket, Refusal> {
     if (!isHeld) {
-      const estimate = this.quote(demand);
+      const estimate = this.estimate(demand);
       if (estimate.isErr) return Result.err(estimate.error);
     }
     const ticket = buildTicket(demand, this.#clock.nowMs());
@@ -173,7 +177,7 @@
   }
 
   /** @param ticket A request that has ended or was cancelled. */
-  leave(ticket: Ticket): void {
+  remove(ticket: Ticket): void {
     if (ticket.state === "left") return;
     if (ticket.state === "waiting") this.#queue.remove(ticket);
     else adjustCount(this.#placedByTeam, ticket.team, -1);
@@ -198,9 +202,9 @@
   }
 
   /** @param refusal The refusal that every queued request gets. */
-  refuseWaiting(refusal: Refusal): void {
+  refuseQueued(refusal: Refusal): void {
     for (const ticket of [...this.#queue]) {
-      this.leave(ticket);
+      this.remove(ticket);
       ticket.settle(refusal);
     }
   }
@@ -219,7 +223,7 @@
       }
       next.state = "placed";
       next.placedMs = nowMs;
-      next.hadEngineAlone = this.#backlog.prefillingCount === 0;
+      next.prefilledAlone = this.#backlog.prefillingCount === 0;
       this.#backlog.add(next);
       adjustCount(this.#placedByTeam, next.team, 1);
       next.settle(undefined);
@@ -235,13 +239,13 @@
     return prefillMs < MAX_PENDING_PREFILL_MS;
   }
 
-  #estimate(demand: Demand): LatencyEstimate {
+  #estimateLatency(demand: Demand): LatencyEstimate {
     const nowMs = this.#clock.nowMs();
-    const rank = rankOf(demand.priority);
+    const rank = effectivePriority(demand.priority);
     let waiting = 0;
     let tokens = this.#backlog.prefillTokens(nowMs);
     for (const each of this.#demandsAhead()) {
-      if (rankOf(each.priority) > rank) continue;
+      if (effectivePriority(each.priority) > rank) continue;
       waiting++;
       tokens += each.uncachedTokens;
     }
@@ -274,8 +278,8 @@
   }
 
   #reject(ticket: Ticket, code: RefusalCode): void {
-    this.leave(ticket);
-    ticket.settle(this.#refuse(code, this.#estimate(ticket.demand)));
+    this.remove(ticket);
+    ticket.settle(this.#refuse(code, this.#estimateLatency(ticket.demand)));
   }
 
   #refuse(code: RefusalCode, estimate: LatencyEstimate): Refusal {
@@ -302,14 +306,14 @@
     firstPieceMs: Infinity,
     leftMs: Infinity,
     state: "waiting",
-    hadEngineAlone: false,
+    prefilledAlone: false,
     ready,
     settle,
   };
 }
 
 function maxQueueMs(priority: Priority): number {
-  switch (rankOf(priority)) {
+  switch (effectivePriority(priority)) {
     case 1:
       return MAX_QUEUE_MS.urgent;
     case 2:
--- a/src/agent/admission_test.ts
+++ b/src/agent/admission_test.ts
@@ -34,7 +34,7 @@
 }
 
 function enter(admission: Admission, changes: Partial<Demand> = {}): Ticket {
-  const entered = admission.enter(createDemand(changes), true);
+  const entered = admission.enqueue(createDemand(changes), true);
   assert(entered.isOk);
   return entered.value;
 }
@@ -46,7 +46,7 @@
     const placed = [...tickets].find(([, { state }]) => state === "placed");
     if (!placed) return order;
     order.push(placed[0]);
-    admission.leave(placed[1]);
+    admission.remove(placed[1]);
   }
 }
 
@@ -77,7 +77,7 @@
   while (batch.state === "waiting" && turns < 100) {
     turns++;
     const next = enter(admission, { priority: Priority.URGENT });
-    admission.leave(running);
+    admission.remove(running);
     running = next;
   }
   assert.equal(batch.state, "placed");
@@ -87,18 +87,18 @@
 test("a request that can't meet its deadline is refused at once", () => {
   const { admission } = createAdmission();
   enter(admission, { uncachedTokens: 500 });
-  const refused = admission.quote(createDemand({ deadlineAtMs: 400 }));
+  const refused = admission.estimate(createDemand({ deadlineAtMs: 400 }));
   assert(refused.isErr);
   assert.equal(refused.error.code, RefusalCode.DEADLINE);
   assert(refused.error.retryAfterMs >= 500);
-  assert(admission.quote(createDemand({ deadlineAtMs: 2000 })).isOk);
+  assert(admission.estimate(createDemand({ deadlineAtMs: 2000 })).isOk);
 });
 
 test("refusals suggest different retry delays", () => {
   const { admission } = createAdmission();
   const times = new Set<number>();
   for (let i = 0; i < 10; i++) {
-    const refused = admission.quote(createDemand({ deadlineAtMs: 1 }));
+    const refused = admission.estimate(createDemand({ deadlineAtMs: 1 }));
     times.add(refused.isErr ? refused.error.retryAfterMs : 0);
   }
   assert(times.size > 5);
@@ -109,20 +109,20 @@
   const running = enter(admission);
   const late = enter(admission, { deadlineAtMs: 1000 });
   clock.now = 995;
-  admission.leave(running);
+  admission.remove(running);
   assert.equal((await late.ready)?.code, RefusalCode.EXPIRED);
   assert.equal(admission.runningCount, 0);
 });
 
 test("holds count as load until they expire", () => {
   const { admission, clock } = createAdmission();
-  const empty = admission.quote(createDemand());
+  const empty = admission.estimate(createDemand());
   admission.holds.open("r", 1000, {
     demand: createDemand({ uncachedTokens: 700 }),
   });
-  const held = admission.quote(createDemand());
+  const held = admission.estimate(createDemand());
   clock.now = 1001;
-  const lapsed = admission.quote(createDemand());
+  const lapsed = admission.estimate(createDemand());
   assert(empty.isOk && held.isOk && lapsed.isOk);
   assert(held.value.queueMs >= 700);
   assert.equal(lapsed.value.queueMs, empty.value.queueMs);
@@ -137,10 +137,10 @@
     waiting: 0,
     prefillTokensQueued: 300,
   };
-  admission.noteLoad({ ...report, ageMs: 500 });
+  admission.updateLoad({ ...report, ageMs: 500 });
   enter(admission, { uncachedTokens: 100 });
-  admission.noteLoad({ ...report, ageMs: 500 });
-  const quote = admission.quote(createDemand());
+  admission.updateLoad({ ...report, ageMs: 500 });
+  const quote = admission.estimate(createDemand());
   assert(quote.isOk);
   assert.equal(quote.value.queueMs, 400);
 });
@@ -149,10 +149,10 @@
   const { admission } = createAdmission(2);
   for (let i = 0; i < 4; i++) enter(admission, { team: "a" });
   enter(admission, { team: "b" });
-  const more = admission.quote(createDemand({ team: "a" }));
+  const more = admission.estimate(createDemand({ team: "a" }));
   assert(more.isErr);
   assert.equal(more.error.code, RefusalCode.TEAM_LIMIT);
-  assert(admission.quote(createDemand({ team: "b" })).isOk);
+  assert(admission.estimate(createDemand({ team: "b" })).isOk);
 });
 
 test("the team with fewer placed requests goes first", () => {
@@ -163,7 +163,7 @@
   admission.notePrefilled(a2);
   const a3 = enter(admission, { team: "a" });
   const b1 = enter(admission, { team: "b" });
-  admission.leave(a1);
+  admission.remove(a1);
   assert.equal(b1.state, "placed");
   assert.equal(a3.state, "waiting");
 });
--- a/src/agent/agent.ts
+++ b/src/agent/agent.ts
@@ -6,17 +6,20 @@
 import { FencingGate } from "../lease/mod.ts";
 import type { ModelsReport } from "../wire/gen/cicadahitch.ts";
 import { ChannelPool, GrpcListener, type ListenFailure } from "../wire/mod.ts";
-import { LEAN_AGENT_SERVICE } from "../wire/run_codec.ts";
-import { AgentCore, type ServerParts } from "./agent_core.ts";
+import { OPTIMIZED_AGENT_SERVICE } from "../wire/run_codec.ts";
+import { AgentCore, type ServerHandler } from "./agent_core.ts";
 import { buildAgentService } from "./agent_service.ts";
-import { type AgentParts, buildParts } from "./agent_parts.ts";
-import { BranchExchange } from "./branches.ts";
+import {
+  type AgentDependencies,
+  buildDependencies,
+} from "./agent_dependencies.ts";
+import { BranchExchange } from "./branch_exchange.ts";
 import { ModelServer } from "./model_server.ts";
 import type { AgentOptions } from "./options.ts";
-import { type OrderedEngine, OrderQueue } from "./orders.ts";
+import { type OrderedEngine, OrderQueue } from "./order_queue.ts";
 import { PlainServer } from "./plain_server.ts";
 import { GrpcRelay } from "./relay.ts";
-import { RunTable } from "./runs.ts";
+import { RunTable } from "./run_table.ts";
 import { buildStateDump } from "./state_dump.ts";
 
 /** Default number of models loaded at once: a new weights version is loaded beside the old one. */
@@ -49,21 +52,21 @@
   readonly #lifecycle = Lifecycle.create("agent");
   readonly #runs: RunTable;
   readonly #core: AgentCore;
-  readonly #server: ServerParts;
+  readonly #server: ServerHandler;
   readonly #fencingGate: FencingGate;
   readonly #listener: GrpcListener;
   readonly #channels: ChannelPool;
   #journal: ClaimsJournal | undefined;
   #stopped: Promise<void> | undefined;
 
-  private constructor(options: AgentOptions, parts: AgentParts) {
+  private constructor(options: AgentOptions, dependencies: AgentDependencies) {
     const { clock, log, listenAddress, security } = options;
     this.#options = options;
     this.#runs = RunTable.create({ clock });
-    this.#fencingGate = FencingGate.create(parts.readFencingNumber);
+    this.#fencingGate = FencingGate.create(dependencies.readFencingNumber);
     this.#listener = GrpcListener.create(listenAddress, security);
     this.#channels = ChannelPool.create({ security, clock });
-    this.#server = this.#buildServer(parts);
+    this.#server = this.#buildServer(dependencies);
     this.#core = AgentCore.create({
       agentIncarnation: this.agentIncarnation,
       branches: this.branches,
@@ -71,7 +74,7 @@
       clock,
       log,
     }, this.#server);
-    for (const owned of parts.owned) this.#lifecycle.own(owned);
+    for (const owned of dependencies.owned) this.#lifecycle.own(owned);
     this.#lifecycle.own(this.#channels);
     this.#lifecycle.own(this.#listener);
   }
@@ -80,15 +83,15 @@
    * Creates an agent and opens its listener.
    *
    * @param options Settings.
-   * @param parts Adapters of the backend server and the store, by default the real ones.
+   * @param dependencies Adapters of the backend server and the store, by default the real ones.
    * @returns An agent that accepts connections.
    */
   static async create(
     options: AgentOptions,
-    parts: AgentParts = buildParts(options),
+    dependencies: AgentDependencies = buildDependencies(options),
   ): Promise<Agent> {
-    const agent = new Agent(options, parts);
-    await agent.#start(parts);
+    const agent = new Agent(options, dependencies);
+    await agent.#start(dependencies);
     return agent;
   }
 
@@ -134,14 +137,17 @@
     });
   }
 
-  async #start(parts: AgentParts): Promise<void> {
-    this.#listener.addService(LEAN_AGENT_SERVICE, this.#buildService(parts));
+  async #start(dependencies: AgentDependencies): Promise<void> {
+    this.#listener.addService(
+      OPTIMIZED_AGENT_SERVICE,
+      this.#buildService(dependencies),
+    );
     const listening = await this.#listener.start();
     if (listening.isErr) {
       await this.#lifecycle.stop();
       throw new ListenError(listening.error);
     }
-    this.#openJournal(parts);
+    this.#openJournal(dependencies);
     this.#lifecycle.task("sweep", (signal) => this.#sweep(signal));
     if (this.#server.kind === "engine") {
       const { watch, follower } = this.#server.model;
@@ -152,12 +158,12 @@
     this.#options.log.info({ address: this.address }, "Agent listens");
   }
 
-  #buildServer(parts: AgentParts): ServerParts {
+  #buildServer(dependencies: AgentDependencies): ServerHandler {
     const { clock, log, instanceId } = this.#options;
-    switch (parts.server.kind) {
+    switch (dependencies.server.kind) {
       case "engine": {
         const model = ModelServer.create({
-          engine: parts.server.engine,
+          engine: dependencies.server.engine,
           clock,
           log,
           seed: instanceId,
@@ -167,7 +173,7 @@
       }
       case "service": {
         const plain = PlainServer.create({
-          service: parts.server.service,
+          service: dependencies.server.service,
           clock,
           journal: () => this.#journal,
           relay: GrpcRelay.create({ channels: this.#channels, clock }),
@@ -177,7 +183,7 @@
     }
   }
 
-  #buildService(parts: AgentParts) {
+  #buildService(dependencies: AgentDependencies) {
     const { clock, log, instanceId } = this.#options;
     const setDraining = (isDraining: boolean) =>
       this.#core.setDraining(isDraining);
@@ -192,7 +198,7 @@
       orders: OrderQueue.create({
         gate: this.#fencingGate,
         clock,
-        server: this.#orderedEngine(parts),
+        server: this.#orderedEngine(dependencies),
         setDraining,
         onOrderSent: () => this.#refreshEngineInfo(),
         signal: this.#lifecycle.signal,
@@ -204,11 +210,11 @@
     });
   }
 
-  #orderedEngine(parts: AgentParts): OrderedEngine | undefined {
-    if (parts.server.kind !== "engine") return undefined;
+  #orderedEngine(dependencies: AgentDependencies): OrderedEngine | undefined {
+    if (dependencies.server.kind !== "engine") return undefined;
     if (this.#server.kind !== "engine") return undefined;
     const { replicas } = this.#server.model;
-    return { engine: parts.server.engine, replicas };
+    return { engine: dependencies.server.engine, replicas };
   }
 
   #reportModels(): ModelsReport {
@@ -231,9 +237,9 @@
     await this.#server.model.watch.readInfo();
   }
 
-  #openJournal(parts: AgentParts): void {
+  #openJournal(dependencies: AgentDependencies): void {
     const { agentIncarnation, address } = this;
-    this.#journal = parts.openJournal?.({ agentIncarnation, address });
+    this.#journal = dependencies.openJournal?.({ agentIncarnation, address });
   }
 
   async #sweep(signal: AbortSignal): Promise<void> {
@@ -252,7 +258,7 @@
 
   async #drainAndClose(): Promise<void> {
     const { drainMs } = this.#options;
-    this.#core.leave();
+    this.#core.stopAccepting();
     await this.#waitWhileBusy(drainMs);
     for (const run of this.#runs.live) run.cancel("The agent stops");
     await this.#waitWhileBusy(END_DELIVERY_TIMEOUT_MS);
--- a/src/agent/agent_core.ts
+++ b/src/agent/agent_core.ts
@@ -26,14 +26,14 @@
   refuseReused,
   type ServiceSettings,
 } from "./plain_server.ts";
-import { gone, type OpenResult, refused } from "./opened.ts";
+import { gone, type OpenResult, refused } from "./open_result.ts";
 import { RefusalLog, refuse } from "./refusals.ts";
 import { Run } from "./run.ts";
 import type { OutputLimits } from "./run_output.ts";
-import { issueTimeOf, RunTable } from "./runs.ts";
+import { issueTimeOf, RunTable } from "./run_table.ts";
 
 /** The component that serves calls, by the kind of backend server. */
-export type ServerParts =
+export type ServerHandler =
   | { kind: "engine"; model: ModelServer }
   | { kind: "service"; plain: PlainServer };
 
@@ -65,12 +65,12 @@
 export class AgentCore {
   readonly refusals: RefusalLog;
   readonly #options: AgentCoreOptions;
-  readonly #server: ServerParts;
+  readonly #server: ServerHandler;
   readonly #attachments: Attachments;
   #isStopping = false;
   #isDraining = false;
 
-  private constructor(options: AgentCoreOptions, server: ServerParts) {
+  private constructor(options: AgentCoreOptions, server: ServerHandler) {
     this.#options = options;
     this.#server = server;
     this.#attachments = Attachments.create(options);
@@ -82,7 +82,7 @@
    * @param server The component that serves calls on the backend server.
    * @returns A core that accepts requests.
    */
-  static create(options: AgentCoreOptions, server: ServerParts): AgentCore {
+  static create(options: AgentCoreOptions, server: ServerHandler): AgentCore {
     return new AgentCore(options, server);
   }
 
@@ -96,7 +96,7 @@
   }
 
   /** Refuses all new requests from now on. */
-  leave(): void {
+  stopAccepting(): void {
     this.#isStopping = true;
   }
 
@@ -261,8 +261,8 @@
     const call = start.call.value;
     const run = this.#buildRun(start, ask, MODEL_LIMITS);
     const { holds } = model.admission;
-    const entered = model.enter(run, {
-      isHeld: holds.use(start.holdId, ask.runId) !== undefined,
+    const entered = model.admit(run, {
+      isHeld: holds.consume(start.holdId, ask.runId) !== undefined,
       teamMaxInFlight: this.#teamLimit(ask.team),
     });
     if (entered.isErr) return refused(entered.error);
--- a/src/agent/agent_core_fuzz_test.ts
+++ b/src/agent/agent_core_fuzz_test.ts
@@ -9,7 +9,7 @@
 import { FakeEngine } from "./_fake_engine.ts";
 import { testAsk, testStart } from "./_test_kit.ts";
 import { ModelServer } from "./model_server.ts";
-import { RunTable } from "./runs.ts";
+import { RunTable } from "./run_table.ts";
 
 const SEED = 20261202;
 const START_WALL_MS = 1_000_000_000;
--- a/src/agent/agent_parts.ts
+++ b/src/agent/agent_dependencies.ts
@@ -23,7 +23,7 @@
   | { kind: "service"; service: PlainService };
 
 /** External dependencies of an agent. */
-export interface AgentParts {
+export interface AgentDependencies {
   server: ServerAdapter;
   /** Opens the claims journal; without it, at-most-once calls are refused. */
   openJournal?: (self: ClaimantIdentity) => ClaimsJournal;
@@ -39,21 +39,22 @@
  * @param options Settings.
  * @returns Adapters, which connect on first use.
  */
-export function buildParts(options: AgentOptions): AgentParts {
+export function buildDependencies(options: AgentOptions): AgentDependencies {
   const { server, storeAddress } = options;
   const adapter = buildServer(server);
-  const parts: AgentParts = {
+  const dependencies: AgentDependencies = {
     server: adapter,
     owned: [ownedResource(adapter)],
   };
-  if (storeAddress === "") return parts;
+  if (storeAddress === "") return dependencies;
   const store = EtcdStore.create({ address: storeAddress });
-  parts.owned.push({ name: "store", close: () => store.close() });
-  parts.readFencingNumber = (leaseKey) => readHolderNumber(store, leaseKey);
+  dependencies.owned.push({ name: "store", close: () => store.close() });
+  dependencies.readFencingNumber = (leaseKey) =>
+    readHolderNumber(store, leaseKey);
   const { clock, log } = options;
-  parts.openJournal = (self) =>
+  dependencies.openJournal = (self) =>
     StoreClaimsJournal.create({ ...self, store, clock, log });
-  return parts;
+  return dependencies;
 }
 
 /**
--- a/src/agent/agent_parts_test.ts
+++ b/src/agent/agent_dependencies_test.ts
@@ -3,7 +3,7 @@
 import type { AddressInfo } from "node:net";
 import { test } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
-import { buildParts } from "./agent_parts.ts";
+import { buildDependencies } from "./agent_dependencies.ts";
 import { testOptions } from "./_test_kit.ts";
 
 /** Longer than the default silence timeout of the adapters. */
@@ -44,7 +44,7 @@
 }
 
 function partsOf(kind: "engine" | "service", url: string) {
-  return buildParts(testOptions({ server: { kind, url } }));
+  return buildDependencies(testOptions({ server: { kind, url } }));
 }
 
 // Guards against silence timeouts: the connection to a server that paused for 20 s was closed, and
--- a/src/agent/agent_service.ts
+++ b/src/agent/agent_service.ts
@@ -15,9 +15,9 @@
 } from "../wire/gen/cicadahitch.ts";
 import type { AgentCore } from "./agent_core.ts";
 import type { Attachment, RunSink } from "./attachment.ts";
-import type { BranchExchange } from "./branches.ts";
-import type { OrderQueue } from "./orders.ts";
-import { Wakeup } from "./wakeup.ts";
+import type { BranchExchange } from "./branch_exchange.ts";
+import type { OrderQueue } from "./order_queue.ts";
+import { ConditionVariable } from "./condition_variable.ts";
 
 /** Dependencies of the handlers. */
 export interface AgentServiceOptions {
@@ -144,7 +144,7 @@
 }
 
 function buildSink(call: RunCall): RunSink {
-  const writable = Wakeup.create();
+  const writable = ConditionVariable.create();
   for (const event of ["drain", "cancelled", "close"]) {
     call.on(event, () => writable.notify());
   }
--- a/src/agent/agent_test.ts
+++ b/src/agent/agent_test.ts
@@ -32,11 +32,11 @@
     ? reply.verdict.value.holdId
     : "";
   const reader = RunReader.open(client, testStart("r1", { holdId }));
-  const run = await engine.nthRun(0);
-  run.say("a");
-  run.say("b");
+  const run = await engine.waitForRun(0);
+  run.emitPiece("a");
+  run.emitPiece("b");
   run.end();
-  assert.deepEqual(await reader.rest(), [
+  assert.deepEqual(await reader.readAll(), [
     "started",
     "#0 a",
     "#1 b",
@@ -50,21 +50,21 @@
     server: { kind: "engine", engine },
   });
   const first = RunReader.open(client, testStart("r1"));
-  const run = await engine.nthRun(0);
-  run.say("a");
+  const run = await engine.waitForRun(0);
+  run.emitPiece("a");
   await first.next();
   await first.next();
   const second = RunReader.open(client, testStart("r1"));
-  run.say("b");
+  run.emitPiece("b");
   run.end();
-  assert.deepEqual(await second.rest(), [
+  assert.deepEqual(await second.readAll(), [
     "started",
     "#0 a",
     "#1 b",
     "end 1 of 2",
   ]);
   const third = RunReader.open(client, testStart("r1", { nextSeq: 2 }));
-  assert.deepEqual(await third.rest(), ["started", "end 1 of 2"]);
+  assert.deepEqual(await third.readAll(), ["started", "end 1 of 2"]);
   assert.equal(engine.runs.length, 1);
 });
 
@@ -77,7 +77,9 @@
   const reply = await cancelOf(client)({ runId: "r1", reason: "" });
   assert.equal(reply.notRun, true);
   const reader = RunReader.open(client, testStart("r1"));
-  assert.deepEqual(await reader.rest(), [`refusal ${RefusalCode.CANCELLED}`]);
+  assert.deepEqual(await reader.readAll(), [
+    `refusal ${RefusalCode.CANCELLED}`,
+  ]);
   assert.equal(engine.runs.length, 0);
 });
 
@@ -88,9 +90,11 @@
     server: { kind: "engine", engine },
   });
   const attach = RunReader.open(client, testStart("r1", { attachOnly: true }));
-  assert.deepEqual(await attach.rest(), [`refusal ${RefusalCode.HOLD_GONE}`]);
+  assert.deepEqual(await attach.readAll(), [
+    `refusal ${RefusalCode.HOLD_GONE}`,
+  ]);
   const late = RunReader.open(client, testStart("r1"));
-  assert.deepEqual(await late.rest(), [`refusal ${RefusalCode.CANCELLED}`]);
+  assert.deepEqual(await late.readAll(), [`refusal ${RefusalCode.CANCELLED}`]);
   assert.equal(engine.runs.length, 0);
 });
 
@@ -100,7 +104,9 @@
     server: { kind: "engine", engine },
   });
   const reader = RunReader.open(client, testStart("r1", { holdId: "other-1" }));
-  assert.deepEqual(await reader.rest(), [`refusal ${RefusalCode.HOLD_GONE}`]);
+  assert.deepEqual(await reader.readAll(), [
+    `refusal ${RefusalCode.HOLD_GONE}`,
+  ]);
 });
 
 test("a reader that reconnects resumes at the requested piece", async () => {
@@ -109,19 +115,19 @@
     server: { kind: "engine", engine },
   });
   const first = RunReader.open(client, testStart("r1"));
-  const run = await engine.nthRun(0);
-  run.say("a");
+  const run = await engine.waitForRun(0);
+  run.emitPiece("a");
   await first.next();
   await first.next();
   first.cut();
-  run.say("b");
+  run.emitPiece("b");
   const second = RunReader.open(
     client,
     testStart("r1", { attachOnly: true, nextSeq: 1 }),
   );
-  run.say("c");
+  run.emitPiece("c");
   run.end();
-  assert.deepEqual(await second.rest(), [
+  assert.deepEqual(await second.readAll(), [
     "started",
     "#1 b",
     "#2 c",
@@ -135,8 +141,8 @@
     server: { kind: "engine", engine },
   });
   const reader = RunReader.open(client, testStart("r1", { windowPieces: 4 }));
-  const run = await engine.nthRun(0);
-  for (let i = 0; i < 100; i++) run.say("x");
+  const run = await engine.waitForRun(0);
+  for (let i = 0; i < 100; i++) run.emitPiece("x");
   run.end();
   await reader.next();
   for (let seen = 0; seen < 4;) {
@@ -146,7 +152,7 @@
   await new Promise((resolve) => setImmediate(resolve));
   assert.equal(run.piecesRead, 4);
   reader.ack(4);
-  const rest = await reader.rest();
+  const rest = await reader.readAll();
   assert.equal(rest.at(-1), "end 1 of 100");
 });
 
@@ -156,10 +162,10 @@
     server: { kind: "engine", engine },
   });
   const reader = RunReader.open(client, testStart("r1"));
-  const run = await engine.nthRun(0);
+  const run = await engine.waitForRun(0);
   const reply = await cancelOf(client)({ runId: "r1", reason: "enough" });
   assert.equal(reply.notRun, false);
-  assert.deepEqual(await reader.rest(), [
+  assert.deepEqual(await reader.readAll(), [
     "started",
     `end ${RunOutcome.CANCELLED} of 0`,
   ]);
@@ -173,12 +179,14 @@
     server: { kind: "engine", engine },
   });
   RunReader.open(client, testStart("r1"));
-  await engine.nthRun(0);
+  await engine.waitForRun(0);
   const waiting = RunReader.open(client, testStart("r2"));
   assert.equal((await waiting.next())?.$case, "started");
   const reply = await cancelOf(client)({ runId: "r2", reason: "" });
   assert.equal(reply.notRun, true);
-  assert.deepEqual(await waiting.rest(), [`refusal ${RefusalCode.CANCELLED}`]);
+  assert.deepEqual(await waiting.readAll(), [
+    `refusal ${RefusalCode.CANCELLED}`,
+  ]);
   assert.equal(engine.runs.length, 1);
 });
 
@@ -188,10 +196,10 @@
     server: { kind: "engine", engine },
   });
   const reader = RunReader.open(client, testStart("r1"));
-  const run = await engine.nthRun(0);
-  run.say("a");
+  const run = await engine.waitForRun(0);
+  run.emitPiece("a");
   engine.incarnation = "engine-2";
-  assert.deepEqual(await reader.rest(), [
+  assert.deepEqual(await reader.readAll(), [
     "started",
     "#0 a",
     `end ${RunOutcome.FAILED} of 1`,
@@ -205,7 +213,7 @@
   });
   engine.isUp = false;
   const reader = RunReader.open(client, testStart("r1"));
-  const seen = await reader.rest();
+  const seen = await reader.readAll();
   assert.equal(seen.at(-1), `refusal ${RefusalCode.SERVER_DOWN}`);
 });
 
@@ -215,13 +223,13 @@
     server: { kind: "engine", engine },
   });
   const reader = RunReader.open(client, testStart("r1"));
-  const run = await engine.nthRun(0);
+  const run = await engine.waitForRun(0);
   const stopped = agent.stop();
   const late = RunReader.open(client, testStart("r2"));
-  assert.deepEqual(await late.rest(), [`refusal ${RefusalCode.LEAVING}`]);
-  run.say("a");
+  assert.deepEqual(await late.readAll(), [`refusal ${RefusalCode.LEAVING}`]);
+  run.emitPiece("a");
   run.end();
-  assert.deepEqual(await reader.rest(), ["started", "#0 a", "end 1 of 1"]);
+  assert.deepEqual(await reader.readAll(), ["started", "#0 a", "end 1 of 1"]);
   await stopped;
 });
 
@@ -243,8 +251,8 @@
     server: { kind: "engine", engine },
   });
   const reader = RunReader.open(client, testStart("r1"));
-  const run = await engine.nthRun(0);
-  run.say("secret");
+  const run = await engine.waitForRun(0);
+  run.emitPiece("secret");
   await reader.next();
   await reader.next();
   const dump = agent.dumpState();
--- a/src/agent/kept_answers.ts
+++ b/src/agent/answer_cache.ts
@@ -6,7 +6,7 @@
 import type { Clock } from "../base/mod.ts";
 import { type Run, RunState } from "./run.ts";
 
-/** Clock and limits of {@link KeptAnswers}. */
+/** Clock and limits of {@link AnswerCache}. */
 export interface AnswerCacheOptions {
   clock: Clock;
   maxBytes?: number;
@@ -31,7 +31,7 @@
 const DEFAULTS = { maxBytes: 8 * 1024 * 1024, maxKeys: 20_000 };
 
 /** Answers of at-most-once calls. */
-export class KeptAnswers {
+export class AnswerCache {
   readonly #options: Required<AnswerCacheOptions>;
   /** In order of each key's first request. */
   readonly #answers = new Map<string, CachedAnswer>();
@@ -45,8 +45,8 @@
    * @param options Clock and limits.
    * @returns An empty cache.
    */
-  static create(options: AnswerCacheOptions): KeptAnswers {
-    return new KeptAnswers({ ...DEFAULTS, ...options });
+  static create(options: AnswerCacheOptions): AnswerCache {
+    return new AnswerCache({ ...DEFAULTS, ...options });
   }
 
   get sizes(): { keys: number; keptBytes: number } {
--- a/src/agent/cache_follower.ts
+++ b/src/agent/cache_follower.ts
@@ -1,6 +1,6 @@
 /** Keeps a {@link CacheView} up to date: loads a snapshot, then applies events until a gap. */
 import type { Clock, Logger } from "../base/mod.ts";
-import type { CacheFeedStep, Engine } from "../backends/engine.ts";
+import type { CacheFeedItem, Engine } from "../backends/engine.ts";
 import type { CacheView } from "./cache_view.ts";
 
 /** Options of {@link CacheFollower}. */
@@ -65,16 +65,16 @@
     const { engine, view } = this.#options;
     const snapshot = await engine.cacheSnapshot();
     if (snapshot.isErr) return false;
-    view.restart(snapshot.value);
+    view.loadSnapshot(snapshot.value);
     return true;
   }
 
   async #followFeed(signal: AbortSignal): Promise<void> {
     const { engine, view } = this.#options;
     const stopSignal = AbortSignal.any([signal, this.#feedAbort.signal]);
-    for await (const step of engine.cacheEvents(view.nextSeq, stopSignal)) {
-      if (stopSignal.aborted || step.isErr) break;
-      if (!this.#applyStep(step.value)) break;
+    for await (const item of engine.cacheEvents(view.nextSeq, stopSignal)) {
+      if (stopSignal.aborted || item.isErr) break;
+      if (!this.#applyItem(item.value)) break;
     }
     // Blocks may be removed unnoticed until the feed is connected again.
     if (signal.aborted) return;
@@ -83,13 +83,13 @@
   }
 
   /** @returns False if a new snapshot is required. */
-  #applyStep(step: CacheFeedStep): boolean {
+  #applyItem(item: CacheFeedItem): boolean {
     const { view, log } = this.#options;
-    if (step.kind === "snapshot") {
-      view.restart(step);
+    if (item.kind === "snapshot") {
+      view.loadSnapshot(item);
       return true;
     }
-    const result = view.follow(step.incarnation, step.event);
+    const result = view.applyEvent(item.incarnation, item.event);
     if (result.kind === "taken") return true;
     log.info(
       { event: result },
--- a/src/agent/cache_view.ts
+++ b/src/agent/cache_view.ts
@@ -8,7 +8,7 @@
  */
 import type {
   CacheEvent,
-  CacheFeedStep,
+  CacheFeedItem,
   LoadedModel,
 } from "../backends/engine.ts";
 import {
@@ -115,7 +115,7 @@
    * @param workspace A workspace of the team.
    * @returns True if blocks with this salt were skipped, so that a new snapshot would add them.
    */
-  learnOwner(team: string, workspace: string): boolean {
+  addOwner(team: string, workspace: string): boolean {
     const salt = cacheSalt(team, workspace);
     if (this.#ownersBySalt.has(salt)) return false;
     if (this.#ownersBySalt.size >= MAX_SALTS) return false;
@@ -153,7 +153,7 @@
   }
 
   /** @param snapshot All blocks of the engine, parents before children. */
-  restart(snapshot: Extract<CacheFeedStep, { kind: "snapshot" }>): void {
+  loadSnapshot(snapshot: Extract<CacheFeedItem, { kind: "snapshot" }>): void {
     this.#clear();
     this.#incarnation = snapshot.incarnation;
     this.#nextSeq = snapshot.nextSeq;
@@ -169,7 +169,7 @@
    * @param event The event.
    * @returns Whether the event was in sequence.
    */
-  follow(incarnation: string, event: CacheEvent): CacheEventResult {
+  applyEvent(incarnation: string, event: CacheEvent): CacheEventResult {
     if (incarnation !== this.#incarnation) {
       this.reset(incarnation);
       return { kind: "new_incarnation", incarnation };
--- a/src/agent/cache_view_test.ts
+++ b/src/agent/cache_view_test.ts
@@ -41,9 +41,14 @@
 
 function filledView(): CacheView {
   const view = CacheView.create();
-  view.learnOwner("t", "w");
+  view.addOwner("t", "w");
   const blocks = [0, 1, 2, 3].map((block) => stored(0, block));
-  view.restart({ kind: "snapshot", incarnation: "e1", nextSeq: 5, blocks });
+  view.loadSnapshot({
+    kind: "snapshot",
+    incarnation: "e1",
+    nextSeq: 5,
+    blocks,
+  });
   return view;
 }
 
@@ -53,15 +58,15 @@
 
 test("a block without its parents does not match", () => {
   const view = filledView();
-  view.follow("e1", { kind: "removed", seq: 5, blockKey: "b1" });
+  view.applyEvent("e1", { kind: "removed", seq: 5, blockKey: "b1" });
   assert.equal(view.matchedTokens(askWith("w"), "1"), TOKENS);
-  view.follow("e1", stored(6, 1));
+  view.applyEvent("e1", stored(6, 1));
   assert.equal(view.matchedTokens(askWith("w"), "1"), BLOCKS * TOKENS);
 });
 
 test("other workspaces and weights versions match nothing", () => {
   const view = filledView();
-  view.learnOwner("t", "other");
+  view.addOwner("t", "other");
   assert.equal(view.matchedTokens(askWith("other"), "1"), 0);
   assert.equal(view.matchedTokens(askWith("w"), "2"), 0);
   const forged = { ...askWith("w"), workspace: "other" };
@@ -70,37 +75,51 @@
 
 test("a gap invalidates the view until the next snapshot", () => {
   const view = filledView();
-  const result = view.follow("e1", { kind: "removed", seq: 6, blockKey: "b3" });
+  const result = view.applyEvent("e1", {
+    kind: "removed",
+    seq: 6,
+    blockKey: "b3",
+  });
   assert.equal(result.kind, "gap");
   assert.equal(view.matchedTokens(askWith("w"), "1"), 0);
-  view.follow("e1", stored(7, 3));
+  view.applyEvent("e1", stored(7, 3));
   assert.equal(view.matchedTokens(askWith("w"), "1"), 0);
   const blocks = [stored(0, 0)];
-  view.restart({ kind: "snapshot", incarnation: "e1", nextSeq: 8, blocks });
+  view.loadSnapshot({
+    kind: "snapshot",
+    incarnation: "e1",
+    nextSeq: 8,
+    blocks,
+  });
   assert.equal(view.matchedTokens(askWith("w"), "1"), TOKENS);
 });
 
 test("a new engine incarnation invalidates the view", () => {
   const view = filledView();
-  assert.equal(view.follow("e2", stored(5, 0)).kind, "new_incarnation");
+  assert.equal(view.applyEvent("e2", stored(5, 0)).kind, "new_incarnation");
   assert.equal(view.matchedTokens(askWith("w"), "1"), 0);
 });
 
 test("a duplicate event is ignored", () => {
   const view = filledView();
   const removed: CacheEvent = { kind: "removed", seq: 5, blockKey: "b3" };
-  view.follow("e1", removed);
-  view.follow("e1", stored(6, 3));
-  assert.equal(view.follow("e1", removed).kind, "taken");
+  view.applyEvent("e1", removed);
+  view.applyEvent("e1", stored(6, 3));
+  assert.equal(view.applyEvent("e1", removed).kind, "taken");
   assert.equal(view.matchedTokens(askWith("w"), "1"), BLOCKS * TOKENS);
 });
 
 test("blocks of an unknown owner require a new snapshot", () => {
   const view = CacheView.create();
   const blocks = [stored(0, 0)];
-  view.restart({ kind: "snapshot", incarnation: "e1", nextSeq: 1, blocks });
+  view.loadSnapshot({
+    kind: "snapshot",
+    incarnation: "e1",
+    nextSeq: 1,
+    blocks,
+  });
   assert.equal(view.matchedTokens(askWith("w"), "1"), 0);
-  assert.equal(view.learnOwner("t", "w"), true);
+  assert.equal(view.addOwner("t", "w"), true);
 });
 
 test("blocks of one weights version never match another", () => {
--- a/src/agent/wakeup.ts
+++ b/src/agent/condition_variable.ts
@@ -1,17 +1,17 @@
 /** A condition variable for promises. */
 
-/** A condition variable: {@link Wakeup.notify} ends all waits that started before it. */
-export class Wakeup {
+/** A condition variable: {@link ConditionVariable.notify} ends all waits that started before it. */
+export class ConditionVariable {
   #waiters: (() => void)[] = [];
 
   private constructor() {}
 
   /** @returns A condition variable without waits. */
-  static create(): Wakeup {
-    return new Wakeup();
+  static create(): ConditionVariable {
+    return new ConditionVariable();
   }
 
-  /** @returns Resolves at the next call of {@link Wakeup.notify}. */
+  /** @returns Resolves at the next call of {@link ConditionVariable.notify}. */
   wait(): Promise<void> {
     return new Promise((resolve) => this.#waiters.push(resolve));
   }
--- a/src/agent/cost_model.ts
+++ b/src/agent/cost_model.ts
@@ -6,7 +6,7 @@
   /** Time from sending the run to the engine to its first piece of output. */
   firstPieceMs: number;
   /** True if no other run was in prefill on the engine when this run was sent. */
-  hadEngineAlone: boolean;
+  prefilledAlone: boolean;
   outputTokens: number;
   totalMs: number;
 }
@@ -57,9 +57,9 @@
   }
 
   /** @param timing Timing of a run that completed successfully. */
-  learn(timing: RunTiming): void {
+  update(timing: RunTiming): void {
     if (
-      timing.hadEngineAlone &&
+      timing.prefilledAlone &&
       timing.uncachedTokens >= MIN_PREFILL_SAMPLE_TOKENS
     ) {
       const msPerToken = timing.firstPieceMs / timing.uncachedTokens;
--- a/src/agent/lapsed_hold_test.ts
+++ b/src/agent/expired_hold_test.ts
@@ -8,8 +8,8 @@
 import { FakeEngine } from "./_fake_engine.ts";
 import { testAsk, testStart } from "./_test_kit.ts";
 import { ModelServer } from "./model_server.ts";
-import type { OpenResult } from "./opened.ts";
-import { RunTable } from "./runs.ts";
+import type { OpenResult } from "./open_result.ts";
+import { RunTable } from "./run_table.ts";
 
 const HOLD_MS = 50;
 
@@ -66,7 +66,7 @@
   const holdId = setup.hold("r1");
   await setup.clock.advance(HOLD_MS + 1);
   assert.equal(setup.start("r1", holdId).kind, "attached");
-  await setup.engine.nthRun(0);
+  await setup.engine.waitForRun(0);
 });
 
 test("a run with an expired hold runs only once", async () => {
@@ -74,7 +74,7 @@
   const holdId = setup.hold("r1");
   await setup.clock.advance(HOLD_MS + 1);
   setup.start("r1", holdId);
-  await setup.engine.nthRun(0);
+  await setup.engine.waitForRun(0);
   assert.equal(setup.start("r1", holdId).kind, "attached");
   await new Promise((resolve) => setImmediate(resolve));
   assert.equal(setup.engine.runs.length, 1);
--- a/src/agent/holds.ts
+++ b/src/agent/holds.ts
@@ -92,7 +92,7 @@
    * @param runId The run that uses it.
    * @returns The hold, or undefined if it has expired, was used or belongs to another run.
    */
-  use(holdId: string, runId: string): Hold<T> | undefined {
+  consume(holdId: string, runId: string): Hold<T> | undefined {
     if (!this.has(holdId, runId)) return undefined;
     const hold = this.#holds.get(holdId);
     this.#holds.delete(holdId);
--- a/src/agent/model_server.ts
+++ b/src/agent/model_server.ts
@@ -8,7 +8,7 @@
   EngineFailure,
   EngineInfo,
   EngineLoad,
-  EngineStep,
+  EngineResponsePart,
   LoadedModel,
 } from "../backends/engine.ts";
 import {
@@ -34,7 +34,7 @@
 import { Replicas } from "./replicas.ts";
 import { refuse } from "./refusals.ts";
 import { describeFailure, type Run, RunState } from "./run.ts";
-import { rankOf } from "./wait_queue.ts";
+import { effectivePriority } from "./wait_queue.ts";
 
 /** Options of {@link ModelServer}. */
 export interface ModelServerOptions {
@@ -46,7 +46,7 @@
   /** Returns the live runs, so that those of an ended engine can be cancelled. */
   liveRuns: () => Iterable<Run>;
   /** False to treat prefixes still being computed as uncached, for measurements only. */
-  countsInFlight?: boolean;
+  countsPrefillsInFlight?: boolean;
 }
 
 /** The weights version that serves a request, and the limit of its team on this server. */
@@ -55,7 +55,7 @@
   weightsVersion: string;
 }
 
-type EndStep = Extract<EngineStep, { kind: "end" }>;
+type EndStep = Extract<EngineResponsePart, { kind: "end" }>;
 
 /** The view is resynced if fewer of at least {@link MIN_CHECKED_TOKENS} matched were cached. */
 const MIN_HIT_RATE = 0.5;
@@ -118,7 +118,7 @@
       teamMaxInFlight,
       weightsVersion,
     });
-    return this.admission.quote(demand).map((quote) => ({
+    return this.admission.estimate(demand).map((quote) => ({
       holdId: this.#openHold(ask, demand, model.value),
       matchedTokens,
       recomputeTokens: demand.uncachedTokens,
@@ -138,7 +138,7 @@
    * @param options Whether the run has a valid hold, and the limit of its team.
    * @returns The run's ticket, or why it is refused.
    */
-  enter(
+  admit(
     run: Run,
     options: { isHeld: boolean; teamMaxInFlight: number },
   ): Result<Ticket, Refusal> {
@@ -151,10 +151,10 @@
     run.weightsVersion = weightsVersion;
     run.matchedTokens = result.matchedTokens;
     run.engineIncarnation = this.watch.incarnation;
-    const entered = this.admission.enter(result.demand, options.isHeld);
-    const isCounted = this.#options.countsInFlight !== false;
+    const entered = this.admission.enqueue(result.demand, options.isHeld);
+    const isCounted = this.#options.countsPrefillsInFlight !== false;
     if (entered.isErr || !isCounted) return entered;
-    this.prefills.enter(entered.value, run.ask, { weightsVersion });
+    this.prefills.add(entered.value, run.ask, { weightsVersion });
     return entered;
   }
 
@@ -168,7 +168,7 @@
   async serve(run: Run, call: ModelCall, ticket: Ticket): Promise<void> {
     const leaveQueue = () => {
       if (ticket.state !== "waiting") return;
-      this.admission.leave(ticket);
+      this.admission.remove(ticket);
       ticket.settle(refuse(RefusalCode.CANCELLED, run.cancelReason));
     };
     run.signal.addEventListener("abort", leaveQueue, { once: true });
@@ -176,8 +176,8 @@
     run.signal.removeEventListener("abort", leaveQueue);
     if (refusal) run.refuse(refusal);
     else await this.#forward(run, call, ticket);
-    this.admission.leave(ticket);
-    this.prefills.leave(ticket);
+    this.admission.remove(ticket);
+    this.prefills.remove(ticket);
   }
 
   onNewIncarnation(info: EngineInfo): void {
@@ -199,13 +199,13 @@
   onLoad(load: EngineLoad): void {
     if (this.#wasDown) this.follower.resync();
     this.#wasDown = false;
-    this.admission.noteLoad(load);
+    this.admission.updateLoad(load);
   }
 
   onDown(): void {
     this.#wasDown = true;
     this.cache.invalidate();
-    this.admission.refuseWaiting(refuseDown());
+    this.admission.refuseQueued(refuseDown());
   }
 
   async #forward(run: Run, call: ModelCall, ticket: Ticket): Promise<void> {
@@ -223,7 +223,7 @@
       requestId: run.runId,
       api: call.api === "text" ? "text" : "chat",
       body,
-      priority: rankOf(ask.priority),
+      priority: effectivePriority(ask.priority),
       cacheSalt: cacheSalt(ask.team, ask.workspace),
       weightsVersion: run.weightsVersion,
     };
@@ -232,14 +232,14 @@
 
   async #copyOutput(run: Run, call: EngineCall, ticket: Ticket): Promise<void> {
     const { output } = run;
-    for await (const step of this.#options.engine.run(call, run.signal)) {
+    for await (const part of this.#options.engine.run(call, run.signal)) {
       if (run.signal.aborted) break;
-      if (step.isErr) return this.#failRun(run, step.error);
-      if (step.value.kind === "end") {
-        return this.#endRun(run, step.value, ticket);
+      if (part.isErr) return this.#failRun(run, part.error);
+      if (part.value.kind === "end") {
+        return this.#endRun(run, part.value, ticket);
       }
       if (output.pieceCount === 0) this.#markPrefilled(ticket);
-      output.append(step.value.data);
+      output.append(part.value.data);
       while (!output.hasRoom && !run.signal.aborted) await output.waitForRoom();
     }
     if (run.signal.aborted) this.#endCancelled(run);
@@ -258,10 +258,10 @@
       cachedTokens: end.cachedTokens,
     });
     const nowMs = this.#options.clock.nowMs();
-    this.costs.learn({
+    this.costs.update({
       uncachedTokens: Math.max(0, end.promptTokens - end.cachedTokens),
       firstPieceMs: ticket.firstPieceMs - ticket.placedMs,
-      hadEngineAlone: ticket.hadEngineAlone,
+      prefilledAlone: ticket.prefilledAlone,
       outputTokens: end.completionTokens,
       totalMs: nowMs - ticket.placedMs,
     });
@@ -273,12 +273,12 @@
   #endCancelled(run: Run): void {
     const isSameEngine = run.engineIncarnation === this.watch.incarnation;
     if (isSameEngine) run.end(RunOutcome.CANCELLED, run.cancelReason);
-    else run.endWithEngine(run.cancelReason);
+    else run.failOnEngineEnd(run.cancelReason);
   }
 
   async #endAfterDisconnect(run: Run, message: string): Promise<void> {
     const hasEnded = await this.watch.hasEnded(run.engineIncarnation);
-    if (hasEnded) run.endWithEngine(message);
+    if (hasEnded) run.failOnEngineEnd(message);
     else run.end(RunOutcome.FAILED, message);
   }
 
@@ -313,7 +313,7 @@
     const matchedTokens = isViewCurrent
       ? this.cache.matchedTokens(ask, weightsVersion)
       : 0;
-    const inFlightTokens = this.prefills.comingTokens(ask, weightsVersion);
+    const inFlightTokens = this.prefills.inFlightTokens(ask, weightsVersion);
     const reusableTokens = Math.max(matchedTokens, inFlightTokens);
     const nowMs = this.#options.clock.nowMs();
     const demand: Demand = {
@@ -334,7 +334,7 @@
   }
 
   #registerOwner(ask: AskRequest): void {
-    if (this.cache.learnOwner(ask.team, ask.workspace)) this.follower.resync();
+    if (this.cache.addOwner(ask.team, ask.workspace)) this.follower.resync();
   }
 }
 
--- a/src/agent/orders.ts
+++ b/src/agent/order_queue.ts
@@ -87,19 +87,19 @@
     return {
       accepted: message === "",
       message,
-      highestFencingNumber: gate.highestOf(request.leaseKey),
+      highestFencingNumber: gate.highestNumber(request.leaseKey),
     };
   }
 
   /** @returns Why the order must be refused; empty if its fencing number is valid. */
   async #checkFencing({ leaseKey, fencingNumber }: Lease): Promise<string> {
     const { gate } = this.#options;
-    const prepared = await gate.prepare(leaseKey);
+    const prepared = await gate.loadHighestNumber(leaseKey);
     if (prepared.isErr) {
       return `The lease's number can't be read: ${prepared.error.message}`;
     }
     if (gate.admit(leaseKey, fencingNumber)) return "";
-    return `The fencing number is older than ${gate.highestOf(leaseKey)}`;
+    return `The fencing number is older than ${gate.highestNumber(leaseKey)}`;
   }
 
   /** @returns Error message; empty if the order was accepted. */
@@ -189,5 +189,5 @@
   failure: EngineFailure,
 ): void {
   if (failure.kind !== "fenced") return;
-  gate.raise(leaseKey, failure.highestFencingNumber);
+  gate.recordNumber(leaseKey, failure.highestFencingNumber);
 }
--- a/src/agent/orders_test.ts
+++ b/src/agent/order_queue_test.ts
@@ -8,7 +8,7 @@
 import { type OrderRequest, ReplicaPhase } from "../wire/gen/cicadahitch.ts";
 import { FakeEngine } from "./_fake_engine.ts";
 import { testAsk } from "./_test_kit.ts";
-import { OrderQueue } from "./orders.ts";
+import { OrderQueue } from "./order_queue.ts";
 import { Replicas } from "./replicas.ts";
 import { Run } from "./run.ts";
 
--- a/src/agent/plain_server.ts
+++ b/src/agent/plain_server.ts
@@ -19,7 +19,7 @@
   RefusalCode,
   RunOutcome,
 } from "../wire/gen/cicadahitch.ts";
-import { KeptAnswers } from "./kept_answers.ts";
+import { AnswerCache } from "./answer_cache.ts";
 import type { PlainService } from "../backends/service.ts";
 import { refuse } from "./refusals.ts";
 import type { Relay } from "./relay.ts";
@@ -54,13 +54,13 @@
 
 /** Forwards calls to one plain service and keeps the answers of at-most-once calls. */
 export class PlainServer {
-  readonly answers: KeptAnswers;
+  readonly answers: AnswerCache;
   readonly #options: PlainServerOptions;
   #callsInFlight = 0;
 
   private constructor(options: PlainServerOptions) {
     this.#options = options;
-    this.answers = KeptAnswers.create({ clock: options.clock });
+    this.answers = AnswerCache.create({ clock: options.clock });
   }
 
   /**
@@ -174,14 +174,14 @@
       ? timeout
       : AbortSignal.any([timeout, run.signal]);
     const { output } = run;
-    for await (const step of this.#options.service.run(call, signal)) {
-      if (step.isErr) return endFailedCall(run, step.error);
-      switch (step.value.kind) {
+    for await (const part of this.#options.service.run(call, signal)) {
+      if (part.isErr) return endFailedCall(run, part.error);
+      switch (part.value.kind) {
         case "head":
-          output.setHead(step.value);
+          output.setHead(part.value);
           break;
         case "piece":
-          output.append(step.value.data);
+          output.append(part.value.data);
           while (!output.hasRoom && !signal.aborted) {
             await waitForRoom(run, signal);
           }
--- a/src/agent/prefills_in_flight.ts
+++ b/src/agent/prefills_in_flight.ts
@@ -62,7 +62,7 @@
    * @param ask The ask of the request.
    * @param options The weights version that serves the request.
    */
-  enter(
+  add(
     request: object,
     ask: AskRequest,
     { weightsVersion }: { weightsVersion: string },
@@ -72,7 +72,7 @@
     if (!prefixes) {
       this.#scopes.set(scope, prefixes = InFlightPrefixes.create());
     }
-    prefixes.enter(ask.chain);
+    prefixes.add(ask.chain);
     this.#prefills.set(request, { ask, scope, isPrefilling: true });
   }
 
@@ -87,7 +87,7 @@
   }
 
   /** @param request A request that ended; it is removed at once if no first piece has arrived. */
-  leave(request: object): void {
+  remove(request: object): void {
     const prefill = this.#prefills.get(request);
     if (prefill?.isPrefilling) this.#remove(request, prefill);
   }
@@ -97,7 +97,7 @@
    * @param weightsVersion The weights version that would serve it.
    * @returns Number of tokens of its prompt that earlier requests are computing.
    */
-  comingTokens(ask: AskRequest, weightsVersion: string): number {
+  inFlightTokens(ask: AskRequest, weightsVersion: string): number {
     this.#removeDue();
     if (this.#scopes.size === 0) return 0;
     const prefixes = this.#scopes.get(scopeId({ ...ask, weightsVersion }));
@@ -129,7 +129,7 @@
   #remove(request: object, { ask, scope }: Prefill): void {
     this.#prefills.delete(request);
     const prefixes = this.#scopes.get(scope);
-    prefixes?.leave(ask.chain);
+    prefixes?.remove(ask.chain);
     if (prefixes?.size === 0) this.#scopes.delete(scope);
   }
 }
--- a/src/agent/prefills_in_flight_test.ts
+++ b/src/agent/prefills_in_flight_test.ts
@@ -27,19 +27,19 @@
   readonly clock = ManualClock.create();
   readonly server: ModelServer;
 
-  private constructor(countsInFlight?: boolean) {
+  private constructor(countsPrefillsInFlight?: boolean) {
     this.server = ModelServer.create({
       engine: this.engine,
       clock: this.clock,
       log: createSilentLogger(),
       seed: "s",
       liveRuns: () => [],
-      countsInFlight,
+      countsPrefillsInFlight,
     });
   }
 
-  static async create(countsInFlight?: boolean): Promise<EngineSetup> {
-    const setup = new EngineSetup(countsInFlight);
+  static async create(countsPrefillsInFlight?: boolean): Promise<EngineSetup> {
+    const setup = new EngineSetup(countsPrefillsInFlight);
     await setup.server.watch.poll();
     return setup;
   }
@@ -48,13 +48,13 @@
     const nowMs = this.clock.nowMs();
     const run = Run.create({ ask, attempt: 1, nowMs, limits: LIMITS });
     const options = { isHeld: false, teamMaxInFlight: Infinity };
-    const ticket = this.server.enter(run, options).unwrapOrElse((refusal) => {
+    const ticket = this.server.admit(run, options).unwrapOrElse((refusal) => {
       throw new Error(refusal.message);
     });
     const call = { body: Buffer.from("{}"), api: "chat" };
     const index = this.engine.runs.length;
     void this.server.serve(run, call, ticket);
-    return { run, engineRun: await this.engine.nthRun(index) };
+    return { run, engineRun: await this.engine.waitForRun(index) };
   }
 
   offer(ask: AskRequest) {
@@ -104,10 +104,10 @@
   assert.equal(missing({ team: "u" }), 900);
   assert.equal(missing({ workspace: "v" }), 900);
   assert.equal(
-    server.prefills.comingTokens(createAsk("r2"), "1"),
+    server.prefills.inFlightTokens(createAsk("r2"), "1"),
     SHARED_TOKENS,
   );
-  assert.equal(server.prefills.comingTokens(createAsk("r2"), "2"), 0);
+  assert.equal(server.prefills.inFlightTokens(createAsk("r2"), "2"), 0);
 });
 
 test("an engine restart clears the prefixes in prefill", async () => {
@@ -117,7 +117,7 @@
   await setup.server.watch.poll();
   assert.equal(setup.server.watch.incarnation, "engine-2");
   assert.equal(setup.recomputeTokens(), PROMPT_TOKENS);
-  engineRun.say("late");
+  engineRun.emitPiece("late");
   await waitForFirstPiece(run);
   assert.equal(setup.recomputeTokens(), PROMPT_TOKENS);
   assert.equal(setup.server.prefills.size, 0);
@@ -126,7 +126,7 @@
 test("a prefix is dropped 150 ms after the first piece if no cache event arrives", async () => {
   const setup = await EngineSetup.create();
   const { run, engineRun } = await setup.start(createAsk("r1"));
-  engineRun.say("a");
+  engineRun.emitPiece("a");
   await waitForFirstPiece(run);
   engineRun.end();
   await waitForEnd(run);
@@ -145,7 +145,7 @@
   assert.equal(setup.recomputeTokens(), PROMPT_TOKENS);
   const cancelled = await setup.start(createAsk("r2"));
   cancelled.run.cancel("nobody waits");
-  cancelled.engineRun.say("a");
+  cancelled.engineRun.emitPiece("a");
   await waitForEnd(cancelled.run);
   assert.equal(setup.recomputeTokens(), PROMPT_TOKENS);
   assert.equal(setup.server.prefills.size, 0);
--- a/src/agent/relay.ts
+++ b/src/agent/relay.ts
@@ -14,7 +14,7 @@
   type ChannelLease,
   type ChannelPool,
   failureOf,
-  isRefused,
+  isConnectionRefused,
 } from "../wire/mod.ts";
 import type { Run } from "./run.ts";
 
@@ -118,7 +118,7 @@
         onMessage: () => silenceTimer.refresh(),
       });
     } catch (error) {
-      return isRefused(failureOf(error as ServiceError))
+      return isConnectionRefused(failureOf(error as ServiceError))
         ? UNKNOWN_END
         : DISCONNECTED;
     } finally {
--- a/src/agent/relay_test.ts
+++ b/src/agent/relay_test.ts
@@ -65,7 +65,7 @@
 
 test("a run is copied from the agent that claimed its key", async () => {
   const { agent, service, first, relay, closeAll } = await startClaimedRun();
-  await first.rest();
+  await first.readAll();
   const run = createWaitingRun();
   const { address, agentIncarnation } = agent;
   const claimant = { address, agentIncarnation, runId: "r1" };
@@ -84,7 +84,7 @@
   });
   context.after(closeAll);
   service.hold();
-  while (service.calls.length === 0) await service.arrived.wait();
+  while (service.calls.length === 0) await service.callArrived.wait();
   const run = createWaitingRun();
   const { address, agentIncarnation } = agent;
   const claimant = { address, agentIncarnation, runId: "r1" };
@@ -94,7 +94,7 @@
   assert.deepEqual(await copying, { kind: "done", status: 201 });
   assert.equal(run.output.pieceCount, 1);
   assert.equal(service.calls.length, 1);
-  await first.rest();
+  await first.readAll();
 });
 
 // A failed connection does not mean that the run has failed.
@@ -102,7 +102,7 @@
   const { agent, service, first, relay, closeAll } = await startClaimedRun();
   context.after(closeAll);
   service.hold();
-  while (service.calls.length === 0) await service.arrived.wait();
+  while (service.calls.length === 0) await service.callArrived.wait();
   const link = await TcpRelay.create({ targetAddress: agent.address });
   context.after(() => link.close());
   const run = createWaitingRun();
@@ -113,12 +113,12 @@
   link.cutOpen();
   service.release();
   assert.deepEqual(await copying, { kind: "done", status: 201 });
-  await first.rest();
+  await first.readAll();
 });
 
 test("the outcome is unknown if another process took the claimant's place", async () => {
   const { agent, first, relay, closeAll } = await startClaimedRun();
-  await first.rest();
+  await first.readAll();
   const run = createWaitingRun();
   const { address } = agent;
   const claimant = { address, agentIncarnation: "earlier", runId: "r1" };
--- a/src/agent/run.ts
+++ b/src/agent/run.ts
@@ -134,7 +134,7 @@
    *
    * @param message Readable description.
    */
-  endWithEngine(message: string): void {
+  failOnEngineEnd(message: string): void {
     const endedEngine = this.engineIncarnation || undefined;
     this.end(RunOutcome.FAILED, message, { ...NO_USAGE, endedEngine });
   }
--- a/src/agent/run_output.ts
+++ b/src/agent/run_output.ts
@@ -4,7 +4,7 @@
  * engine instead of unbounded memory use.
  */
 import type { Refusal, RunEnd, RunHead } from "../wire/gen/cicadahitch.ts";
-import { Wakeup } from "./wakeup.ts";
+import { ConditionVariable } from "./condition_variable.ts";
 
 /** How a run ended. */
 export type RunEnding =
@@ -42,8 +42,8 @@
 /** Buffers the pieces of a run between its writer and its readers. */
 export class RunOutput {
   /** Notified when there is a new head or piece, the run ends, or a reader is removed. */
-  readonly changed = Wakeup.create();
-  readonly #roomAvailable = Wakeup.create();
+  readonly changed = ConditionVariable.create();
+  readonly #roomAvailable = ConditionVariable.create();
   readonly #limits: OutputLimits;
   readonly #readers = new Set<OutputReader>();
   #pieces: Uint8Array[] = [];
--- a/src/agent/runs.ts
+++ b/src/agent/run_table.ts
@@ -5,7 +5,7 @@
 import type { Clock } from "../base/mod.ts";
 import type { CancelRequest } from "../wire/gen/cicadahitch.ts";
 import { type Run, RunState } from "./run.ts";
-import { type PastRunStatus, RunIdHistory } from "./run_memory.ts";
+import { type PastRunStatus, RunIdHistory } from "./run_id_history.ts";
 
 /** Clock and limits of a {@link RunTable}. */
 export interface RunTableOptions {
--- a/src/agent/runs_test.ts
+++ b/src/agent/run_table_test.ts
@@ -5,7 +5,7 @@
 import { testAsk } from "./_test_kit.ts";
 import { Run, RunState } from "./run.ts";
 import { RunOutput } from "./run_output.ts";
-import { RunTable } from "./runs.ts";
+import { RunTable } from "./run_table.ts";
 
 function createTable() {
   const time = { nowMs: 0, wallMs: 1_000_000 };
--- a/src/agent/state_dump.ts
+++ b/src/agent/state_dump.ts
@@ -3,9 +3,9 @@
 import type { BranchSet } from "../config/branch_set.ts";
 import type { ClaimsJournal } from "../journal/mod.ts";
 import type { FencingGate } from "../lease/mod.ts";
-import type { AgentCore, ServerParts } from "./agent_core.ts";
+import type { AgentCore, ServerHandler } from "./agent_core.ts";
 import type { Run } from "./run.ts";
-import type { RunTable } from "./runs.ts";
+import type { RunTable } from "./run_table.ts";
 
 /** Parts of the agent that the state dump describes. */
 export interface StateDumpOptions {
@@ -15,7 +15,7 @@
   address: string;
   agentIncarnation: string;
   core: AgentCore;
-  server: ServerParts;
+  server: ServerHandler;
   runs: RunTable;
   branches: BranchSet;
   gate: FencingGate;
@@ -48,7 +48,7 @@
         .map((run) => describeRun(run, nowMs)),
     },
     refusals: { counts: core.refusals.counts, recent: core.refusals.recent },
-    fencingNumbers: options.gate.numbers,
+    fencingNumbers: options.gate.highestNumbers,
     journal: options.journal?.state(),
     branches: options.branches.versions().map(({ team, revision }) => ({
       team,
@@ -57,7 +57,7 @@
   };
 }
 
-function describeServer(server: ServerParts) {
+function describeServer(server: ServerHandler) {
   switch (server.kind) {
     case "engine": {
       const { admission, cache, costs, watch } = server.model;
--- a/src/agent/versions_test.ts
+++ b/src/agent/versions_test.ts
@@ -62,19 +62,19 @@
       client,
       testStart(`r${index}`, { ask: wanted }),
     );
-    const run = await engine.nthRun(index);
+    const run = await engine.waitForRun(index);
     assert.equal(run.call.weightsVersion, weightsVersion);
     run.end();
-    await reader.rest();
+    await reader.readAll();
   }
 });
 
 test("a 404 from the engine is reported as model not loaded", async () => {
   const { client, engine } = await open();
   const reader = RunReader.open(client, testStart("r1"));
-  const run = await engine.nthRun(0);
+  const run = await engine.waitForRun(0);
   run.fail({ kind: "rejected", status: 404, body: "Model is not loaded" });
-  assert.deepEqual(await reader.rest(), [
+  assert.deepEqual(await reader.readAll(), [
     "started",
     `refusal ${RefusalCode.MODEL_NOT_LOADED}`,
   ]);
@@ -90,14 +90,14 @@
   assert(refused.verdict?.$case === "refusal");
   assert.equal(refused.verdict.value.code, RefusalCode.MODEL_NOT_LOADED);
   const reader = RunReader.open(client, testStart("r1", { holdId }));
-  const run = await engine.nthRun(0);
+  const run = await engine.waitForRun(0);
   assert.deepEqual((await fetchReport(client)).replicas, [
     { ...OLD, phase: ReplicaPhase.UNLOADING, inFlight: 1 },
   ]);
   assert.equal(engine.orders.length, 0);
-  run.say("a");
+  run.emitPiece("a");
   run.end();
-  assert.deepEqual(await reader.rest(), ["started", "#0 a", "end 1 of 1"]);
+  assert.deepEqual(await reader.readAll(), ["started", "#0 a", "end 1 of 1"]);
 });
 
 test("an agent reports slots, limits and models", async () => {
--- a/src/agent/wait_queue.ts
+++ b/src/agent/wait_queue.ts
@@ -36,7 +36,7 @@
  * @param priority Priority as received, possibly unspecified.
  * @returns The effective priority; unspecified counts as normal.
  */
-export function rankOf(priority: Priority): RankedPriority {
+export function effectivePriority(priority: Priority): RankedPriority {
   switch (priority) {
     case Priority.URGENT:
     case Priority.BATCH:
@@ -76,7 +76,7 @@
 
   /** @param request A request to append to the queue. */
   push(request: T): void {
-    this.#lists[rankOf(request.priority)].push(request);
+    this.#lists[effectivePriority(request.priority)].push(request);
   }
 
   /**
@@ -84,7 +84,7 @@
    * @returns False if the request was not in the queue.
    */
   remove(request: T): boolean {
-    const list = this.#lists[rankOf(request.priority)];
+    const list = this.#lists[effectivePriority(request.priority)];
     const index = list.indexOf(request);
     if (index < 0) return false;
     list.splice(index, 1);
--- a/src/backends/_engine_stream.ts
+++ b/src/backends/_engine_stream.ts
@@ -2,7 +2,7 @@
 import { err, ok, type Result } from "true-myth/result";
 import { toCallFailure } from "./_http_call.ts";
 import { SseParser } from "./_sse.ts";
-import type { EngineFailure, EngineStep } from "./engine.ts";
+import type { EngineFailure, EngineResponsePart } from "./engine.ts";
 
 const DONE = Buffer.from("[DONE]");
 const ERROR_PREFIX = Buffer.from(`{"error"`);
@@ -29,7 +29,7 @@
 export async function* readEngineStream(
   body: AsyncIterable<Buffer>,
   { forwardsUsage }: EngineStreamOptions,
-): AsyncGenerator<Result<EngineStep, EngineFailure>> {
+): AsyncGenerator<Result<EngineResponsePart, EngineFailure>> {
   const parser = SseParser.create();
   let lastEvent: Buffer | undefined;
   try {
@@ -59,7 +59,7 @@
 }
 
 /** Reads the token usage from the last event before the closing one. */
-function toEndStep(lastEvent: Buffer | undefined): EngineStep {
+function toEndStep(lastEvent: Buffer | undefined): EngineResponsePart {
   const usage = lastEvent ? parseUsage(lastEvent) : {};
   return {
     kind: "end",
--- a/src/backends/engine.ts
+++ b/src/backends/engine.ts
@@ -30,7 +30,7 @@
 }
 
 /** A part of an engine's response stream. */
-export type EngineStep =
+export type EngineResponsePart =
   /** Unchanged data of a server-sent event; never the closing `[DONE]`. */
   | { kind: "piece"; data: Uint8Array }
   /** The response is complete. */
@@ -87,7 +87,7 @@
   | { kind: "cleared"; seq: number };
 
 /** A snapshot of the engine's cache, or one event of its cache event feed. */
-export type CacheFeedStep =
+export type CacheFeedItem =
   | {
     kind: "snapshot";
     incarnation: string;
@@ -113,16 +113,16 @@
   run(
     call: EngineCall,
     signal: AbortSignal,
-  ): AsyncIterable<Result<EngineStep, EngineFailure>>;
+  ): AsyncIterable<Result<EngineResponsePart, EngineFailure>>;
   /** Returns all blocks currently cached, to rebuild a view of the cache. */
   cacheSnapshot(): Promise<
-    Result<Extract<CacheFeedStep, { kind: "snapshot" }>, EngineFailure>
+    Result<Extract<CacheFeedItem, { kind: "snapshot" }>, EngineFailure>
   >;
   /** Streams events from `sinceSeq`; a gap in sequence numbers means that events were lost. */
   cacheEvents(
     sinceSeq: number,
     signal: AbortSignal,
-  ): AsyncIterable<Result<CacheFeedStep, EngineFailure>>;
+  ): AsyncIterable<Result<CacheFeedItem, EngineFailure>>;
   exportCache(
     cacheSalt: string,
     blockKeys: string[],
--- a/src/backends/http_engine.ts
+++ b/src/backends/http_engine.ts
@@ -6,14 +6,14 @@
 import { readLines } from "./_lines.ts";
 import type {
   CacheEvent,
-  CacheFeedStep,
+  CacheFeedItem,
   Engine,
   EngineCall,
   EngineFailure,
   EngineInfo,
   EngineLoad,
   EngineOrder,
-  EngineStep,
+  EngineResponsePart,
 } from "./engine.ts";
 
 /** Options of {@link HttpEngine}. */
@@ -33,7 +33,7 @@
   loadTimeoutMs: number;
 }
 
-type Snapshot = Extract<CacheFeedStep, { kind: "snapshot" }>;
+type Snapshot = Extract<CacheFeedItem, { kind: "snapshot" }>;
 
 const DEFAULT_OPTIONS = {
   connectTimeoutMs: 1000,
@@ -84,7 +84,7 @@
   async *run(
     call: EngineCall,
     signal: AbortSignal,
-  ): AsyncGenerator<Result<EngineStep, EngineFailure>> {
+  ): AsyncGenerator<Result<EngineResponsePart, EngineFailure>> {
     const abortController = new AbortController();
     const answer = await this.#send({
       method: "POST",
@@ -102,9 +102,9 @@
     let isComplete = false;
     try {
       const chunks = body.iterator({ destroyOnReturn: false });
-      for await (const step of readEngineStream(chunks, options)) {
-        isComplete = step.isOk && step.value.kind === "end";
-        yield step;
+      for await (const part of readEngineStream(chunks, options)) {
+        isComplete = part.isOk && part.value.kind === "end";
+        yield part;
       }
     } finally {
       // After a complete response the connection is reused; any other exit cancels the run.
@@ -121,7 +121,7 @@
   async *cacheEvents(
     sinceSeq: number,
     signal: AbortSignal,
-  ): AsyncGenerator<Result<CacheFeedStep, EngineFailure>> {
+  ): AsyncGenerator<Result<CacheFeedItem, EngineFailure>> {
     const answer = await this.#send({
       method: "GET",
       path: `/cache_events?since=${sinceSeq}`,
@@ -277,7 +277,7 @@
 /** Reads the incarnation from the first line and an event from every other non-empty line. */
 async function* readEventFeed(
   body: AsyncIterable<Buffer>,
-): AsyncGenerator<Result<CacheFeedStep, EngineFailure>> {
+): AsyncGenerator<Result<CacheFeedItem, EngineFailure>> {
   let incarnation: string | undefined;
   try {
     for await (const line of readLines(body)) {
--- a/src/backends/http_instance_list.ts
+++ b/src/backends/http_instance_list.ts
@@ -6,7 +6,7 @@
   InstanceChanges,
   InstanceList,
   InstanceListFailure,
-} from "./instances.ts";
+} from "./instance_list.ts";
 
 /** Options of {@link HttpInstanceList}. */
 export interface HttpInstanceListOptions {
--- a/src/backends/http_service.ts
+++ b/src/backends/http_service.ts
@@ -7,7 +7,7 @@
   PlainService,
   ServiceCall,
   ServiceFailure,
-  ServiceStep,
+  ServiceResponsePart,
 } from "./service.ts";
 
 /** Options of {@link HttpService}. */
@@ -64,7 +64,7 @@
   async *run(
     call: ServiceCall,
     signal: AbortSignal,
-  ): AsyncGenerator<Result<ServiceStep, ServiceFailure>> {
+  ): AsyncGenerator<Result<ServiceResponsePart, ServiceFailure>> {
     const abortController = new AbortController();
     const combinedSignal = AbortSignal.any([signal, abortController.signal]);
     const answer = await this.#send(call, combinedSignal);
--- a/src/backends/mod.ts
+++ b/src/backends/mod.ts
@@ -1,14 +1,14 @@
 /** HTTP clients of backend servers, the instance list and the weight store. */
 export type {
   CacheEvent,
-  CacheFeedStep,
+  CacheFeedItem,
   Engine,
   EngineCall,
   EngineFailure,
   EngineInfo,
   EngineLoad,
   EngineOrder,
-  EngineStep,
+  EngineResponsePart,
   LoadedModel,
 } from "./engine.ts";
 export { HttpEngine, type HttpEngineOptions } from "./http_engine.ts";
@@ -31,11 +31,11 @@
   type InstanceListFailure,
   InstanceRole,
   InstanceState,
-} from "./instances.ts";
+} from "./instance_list.ts";
 export type {
   HeaderField,
   PlainService,
   ServiceCall,
   ServiceFailure,
-  ServiceStep,
+  ServiceResponsePart,
 } from "./service.ts";
--- a/src/backends/service.ts
+++ b/src/backends/service.ts
@@ -24,7 +24,7 @@
 }
 
 /** A part of a service's response. */
-export type ServiceStep =
+export type ServiceResponsePart =
   | { kind: "head"; status: number; headers: HeaderField[] }
   | { kind: "piece"; data: Uint8Array }
   /** The response is complete. */
@@ -36,6 +36,6 @@
   run(
     call: ServiceCall,
     signal: AbortSignal,
-  ): AsyncIterable<Result<ServiceStep, ServiceFailure>>;
+  ): AsyncIterable<Result<ServiceResponsePart, ServiceFailure>>;
   close(): void;
 }
--- a/src/base/metrics.ts
+++ b/src/base/metrics.ts
@@ -79,7 +79,7 @@
   }
 
   /** @param read Callback that supplies the value each time it is read, in place of `set`. */
-  follow(read: () => number): void {
+  setCallback(read: () => number): void {
     this.#read = read;
   }
 
--- a/src/base/metrics_test.ts
+++ b/src/base/metrics_test.ts
@@ -20,7 +20,7 @@
   const metrics = Metrics.create();
   metrics.counter("a_total", { help: "A", labels: { b: 'x"\\\n', a: "1" } })
     .add(2);
-  metrics.gauge("g", HELP).follow(() => 7);
+  metrics.gauge("g", HELP).setCallback(() => 7);
   assert.equal(
     metrics.render(),
     '# HELP a_total A\n# TYPE a_total counter\na_total{a="1",b="x\\"\\\\\\n"} 2\n' +
--- a/src/capacity/measure_state.ts
+++ b/src/capacity/measure_state.ts
@@ -121,7 +121,7 @@
     for (let at = 0; at < count; at++) {
       const request = requestOf(at);
       const [member] = policy.candidates(request, table);
-      policy.learn({
+      policy.recordObservation({
         kind: "placed",
         request,
         memberId: member!.id,
@@ -208,14 +208,14 @@
 
 function followAll(events: CacheEvent[]): CacheView {
   const view = CacheView.create();
-  view.learnOwner(SCOPE.team, SCOPE.workspace);
-  view.restart({
+  view.addOwner(SCOPE.team, SCOPE.workspace);
+  view.loadSnapshot({
     kind: "snapshot",
     incarnation: "one",
     nextSeq: 1,
     blocks: [],
   });
-  for (const event of events) view.follow("one", event);
+  for (const event of events) view.applyEvent("one", event);
   return view;
 }
 
--- a/src/cli/daemon_options.ts
+++ b/src/cli/daemon_options.ts
@@ -13,7 +13,7 @@
   type SettingSources,
   type SettingValues,
 } from "./settings.ts";
-import { AGENT_SETTINGS, ENTRY_SETTINGS } from "./tables.ts";
+import { AGENT_SETTINGS, ENTRY_SETTINGS } from "./setting_tables.ts";
 
 type EntryValues = SettingValues<typeof ENTRY_SETTINGS>;
 
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -16,7 +16,7 @@
   DEV_SETTINGS,
   ENTRY_SETTINGS,
   STATE_SETTINGS,
-} from "./tables.ts";
+} from "./setting_tables.ts";
 
 const HELP_COLUMNS = 100;
 const YARGS_ERROR = "YError";
--- a/src/cli/security.ts
+++ b/src/cli/security.ts
@@ -9,7 +9,7 @@
   type SettingProblem,
   type SettingValues,
 } from "./settings.ts";
-import type { SECURITY_SETTINGS } from "./tables.ts";
+import type { SECURITY_SETTINGS } from "./setting_tables.ts";
 
 /** Validated values of {@link SECURITY_SETTINGS}; invalid ones are absent. */
 export type SecurityValues = Partial<SettingValues<typeof SECURITY_SETTINGS>>;
--- a/src/cli/serve_dev.ts
+++ b/src/cli/serve_dev.ts
@@ -35,7 +35,7 @@
   type SettingSources,
   type SettingValues,
 } from "./settings.ts";
-import { DEV_SETTINGS } from "./tables.ts";
+import { DEV_SETTINGS } from "./setting_tables.ts";
 
 const ZONE = "local";
 const DRAIN_MS = 10_000;
--- a/src/cli/settings_page.ts
+++ b/src/cli/settings_page.ts
@@ -10,7 +10,7 @@
   DEV_SETTINGS,
   ENTRY_SETTINGS,
   STATE_SETTINGS,
-} from "./tables.ts";
+} from "./setting_tables.ts";
 
 /** Marker line before the generated section. */
 export const PAGE_START =
--- a/src/cli/settings_test.ts
+++ b/src/cli/settings_test.ts
@@ -7,7 +7,7 @@
   readSettings,
   variableOf,
 } from "./settings.ts";
-import { DEV_SETTINGS, ENTRY_SETTINGS } from "./tables.ts";
+import { DEV_SETTINGS, ENTRY_SETTINGS } from "./setting_tables.ts";
 
 const REQUIRED = { instanceId: "entry-1", zone: "a" };
 
--- a/src/cli/state_command.ts
+++ b/src/cli/state_command.ts
@@ -9,7 +9,7 @@
   readSettings,
   type SettingSources,
 } from "./settings.ts";
-import { STATE_SETTINGS } from "./tables.ts";
+import { STATE_SETTINGS } from "./setting_tables.ts";
 
 const TIMEOUT_MS = 10_000;
 const INDENT = 2;
--- a/src/config/branch_set.ts
+++ b/src/config/branch_set.ts
@@ -13,7 +13,7 @@
 import { hashVersion } from "./version_hash.ts";
 
 /** The newest known version of a team's branch, or the tombstone of a deleted team. */
-export interface BranchInForce {
+export interface BranchRecord {
   team: string;
   /** Store revision of the write that created this version. */
   revision: bigint;
@@ -25,9 +25,9 @@
    * Why `json` can't be read, for example because a newer software version wrote it. `json` is
    * still sent to peers unmodified, and `branch` remains the last readable version.
    */
-  unread?: ApplyFailure;
+  readError?: ApplyFailure;
   /** Sequence number of this change within the set. */
-  change: number;
+  changeNumber: number;
 }
 
 /** Why a version of a branch was not applied. */
@@ -37,7 +37,7 @@
   | InvalidBranch;
 
 /** Called after a new version or a deletion has been stored in the set. */
-export type BranchListener = (change: BranchInForce) => void;
+export type BranchListener = (change: BranchRecord) => void;
 
 /**
  * Maximum number of tombstones. Older deletions are covered by the revision up to which the set is
@@ -48,7 +48,7 @@
 
 /** Stores the newest known version of each team's branch. */
 export class BranchSet {
-  readonly #branches = new Map<string, BranchInForce>();
+  readonly #branches = new Map<string, BranchRecord>();
   readonly #tombstones = new Set<string>();
   readonly #unreadTeams = new Set<string>();
   readonly #listeners = new Set<BranchListener>();
@@ -87,7 +87,7 @@
    * @param team The team's name.
    * @returns Its record; undefined if the team is unknown or deleted, or was never readable.
    */
-  get(team: string): BranchInForce | undefined {
+  get(team: string): BranchRecord | undefined {
     const found = this.#branches.get(team);
     return found?.branch ? found : undefined;
   }
@@ -96,12 +96,12 @@
    * @param team The team's name.
    * @returns Its record, also if the team is deleted or its branch can't be read.
    */
-  held(team: string): BranchInForce | undefined {
+  getRecord(team: string): BranchRecord | undefined {
     return this.#branches.get(team);
   }
 
   /** @returns The records of all teams, including tombstones. */
-  all(): BranchInForce[] {
+  all(): BranchRecord[] {
     return [...this.#branches.values()];
   }
 
@@ -138,7 +138,7 @@
    * @param team The team's name.
    * @returns The revision up to which all versions of the team are known or superseded.
    */
-  knownTo(team: string): bigint {
+  latestKnownRevision(team: string): bigint {
     const held = this.#branches.get(team);
     if (!held) return this.#completeTo;
     if (exists(held) || held.revision > this.#completeTo) return held.revision;
@@ -152,21 +152,21 @@
    * @param stored A branch as received from the store or a peer.
    * @returns The new record, or why the version did not take effect.
    */
-  apply(stored: Branch): Result<BranchInForce, ApplyFailure> {
-    const knownTo = this.knownTo(stored.team);
-    if (stored.revision <= knownTo) {
-      return Result.err({ kind: "older", revision: knownTo });
+  apply(stored: Branch): Result<BranchRecord, ApplyFailure> {
+    const latestKnownRevision = this.latestKnownRevision(stored.team);
+    if (stored.revision <= latestKnownRevision) {
+      return Result.err({ kind: "older", revision: latestKnownRevision });
     }
     const decoded = decodeBranch(stored);
     const previous = this.#branches.get(stored.team)?.branch;
-    const change: BranchInForce = {
+    const change: BranchRecord = {
       team: stored.team,
       revision: stored.revision,
       branch: decoded.isOk ? decoded.value : previous,
       json: stored.json,
-      change: ++this.#changes,
+      changeNumber: ++this.#changes,
     };
-    if (decoded.isErr) change.unread = decoded.error;
+    if (decoded.isErr) change.readError = decoded.error;
     this.#storeRecord(change);
     return decoded.isOk ? Result.ok(change) : Result.err(decoded.error);
   }
@@ -203,17 +203,17 @@
    * @param revision Store revision of the list.
    */
   deleteUnlisted(listed: ReadonlySet<string>, revision: bigint): void {
-    for (const held of this.all()) {
-      if (!exists(held) || listed.has(held.team)) continue;
-      if (held.revision > revision) continue;
-      const change = ++this.#changes;
-      const team = held.team;
+    for (const record of this.all()) {
+      if (!exists(record) || listed.has(record.team)) continue;
+      if (record.revision > revision) continue;
+      const changeNumber = ++this.#changes;
+      const team = record.team;
       this.#storeRecord({
         team,
         revision,
         branch: undefined,
         json: EMPTY_JSON,
-        change,
+        changeNumber,
       });
     }
   }
@@ -236,7 +236,7 @@
     return () => this.#listeners.delete(listener);
   }
 
-  #storeRecord(change: BranchInForce): void {
+  #storeRecord(change: BranchRecord): void {
     const { team } = change;
     const previous = this.#branches.get(team);
     if (previous && exists(previous)) this.#hash ^= hashVersion(previous);
@@ -245,7 +245,7 @@
     this.#tombstones.delete(team);
     this.#unreadTeams.delete(team);
     if (!exists(change)) this.#tombstones.add(team);
-    if (change.unread) this.#unreadTeams.add(team);
+    if (change.readError) this.#unreadTeams.add(team);
     if (this.#tombstones.size > MAX_TOMBSTONES) this.#dropOldestTombstone();
     for (const listener of this.#listeners) listener(change);
   }
@@ -267,8 +267,8 @@
   failure: ApplyFailure;
 }
 
-function exists(held: BranchInForce): boolean {
-  return held.json.length > 0;
+function exists(record: BranchRecord): boolean {
+  return record.json.length > 0;
 }
 
 function decodeBranch(
--- a/src/config/branch_set_test.ts
+++ b/src/config/branch_set_test.ts
@@ -96,7 +96,7 @@
   const applied = set.apply(branchAt(6n, NEWER_FORMAT_JSON));
   assert(applied.isErr && applied.error.kind === "invalid_branch");
   assert.equal(set.revisionOf("a"), 6n);
-  assert.deepEqual(set.held("a")?.json, NEWER_FORMAT_JSON);
+  assert.deepEqual(set.getRecord("a")?.json, NEWER_FORMAT_JSON);
   assert.equal(set.get("a")?.branch?.format, 1);
   assert.equal(set.unreadCount, 1);
   set.apply(branchAt(7n));
--- a/src/config/gossip.ts
+++ b/src/config/gossip.ts
@@ -15,7 +15,7 @@
 } from "../wire/gen/cicadahitch.ts";
 import type { BranchSet } from "./branch_set.ts";
 import type { Freshness } from "./freshness.ts";
-import { PeerTable } from "./peer_book.ts";
+import { PeerTable } from "./peer_table.ts";
 import type { PeerCalls } from "./peer_calls.ts";
 
 /** Settings of {@link Gossip}. */
@@ -138,7 +138,7 @@
     const { branches } = this.#options;
     const missing = () =>
       versions.filter(({ team, revision }) =>
-        revision > branches.knownTo(team)
+        revision > branches.latestKnownRevision(team)
       );
     const wanted = missing().map(({ team }) => team);
     for (let start = 0; start < wanted.length; start += FETCH_BATCH_SIZE) {
--- a/src/config/local_fleet.ts
+++ b/src/config/local_fleet.ts
@@ -53,7 +53,7 @@
   readonly nodes = new Map<string, FleetNode>();
   readonly agents = new Map<string, BranchSet>();
   /** Addresses of nodes and agents that the simulated network isolates from all others. */
-  readonly cutOff = new Set<string>();
+  readonly isolated = new Set<string>();
   readonly counters = { messages: 0, bytes: 0 };
   readonly #options: LocalFleetOptions;
 
@@ -167,12 +167,12 @@
   ): Promise<Result<A, CallFailure>> {
     const { clock, oneWayDelayMs } = this.#options;
     await clock.sleep(oneWayDelayMs);
-    if (this.cutOff.has(from) || this.cutOff.has(to)) {
+    if (this.isolated.has(from) || this.isolated.has(to)) {
       return Result.err(PEER_UNREACHABLE);
     }
     const answer = handler();
     await clock.sleep(oneWayDelayMs);
-    return this.cutOff.has(from) ? Result.err(PEER_UNREACHABLE) : answer;
+    return this.isolated.has(from) ? Result.err(PEER_UNREACHABLE) : answer;
   }
 
   #fetch(branches: BranchSet, teams: string[]): FetchBranchesReply {
--- a/src/config/mod.ts
+++ b/src/config/mod.ts
@@ -11,13 +11,13 @@
 } from "./branch.ts";
 export {
   type ApplyFailure,
-  type BranchInForce,
   type BranchListener,
+  type BranchRecord,
   BranchSet,
   type UnappliedBranch,
 } from "./branch_set.ts";
 export { selectBranches } from "./gossip.ts";
-export { type PeerRecord, PeerTable as PeerBook } from "./peer_book.ts";
+export { type PeerRecord, PeerTable as PeerBook } from "./peer_table.ts";
 export {
   GrpcPeerCalls,
   type GrpcPeerCallsOptions,
@@ -38,7 +38,7 @@
   teamOfKey,
   TEAMS_PREFIX,
   type UnreadableValue,
-  type WriteMark,
+  type WriteMetadata,
 } from "./stored_branch.ts";
 export { ConfigSync, type ReadyOutcome } from "./sync.ts";
 export type { ConfigSyncOptions } from "./sync_options.ts";
--- a/src/config/peer_book.ts
+++ b/src/config/peer_table.ts
@@ -80,12 +80,13 @@
    * @param revision Revision of a version of the team's branch.
    * @returns Whether the peer is known to have this version or a newer one.
    */
-  has(record: PeerRecord, team: string, revision: bigint): boolean {
+  hasVersion(record: PeerRecord, team: string, revision: bigint): boolean {
     if (record.completeTo >= revision) return true;
     if ((record.versions.get(team) ?? 0n) >= revision) return true;
-    const held = this.#branches.held(team);
+    const held = this.#branches.getRecord(team);
     if (!held || held.json.length === 0) return false;
-    return held.revision >= revision && held.change <= record.equalAtChange;
+    return held.revision >= revision &&
+      held.changeNumber <= record.equalAtChange;
   }
 
   /**
--- a/src/config/stored_branch.ts
+++ b/src/config/stored_branch.ts
@@ -31,7 +31,7 @@
 const STORED_BRANCH = WRITE_METADATA.extend({ branch: z.unknown().optional() });
 
 /** Metadata of a write: the writer, the time, and its position in the team's history. */
-export interface WriteMark {
+export interface WriteMetadata {
   writeId: string;
   writer: string;
   writtenAtMs: number;
@@ -39,7 +39,7 @@
 }
 
 /** A team's value in the store. Unknown fields of newer software versions are preserved. */
-export interface StoredBranch extends WriteMark {
+export interface StoredBranch extends WriteMetadata {
   /** The branch as written, not validated; undefined for a deletion in the history. */
   branch?: unknown;
 }
@@ -95,7 +95,7 @@
  */
 export function encodeBranch(
   branch: unknown,
-  metadata: Partial<WriteMark> = {},
+  metadata: Partial<WriteMetadata> = {},
 ): Uint8Array {
   return encodeStored({
     writeId: randomUUID(),
--- a/src/config/sync.ts
+++ b/src/config/sync.ts
@@ -7,7 +7,7 @@
 import type { VersionDigest } from "../wire/gen/cicadahitch.ts";
 import { Freshness } from "./freshness.ts";
 import { Gossip } from "./gossip.ts";
-import type { PeerTable } from "./peer_book.ts";
+import type { PeerTable } from "./peer_table.ts";
 import { randomSuffix, sample } from "./random.ts";
 import { StoreFollower } from "./store_follower.ts";
 import { type ConfigSyncOptions, withDefaults } from "./sync_options.ts";
@@ -53,8 +53,8 @@
       peers,
       clock,
       log,
-      extendDigest: options.extend,
-      onPeerDigest: options.hear,
+      extendDigest: options.extendDigest,
+      onPeerDigest: options.onPeerDigest,
     });
     this.#follower = store && StoreFollower.create({
       store,
@@ -81,7 +81,7 @@
   }
 
   /** The versions that other entries are known to have. */
-  get book(): PeerTable {
+  get peerTable(): PeerTable {
     return this.#gossip.peerTable;
   }
 
@@ -156,14 +156,14 @@
    * @param teams Teams whose branches the agent is missing.
    * @returns The agent's digest, or why the call failed.
    */
-  async pushTo(
+  async pushToAgent(
     address: string,
     teams: string[],
   ): Promise<Result<VersionDigest, CallFailure>> {
     const { branches, peers } = this.#options;
     const pushed = branches.tombstones();
     for (const team of teams) {
-      const held = branches.held(team);
+      const held = branches.getRecord(team);
       if (!held || held.json.length === 0) continue;
       const { revision, json } = held;
       pushed.push({ team, revision, json: Buffer.from(json) });
@@ -185,7 +185,7 @@
    * @param teams The teams to fetch; an empty list fetches all teams.
    * @returns The number of changes applied, or why the call failed.
    */
-  async fetchFrom(
+  async fetchFromAgent(
     address: string,
     teams: string[] = [],
   ): Promise<Result<number, CallFailure>> {
@@ -199,7 +199,7 @@
     return describeState({
       branches: this.#options.branches,
       freshness: this.#freshness,
-      peerTable: this.book,
+      peerTable: this.peerTable,
       follower: this.#follower,
       isolated: this.isolated,
       nowMs: this.#options.clock.nowMs(),
@@ -241,7 +241,7 @@
       return;
     }
     if (exchanged.error.kind !== "rejected") return;
-    const fetched = await this.fetchFrom(address);
+    const fetched = await this.fetchFromAgent(address);
     if (fetched.isOk && fetched.value > 0) this.#markReady("agent");
   }
 
@@ -267,11 +267,11 @@
     const probed = await store?.get(PROBE_KEY);
     if (probed?.isOk) return this.#freshness.recordContact();
     const agents = sample(seedAddresses(), AGENTS_PER_PROBE, random);
-    await Promise.all(agents.map((address) => this.pushTo(address, [])));
+    await Promise.all(agents.map((address) => this.pushToAgent(address, [])));
   }
 
   #removeStalePeers(beforeMs: number): void {
-    this.book.removeStale(beforeMs);
+    this.peerTable.removeStale(beforeMs);
     for (const [address, atMs] of this.#lastPullAtMs) {
       if (atMs < beforeMs) this.#lastPullAtMs.delete(address);
     }
--- a/src/config/sync_options.ts
+++ b/src/config/sync_options.ts
@@ -42,9 +42,9 @@
   /** Number of peers contacted per gossip round. */
   fanout?: number;
   /** Adds the data of other components to each outgoing digest. */
-  extend?: (digest: VersionDigest) => VersionDigest;
+  extendDigest?: (digest: VersionDigest) => VersionDigest;
   /** Called with each digest received from a peer. */
-  hear?: (digest: VersionDigest) => void;
+  onPeerDigest?: (digest: VersionDigest) => void;
   /** Time without any answer of store, peers or agents until the process is isolated, in ms. */
   isolationLimitMs?: number;
 }
@@ -64,8 +64,8 @@
     exchangeIntervalMs: DEFAULT_EXCHANGE_INTERVAL_MS,
     fanout: DEFAULT_FANOUT,
     isolationLimitMs: DEFAULT_ISOLATION_LIMIT_MS,
-    extend: (digest) => digest,
-    hear: () => {},
+    extendDigest: (digest) => digest,
+    onPeerDigest: () => {},
     ...options,
   };
 }
--- a/src/config/sync_state.ts
+++ b/src/config/sync_state.ts
@@ -1,7 +1,7 @@
 /** Configuration synchronization as shown in state dumps, without API keys. */
 import type { BranchSet } from "./branch_set.ts";
 import type { Freshness } from "./freshness.ts";
-import type { PeerTable } from "./peer_book.ts";
+import type { PeerTable } from "./peer_table.ts";
 import type { FollowerCounters, StoreFollower } from "./store_follower.ts";
 
 /** State of a {@link ConfigSync}. */
@@ -56,7 +56,7 @@
     versions: Object.fromEntries(
       branches.versions().map(({ team, revision }) => [team, `${revision}`]),
     ),
-    unreadTeams: branches.all().filter(({ unread }) => unread)
+    unreadTeams: branches.all().filter(({ readError }) => readError)
       .map(({ team }) => team),
     peers: peerTable.all().map((peer) => ({
       processId: peer.processId,
--- a/src/config/sync_test.ts
+++ b/src/config/sync_test.ts
@@ -135,7 +135,7 @@
   agent.apply({ team: "gone", revision: gone, json });
   agent.apply({ team: "b", revision: 99n, json });
   fleet.agents.set("agent", agent);
-  assert((await node.sync.pushTo("agent", ["a"])).isOk);
+  assert((await node.sync.pushToAgent("agent", ["a"])).isOk);
   assert.equal(agent.get("a")?.revision, a);
   assert.equal(agent.get("gone"), undefined);
   assert.equal(node.branches.get("b")?.revision, 99n);
@@ -185,11 +185,11 @@
   const other = fleet.start("other");
   await waitUntil(holds(node, "a", a));
   node.store.open = false;
-  await waitUntil(() => other.sync.book.get("node") !== undefined);
+  await waitUntil(() => other.sync.peerTable.get("node") !== undefined);
   assert(!node.sync.isolated);
   nowMs += 10_001;
   await waitUntil(() => !node.sync.isolated);
-  fleet.cutOff.add("node");
+  fleet.isolated.add("node");
   nowMs += 10_000;
   assert(!node.sync.isolated);
   nowMs += 1;
@@ -197,7 +197,7 @@
   assert.equal(node.branches.get("a")?.revision, a);
   assert(!other.sync.isolated);
   const second = put(store, "a");
-  fleet.cutOff.delete("node");
+  fleet.isolated.delete("node");
   await waitUntil(() => !node.sync.isolated);
   await waitUntil(holds(node, "a", second));
   await fleet.stopAll();
@@ -211,8 +211,8 @@
   await waitUntil(holds(one, "a", a));
   await waitUntil(holds(two, "a", a));
   await one.sync.exchangeWith("two");
-  const record = one.sync.book.get("two");
-  assert(record && one.sync.book.has(record, "a", a));
-  assert(!one.sync.book.has(record, "a", a + 1000n));
+  const record = one.sync.peerTable.get("two");
+  assert(record && one.sync.peerTable.hasVersion(record, "a", a));
+  assert(!one.sync.peerTable.hasVersion(record, "a", a + 1000n));
   await fleet.stopAll();
 });
--- a/src/entry/_fake_agent.ts
+++ b/src/entry/_fake_agent.ts
@@ -27,7 +27,7 @@
   /** Sequence number after the last piece that the entry acknowledged. */
   ackedSeq: number;
   /** True once the entry has cancelled the connection. */
-  isOver: boolean;
+  isCancelled: boolean;
   send(step: RunDown["step"]): void;
   started(change?: { attempt?: number; agentIncarnation?: string }): void;
   pieces(firstSeq: number, texts: string[]): void;
@@ -189,7 +189,7 @@
     });
     call.on("end", () => call.end());
     call.on("cancelled", () => {
-      if (run) run.isOver = true;
+      if (run) run.isCancelled = true;
     });
   }
 
@@ -201,7 +201,7 @@
     return {
       start,
       ackedSeq: start.nextSeq,
-      isOver: false,
+      isCancelled: false,
       send,
       started: (change = {}) =>
         send({
--- a/src/entry/_run_connection.ts
+++ b/src/entry/_run_connection.ts
@@ -4,7 +4,7 @@
   type CallFailure,
   type ChannelLease,
   failureOf,
-  isRefused,
+  isConnectionRefused,
 } from "../wire/mod.ts";
 import type { RunDown, RunUp, StartRun } from "../wire/gen/cicadahitch.ts";
 
@@ -70,7 +70,7 @@
 
   /** Whether the agent's address refuses connections. */
   get isRefused(): boolean {
-    return this.#failure !== undefined && isRefused(this.#failure);
+    return this.#failure !== undefined && isConnectionRefused(this.#failure);
   }
 
   /** Whether the stream has ended, normally or with an error. */
--- a/src/entry/answer_sink.ts
+++ b/src/entry/answer_sink.ts
@@ -42,7 +42,7 @@
  * @returns Undefined if more can be written, else a promise that resolves when the buffer has drained,
  * the connection is closed or the signal is aborted.
  */
-export function writeWithPressure(
+export function writeWithBackpressure(
   response: ServerResponse,
   data: Buffer,
   signal: AbortSignal,
--- a/src/entry/ask.ts
+++ b/src/entry/ask.ts
@@ -1,6 +1,6 @@
 /**
  * Asks candidate agents for offers in parallel, with a short timeout. Late answers are not part of the
- * result, but are still reported to {@link AskerOptions.observe}.
+ * result, but are still reported to {@link AskerOptions.onOutcome}.
  */
 import type { Clock } from "../base/mod.ts";
 import { callUnary, type ChannelLease, type ChannelPool } from "../wire/mod.ts";
@@ -37,7 +37,7 @@
   channels: ChannelPool;
   config: BranchSync;
   /** Called with every answer, including late ones. */
-  observe: (outcome: AskOutcome) => void;
+  onOutcome: (outcome: AskOutcome) => void;
   clock: Clock;
   /** Timeout of one call to an agent, in ms. */
   timeoutMs: number;
@@ -126,7 +126,7 @@
       if (outcome.kind === "failed" && outcome.message === TIMEOUT_MESSAGE) {
         lease = this.#options.channels.replace(lease);
       }
-      this.#options.observe(outcome);
+      this.#options.onOutcome(outcome);
       return outcome;
     } finally {
       lease.release();
--- a/src/entry/attempts.ts
+++ b/src/entry/attempts.ts
@@ -3,7 +3,7 @@
 import type { Policy } from "../placement/mod.ts";
 import type { AskRequest } from "../wire/gen/cicadahitch.ts";
 import type { ChannelPool } from "../wire/mod.ts";
-import type { AttemptObserver } from "./attempt.ts";
+import type { AttemptObserver } from "./forward_run.ts";
 import type { Members } from "./members.ts";
 import type { DispatchReport, RunRequest, Target } from "./run_request.ts";
 import { RunStream } from "./run_stream.ts";
@@ -73,14 +73,14 @@
     const memberId = target.member.id;
     return {
       onStarted: ({ agentIncarnation }) => {
-        members.noteIncarnation(memberId, agentIncarnation);
-        request.route.placed(target);
+        members.recordIncarnation(memberId, agentIncarnation);
+        request.route.recordStarted(target);
         request.onStarted();
       },
       onPieces: () => {
         if (attempt.firstPieceAtMs !== undefined) return;
         attempt.firstPieceAtMs = clock.nowMs();
-        policy.learn({ kind: "answered", memberId });
+        policy.recordObservation({ kind: "answered", memberId });
         request.onFirstPiece();
       },
     };
--- a/src/entry/pressure_test.ts
+++ b/src/entry/backpressure_test.ts
@@ -13,7 +13,7 @@
 async function sendAll(run: FakeRun): Promise<number> {
   run.started();
   let seq = 0;
-  while (seq < PIECES && !run.isOver) {
+  while (seq < PIECES && !run.isCancelled) {
     if (seq < run.ackedSeq + run.start.windowPieces) run.pieces(seq++, [PIECE]);
     else await sleep(1);
     sent = seq;
--- a/src/entry/whole_sink.ts
+++ b/src/entry/buffered_sink.ts
@@ -7,7 +7,7 @@
 import type { PromptAPI } from "../placement/mod.ts";
 
 /** Buffers the answer until it is complete. */
-export class WholeSink implements AnswerSink {
+export class BufferedSink implements AnswerSink {
   readonly isCommitted = false;
   readonly #response: ServerResponse;
   readonly #api: PromptAPI;
@@ -24,8 +24,8 @@
    * @param api The API whose answer format is used.
    * @returns An empty sink.
    */
-  static create(response: ServerResponse, api: PromptAPI): WholeSink {
-    return new WholeSink(response, api);
+  static create(response: ServerResponse, api: PromptAPI): BufferedSink {
+    return new BufferedSink(response, api);
   }
 
   reset(): void {
--- a/src/entry/cancel_run.ts
+++ b/src/entry/cancel_run.ts
@@ -1,5 +1,9 @@
 /** Cancels a run at its agent and determines whether the run was executed. */
-import { callUnary, type ChannelLease, isRefused } from "../wire/mod.ts";
+import {
+  callUnary,
+  type ChannelLease,
+  isConnectionRefused,
+} from "../wire/mod.ts";
 import type { CancelReply, CancelRequest } from "../wire/gen/cicadahitch.ts";
 import { Execution } from "./errors.ts";
 
@@ -46,7 +50,7 @@
     Ok: (reply) => resultOf(reply, options.agentIncarnation),
     Err: (failure) => ({
       execution: Execution.Unknown,
-      agentGone: isRefused(failure),
+      agentGone: isConnectionRefused(failure),
       answered: false,
     }),
   });
--- a/src/entry/dispatch.ts
+++ b/src/entry/dispatch.ts
@@ -7,7 +7,7 @@
   RunOutcome,
 } from "../wire/gen/cicadahitch.ts";
 import type { BranchSync } from "./ask.ts";
-import { type AttemptOutcome, forwardRun } from "./attempt.ts";
+import { type AttemptOutcome, forwardRun } from "./forward_run.ts";
 import { type Attempt, Attempts, type AttemptsOptions } from "./attempts.ts";
 import { AbortCause } from "./caller.ts";
 import { Execution, notRun, type RequestFailure } from "./errors.ts";
@@ -26,7 +26,7 @@
   decideOnSilence,
   type Decision,
   SilenceAction,
-} from "./run_fate.ts";
+} from "./run_decisions.ts";
 import type { DispatchReport, RunRequest, Target } from "./run_request.ts";
 import type { RunSuspects, SuspectedCall } from "./run_suspects.ts";
 
@@ -161,7 +161,7 @@
     const { policy, members } = this.#options;
     const memberId = target.member.id;
     const { cause } = request.caller;
-    if (!cause) policy.learn({ kind: "failed", memberId });
+    if (!cause) policy.recordObservation({ kind: "failed", memberId });
     const failure = lossFailure(loss, cause);
     if (cause) return { kind: "failed", failure };
     const agentGone = loss.agentGone || members.isGone(memberId);
@@ -205,7 +205,10 @@
           await this.#decideOnRefusal(request, target, event.refusal);
           continue;
         case "lost":
-          policy.learn({ kind: "failed", memberId: target.member.id });
+          policy.recordObservation({
+            kind: "failed",
+            memberId: target.member.id,
+          });
           if (event.loss.execution === Execution.NotRun) continue;
           progress.reruns++;
           return undefined;
@@ -222,7 +225,10 @@
         return undefined;
       }
       report.reattaches += silent.stream.reattaches;
-      policy.learn({ kind: "failed", memberId: silent.target.member.id });
+      policy.recordObservation({
+        kind: "failed",
+        memberId: silent.target.member.id,
+      });
       void silent.stream.abandon("Another agent has taken it over");
       this.#attempts.observe(request, replacement).onStarted(event.started);
       request.sink.reset();
@@ -245,7 +251,11 @@
     if (refusal.code === RefusalCode.LEAVING) {
       this.#options.members.markLeaving(memberId);
     }
-    this.#options.policy.learn({ kind: "refused", memberId, retryAfterMs });
+    this.#options.policy.recordObservation({
+      kind: "refused",
+      memberId,
+      retryAfterMs,
+    });
     request.route.refusals.push(refusal);
     if (!isFinalRefusal(refusal, request.hasIdempotencyKey)) {
       return { kind: "elsewhere" };
@@ -260,7 +270,7 @@
   ): Promise<Target | undefined> {
     const { address } = target.member;
     const isAccepted = await this.#options.config.push(address, ask.team);
-    return isAccepted ? route.again(target) : undefined;
+    return isAccepted ? route.retryTarget(target) : undefined;
   }
 
   #decideOnEnd(request: RunRequest, memberId: string, end: RunEnd): Decision {
@@ -272,7 +282,7 @@
     const isServerFailure = end.outcome === RunOutcome.FAILED ||
       end.outcome === RunOutcome.UNKNOWN;
     if (!isServerFailure) return { kind: "failed", failure };
-    this.#options.policy.learn({ kind: "failed", memberId });
+    this.#options.policy.recordObservation({ kind: "failed", memberId });
     const isOver = end.outcome === RunOutcome.FAILED;
     return decideOnRerun(request, failure, { isOver });
   }
--- a/src/entry/entry_metrics.ts
+++ b/src/entry/entry_metrics.ts
@@ -94,7 +94,9 @@
   registerGauges(sources: GaugeSources): void {
     for (const [name, help] of Object.entries(GAUGES)) {
       const read = sources[name as keyof GaugeSources];
-      this.#metrics.gauge(`cicadahitch_entry_${name}`, { help }).follow(read);
+      this.#metrics.gauge(`cicadahitch_entry_${name}`, { help }).setCallback(
+        read,
+      );
     }
   }
 
--- a/src/entry/entry_parts.ts
+++ b/src/entry/entry_parts.ts
@@ -26,7 +26,7 @@
 import { RunSuspects } from "./run_suspects.ts";
 import { TeamShares } from "./team_shares.ts";
 import { DEFAULT_TUNING, type EntryTuning } from "./tuning.ts";
-import { VersionMemory } from "./version_memory.ts";
+import { MissingVersions } from "./missing_versions.ts";
 
 /** The components of an entry. */
 export interface EntryParts {
@@ -118,13 +118,14 @@
   const budget = RetryBudget.create();
   const asker = Asker.create({
     channels,
-    observe: (outcome) => applyAskOutcome(outcome, { members, policy }),
+    onOutcome: (outcome) => applyAskOutcome(outcome, { members, policy }),
     clock,
     timeoutMs: tuning.askTimeoutMs,
     config: {
-      push: async (address, team) => (await sync.pushTo(address, [team])).isOk,
+      push: async (address, team) =>
+        (await sync.pushToAgent(address, [team])).isOk,
       fetch: async (address, team) => {
-        await sync.fetchFrom(address, [team]);
+        await sync.fetchFromAgent(address, [team]);
       },
     },
   });
@@ -151,7 +152,7 @@
       clock,
       tuning,
       asker,
-      versions: VersionMemory.create(clock),
+      versions: MissingVersions.create(clock),
       demand: parts.demand,
     },
     knowsAllTeams: () => sync.knowsAllTeams,
@@ -172,7 +173,7 @@
     sync,
     branches,
     dumpState,
-    extendAnswer: (asked, answer) => shares.extendAnswer(asked, answer),
+    extendAnswer: (asked, answer) => shares.addShares(asked, answer),
   });
   listener.addService(PeerService, service);
 }
@@ -225,8 +226,8 @@
     lifecycle,
     log,
     clock,
-    extend: (digest) => suspects.extend(digest),
-    hear: (digest) => suspects.hear(digest),
+    extendDigest: (digest) => suspects.addSuspects(digest),
+    onPeerDigest: (digest) => suspects.mergeDigest(digest),
   });
 }
 
@@ -304,17 +305,17 @@
   switch (outcome.kind) {
     case "offer": {
       const { running, waiting } = outcome.offer;
-      members.noteIncarnation(memberId, outcome.agentIncarnation);
-      policy.learn({ kind: "load", memberId, running, waiting });
+      members.recordIncarnation(memberId, outcome.agentIncarnation);
+      policy.recordObservation({ kind: "load", memberId, running, waiting });
       return;
     }
     case "refused": {
       const { code, retryAfterMs } = outcome.refusal;
       if (code === RefusalCode.LEAVING) members.markLeaving(memberId);
-      policy.learn({ kind: "refused", memberId, retryAfterMs });
+      policy.recordObservation({ kind: "refused", memberId, retryAfterMs });
       return;
     }
     case "failed":
-      policy.learn({ kind: "failed", memberId });
+      policy.recordObservation({ kind: "failed", memberId });
   }
 }
--- a/src/entry/handler_deps.ts
+++ b/src/entry/handler_deps.ts
@@ -51,7 +51,7 @@
   const identified = authenticate(deps.branches, authorization);
   if (identified.isErr) {
     const team = claimedTeam(authorization);
-    const mayExist = team !== "" && !deps.branches.held(team) &&
+    const mayExist = team !== "" && !deps.branches.getRecord(team) &&
       !deps.knowsAllTeams();
     return mayExist ? Result.err(notReady()) : identified;
   }
--- a/src/entry/instance_follower.ts
+++ b/src/entry/instance_follower.ts
@@ -9,7 +9,7 @@
   type InstanceList,
   InstanceRole,
   InstanceState,
-} from "../backends/instances.ts";
+} from "../backends/instance_list.ts";
 import { callUnary, type ChannelPool } from "../wire/mod.ts";
 import type {
   DumpStateReply,
--- a/src/entry/members.ts
+++ b/src/entry/members.ts
@@ -9,7 +9,7 @@
   type InstanceChanges,
   InstanceRole,
   InstanceState,
-} from "../backends/instances.ts";
+} from "../backends/instance_list.ts";
 
 /** A backend server that requests can be sent to. */
 export interface ServerMember extends Member {
@@ -128,7 +128,7 @@
    * @param id Id of an instance.
    * @param incarnation Incarnation of the agent process that answered.
    */
-  noteIncarnation(id: string, incarnation: string): void {
+  recordIncarnation(id: string, incarnation: string): void {
     if (this.#instances.has(id)) this.#incarnations.set(id, incarnation);
   }
 
--- a/src/entry/members_test.ts
+++ b/src/entry/members_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { createSilentLogger, systemClock } from "../base/mod.ts";
 import { Result } from "true-myth";
-import type { Instance, InstanceChanges } from "../backends/instances.ts";
+import type { Instance, InstanceChanges } from "../backends/instance_list.ts";
 import { ChannelPool } from "../wire/mod.ts";
 import { BRANCH, FakeAgent } from "./_fake_agent.ts";
 import { ABC, errorOf, send, startEntry } from "./_fixture.ts";
--- a/src/entry/version_memory.ts
+++ b/src/entry/missing_versions.ts
@@ -8,7 +8,7 @@
 const MAX_VERSIONS = 1000;
 
 /** Negative cache of weights versions that branches name but no server has. */
-export class VersionMemory {
+export class MissingVersions {
   readonly #clock: Clock;
   readonly #missingUntilMs = new Map<string, number>();
 
@@ -20,8 +20,8 @@
    * @param clock Expires the entries.
    * @returns An empty cache.
    */
-  static create(clock: Clock): VersionMemory {
-    return new VersionMemory(clock);
+  static create(clock: Clock): MissingVersions {
+    return new MissingVersions(clock);
   }
 
   /**
--- a/src/entry/model_handler.ts
+++ b/src/entry/model_handler.ts
@@ -20,7 +20,7 @@
 import { OfferRoute } from "./routes.ts";
 import { Rerun } from "./run_request.ts";
 import { StreamSink } from "./stream_sink.ts";
-import { WholeSink } from "./whole_sink.ts";
+import { BufferedSink } from "./buffered_sink.ts";
 
 /** A request that was authenticated and validated. */
 interface CheckedRequest {
@@ -101,7 +101,7 @@
   const { model, identity, settings } = request;
   const sink = model.isStream
     ? StreamSink.create(response, caller.signal)
-    : WholeSink.create(response, model.api);
+    : BufferedSink.create(response, model.api);
   const ask = buildAskRequest(deps, request);
   const rerun = settings.idempotencyKey === "" ? Rerun.WhenOver : Rerun.Never;
   const body = Buffer.from(JSON.stringify(model.body));
--- a/src/entry/routes.ts
+++ b/src/entry/routes.ts
@@ -20,7 +20,7 @@
 import type { RetryBudget } from "./retry_budget.ts";
 import type { Route, Target } from "./run_request.ts";
 import type { EntryTuning } from "./tuning.ts";
-import type { VersionMemory } from "./version_memory.ts";
+import type { MissingVersions } from "./missing_versions.ts";
 
 /** Options of all routes. */
 export interface RouteOptions {
@@ -40,7 +40,7 @@
 export interface OfferRouteOptions extends RouteOptions {
   caller: Caller;
   placement: PlacementRequest;
-  versions: VersionMemory;
+  versions: MissingVersions;
   /** Counts requests for models that no server offered to run. */
   demand: DemandMeter;
 }
@@ -95,10 +95,10 @@
     return undefined;
   }
 
-  placed({ runId, member }: Target): void {
+  recordStarted({ runId, member }: Target): void {
     const offered = this.#offerByRun.get(runId + member.id);
     if (!offered) return;
-    this.#options.policy.learn({
+    this.#options.policy.recordObservation({
       kind: "placed",
       request: this.#options.placement,
       memberId: member.id,
@@ -110,7 +110,7 @@
    * Never repeats an attempt: an agent that made an offer had the branch, so an agent that lacks it
    * now is another process.
    */
-  again(): undefined {}
+  retryTarget(): undefined {}
 
   /** @returns False when the retry budget or the candidates are exhausted. */
   async #prepareAttempt(): Promise<boolean> {
@@ -268,9 +268,9 @@
     }
   }
 
-  placed(): void {}
+  recordStarted(): void {}
 
-  again(target: Target): Target | undefined {
+  retryTarget(target: Target): Target | undefined {
     if (this.#wasRetried) return undefined;
     this.#wasRetried = true;
     return {
--- a/src/entry/run_request.ts
+++ b/src/entry/run_request.ts
@@ -32,12 +32,12 @@
   /** Refusals received for this request so far. */
   readonly refusals: Refusal[];
   /** Records that the target's agent has started the request. */
-  placed(target: Target): void;
+  recordStarted(target: Target): void;
   /**
    * @param target A server that lacked the team's branch and has received it now.
    * @returns A target for one more attempt at the same server; undefined if none is allowed.
    */
-  again(target: Target): Target | undefined;
+  retryTarget(target: Target): Target | undefined;
 }
 
 /** A request that is ready to be dispatched. */
--- a/src/entry/run_stream.ts
+++ b/src/entry/run_stream.ts
@@ -1,6 +1,6 @@
 /**
  * Reads a run from its agent, completely and in order. A connection without progress is replaced, and
- * the run is reattached at the next missing piece. `run_fate.ts` decides when a run ends.
+ * the run is reattached at the next missing piece. `run_decisions.ts` decides when a run ends.
  */
 import type { Clock } from "../base/mod.ts";
 import type {
@@ -13,7 +13,7 @@
 } from "../wire/gen/cicadahitch.ts";
 import { RunOutcome } from "../wire/gen/cicadahitch.ts";
 import type { ChannelLease, ChannelPool } from "../wire/mod.ts";
-import { AttachBackoff } from "./_attach_pace.ts";
+import { AttachBackoff } from "./_attach_backoff.ts";
 import { PieceCounter } from "./_piece_counter.ts";
 import { RunConnection } from "./_run_connection.ts";
 import { type CancelResult, cancelRun } from "./cancel_run.ts";
--- a/src/entry/run_suspects.ts
+++ b/src/entry/run_suspects.ts
@@ -6,10 +6,10 @@
 import type { Clock, Logger } from "../base/mod.ts";
 import type { KeyValueEntry, KeyValueStore } from "../store/mod.ts";
 import {
+  CLEARED_AFTER_MS,
   hashRequest,
-  SERIOUS_ENDS,
+  MIN_SHARED_ENDS,
   type ServerEnd,
-  SETTLED_MS,
   SUSPECT_RECORD_KEY,
   SuspectRecord,
   type SuspectSource,
@@ -76,11 +76,11 @@
     return new RunSuspects(options);
   }
 
-  get hasOwnNews(): boolean {
+  get hasUnrecordedChanges(): boolean {
     return this.#hasOwnNews;
   }
 
-  recorded(): void {
+  markRecorded(): void {
     this.#hasOwnNews = false;
   }
 
@@ -99,7 +99,7 @@
 
   /**
    * Records a suspicion if the run's engine ended. Runs that had already produced output for
-   * {@link SETTLED_MS} are ignored.
+   * {@link CLEARED_AFTER_MS} are ignored.
    *
    * @param call The request.
    * @param run A run of the request that has ended, successfully or not.
@@ -112,12 +112,12 @@
     const { endedEngine } = end;
     if (endedEngine === undefined) return;
     const answeringMs = firstPieceAtMs && atMs - firstPieceAtMs;
-    if (answeringMs !== undefined && answeringMs >= SETTLED_MS) return;
+    if (answeringMs !== undefined && answeringMs >= CLEARED_AFTER_MS) return;
     const server = `${memberId}/${endedEngine}`;
     const runMs = atMs - sentAtMs;
     const digest = digestOf(call);
     const seen = { server, answeringMs, atMs, runMs };
-    if (!this.table.note(digest, seen)) return;
+    if (!this.table.recordEnd(digest, seen)) return;
     this.#hasOwnNews = true;
     this.#logSuspect(digest);
   }
@@ -131,28 +131,28 @@
     this.#hasOwnNews = true;
   }
 
-  learn(digest: string, end: ServerEnd): void {
-    if (this.table.note(digest, end)) this.#logSuspect(digest);
+  mergeEnd(digest: string, end: ServerEnd): void {
+    if (this.table.recordEnd(digest, end)) this.#logSuspect(digest);
   }
 
   /**
    * @param digest A digest that this process is about to send to another entry.
    * @returns The digest with the suspected and cleared requests added, if there are any.
    */
-  extend(digest: VersionDigest): VersionDigest {
+  addSuspects(digest: VersionDigest): VersionDigest {
     const suspects = this.#buildDigest();
     const isEmpty = suspects.ended.length + suspects.cleared.length === 0;
     return isEmpty ? digest : { ...digest, suspects };
   }
 
   /** @param digest Another entry's digest, whose suspected and cleared requests are merged. */
-  hear({ suspects }: VersionDigest): void {
+  mergeDigest({ suspects }: VersionDigest): void {
     const nowMs = this.#options.clock.nowMs();
     for (const { digest, ageMs } of suspects?.cleared ?? []) {
       this.#clear(digest, nowMs - ageMs);
     }
     for (const { digest, ageMs, ...end } of suspects?.ended ?? []) {
-      this.learn(digest, { ...end, atMs: nowMs - ageMs });
+      this.mergeEnd(digest, { ...end, atMs: nowMs - ageMs });
     }
   }
 
@@ -186,7 +186,7 @@
     const entry = await store.get(SUSPECT_RECORD_KEY);
     if (entry.isErr) return false;
     this.#record = entry.value;
-    record.recall();
+    record.loadStored();
     return true;
   }
 
@@ -221,7 +221,7 @@
 
   #logSuspect(digest: string): void {
     const verdict = this.table.verdict(digest);
-    if (verdict.kind === "clear" || verdict.endCount < SERIOUS_ENDS) return;
+    if (verdict.kind === "clear" || verdict.endCount < MIN_SHARED_ENDS) return;
     const { kind, endCount } = verdict;
     this.#options.log.warn(
       { digest, endCount, kind },
--- a/src/entry/run_suspects_test.ts
+++ b/src/entry/run_suspects_test.ts
@@ -58,7 +58,7 @@
     recordServerEnds(entry, clock, { call, count: i + 1 })
   );
   const [first, , last] = entries;
-  first!.hear(last!.extend(DIGEST));
+  first!.mergeDigest(last!.addSuspects(DIGEST));
   assert.equal(first!.refusalOf(call)?.code, "quarantined");
   assert.ok(first!.refusalOf(call)!.retryAfterMs! > 0);
   assert.equal(first!.refusalOf(callWith("other")), undefined);
@@ -69,14 +69,14 @@
   const [near, far] = [create(clock), create(clock)];
   const call = callWith("unlucky");
   recordServerEnds(near, clock, { call, count: 3 });
-  far.hear(near.extend(DIGEST));
+  far.mergeDigest(near.addSuspects(DIGEST));
   near.answered(call);
-  far.hear(near.extend(DIGEST));
+  far.mergeDigest(near.addSuspects(DIGEST));
   assert.equal(far.refusalOf(call), undefined);
-  near.hear(far.extend(DIGEST));
+  near.mergeDigest(far.addSuspects(DIGEST));
   assert.equal(near.refusalOf(call), undefined);
 });
 
 test("entry without suspects adds nothing to its digest", () => {
-  assert.equal(create(new TestClock()).extend(DIGEST), DIGEST);
+  assert.equal(create(new TestClock()).addSuspects(DIGEST), DIGEST);
 });
--- a/src/entry/service_sink.ts
+++ b/src/entry/service_sink.ts
@@ -4,7 +4,7 @@
 import {
   type AnswerSink,
   writeFailure,
-  writeWithPressure,
+  writeWithBackpressure,
 } from "./answer_sink.ts";
 import type { RequestFailure } from "./errors.ts";
 import { endToEndHeaders } from "./service_headers.ts";
@@ -48,7 +48,7 @@
   pieces(data: Buffer[]): Promise<void> | undefined {
     this.#sendHead();
     const body = data.length === 1 ? data[0]! : Buffer.concat(data);
-    return writeWithPressure(this.#response, body, this.#signal);
+    return writeWithBackpressure(this.#response, body, this.#signal);
   }
 
   finish(): undefined {
--- a/src/entry/shared_limits_test.ts
+++ b/src/entry/shared_limits_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { after, test } from "node:test";
 import { createSilentLogger, systemClock } from "../base/mod.ts";
-import type { Instance } from "../backends/instances.ts";
+import type { Instance } from "../backends/instance_list.ts";
 import { StandinInstanceList } from "../standin/mod.ts";
 import { BRANCH, FakeAgent } from "./_fake_agent.ts";
 import { ABC, errorOf, send } from "./_fixture.ts";
--- a/src/entry/stream_sink.ts
+++ b/src/entry/stream_sink.ts
@@ -4,7 +4,7 @@
 import {
   type AnswerSink,
   writeFailure,
-  writeWithPressure,
+  writeWithBackpressure,
 } from "./answer_sink.ts";
 import { errorBody, type RequestFailure } from "./errors.ts";
 
@@ -44,7 +44,7 @@
     this.#commit();
     const parts: Buffer[] = [];
     for (const piece of data) parts.push(DATA, piece, EVENT_END);
-    return writeWithPressure(
+    return writeWithBackpressure(
       this.#response,
       Buffer.concat(parts),
       this.#signal,
--- a/src/entry/team_shares.ts
+++ b/src/entry/team_shares.ts
@@ -75,7 +75,7 @@
    * @param answer The answer to that digest.
    * @returns The answer with a share for each team whose demand the other entry reported.
    */
-  extendAnswer(asked: VersionDigest, answer: VersionDigest): VersionDigest {
+  addShares(asked: VersionDigest, answer: VersionDigest): VersionDigest {
     if (!asked.limits) return answer;
     const { demands } = asked.limits;
     const shares = this.ledger.answer(asked.processId, demands);
--- a/src/entry/versions_test.ts
+++ b/src/entry/versions_test.ts
@@ -9,7 +9,7 @@
 } from "../wire/gen/cicadahitch.ts";
 import { FakeAgent, type FakeRun } from "./_fake_agent.ts";
 import { ABC, send, startEntry } from "./_fixture.ts";
-import { VersionMemory } from "./version_memory.ts";
+import { MissingVersions } from "./missing_versions.ts";
 
 const OFFER: Offer = {
   holdId: "h",
@@ -70,7 +70,7 @@
 
 test("missing version is searched again after its entry expires", async () => {
   const clock = ManualClock.create();
-  const memory = VersionMemory.create(clock);
+  const memory = MissingVersions.create(clock);
   memory.noteMissing(WANTED);
   assert.equal(memory.isMissing(WANTED), true);
   assert.equal(memory.isMissing({ ...WANTED, weightsVersion: "2" }), false);
--- a/src/experiment/entry_model.ts
+++ b/src/experiment/entry_model.ts
@@ -173,12 +173,20 @@
     const { clock, zoneRttMs } = this.#options;
     const halfMs = zoneRttMs[member.zone]! / 2;
     const { request } = record.plan.prompt;
-    this.policy.learn({ kind: "placed", request, memberId: member.id, offer });
+    this.policy.recordObservation({
+      kind: "placed",
+      request,
+      memberId: member.id,
+      offer,
+    });
     await clock.sleep(halfMs);
     return await member.run(ask, offer.holdId, {
       onFirstPiece: () => {
         record.ttftMs = clock.nowMs() + halfMs - startMs;
-        this.policy.learn({ kind: "answered", memberId: member.id });
+        this.policy.recordObservation({
+          kind: "answered",
+          memberId: member.id,
+        });
       },
     });
   }
@@ -197,7 +205,7 @@
       record.outcome = "answered";
       return true;
     }
-    this.policy.learn({ kind: "failed", memberId: member.id });
+    this.policy.recordObservation({ kind: "failed", memberId: member.id });
     record.outcome = "failed";
     // Nothing reached the caller, and the engine has dropped it.
     return result.wasStarted;
@@ -206,7 +214,11 @@
   #noteRefusal(member: Worker, refusal: Refusal, record: RequestRecord): void {
     const { retryAfterMs } = refusal;
     record.retryAfterMs = Math.max(record.retryAfterMs, retryAfterMs);
-    this.policy.learn({ kind: "refused", memberId: member.id, retryAfterMs });
+    this.policy.recordObservation({
+      kind: "refused",
+      memberId: member.id,
+      retryAfterMs,
+    });
   }
 
   #askOf(plan: RequestPlan, runId: string, startMs: number): AskRequest {
--- a/src/experiment/run_once.ts
+++ b/src/experiment/run_once.ts
@@ -263,7 +263,12 @@
     for (const { id, server } of fleet.workers) {
       const { runningCount: running, waitingCount: waiting } = server.admission;
       for (const { policy } of entries) {
-        policy.learn({ kind: "load", memberId: id, running, waiting });
+        policy.recordObservation({
+          kind: "load",
+          memberId: id,
+          running,
+          waiting,
+        });
       }
     }
     await fleet.clock.sleep(LOAD_FEED_MS, fleet.signal);
--- a/src/experiment/virtual_engine.ts
+++ b/src/experiment/virtual_engine.ts
@@ -5,13 +5,13 @@
 import { Result } from "true-myth";
 import type { Clock } from "../base/mod.ts";
 import type {
-  CacheFeedStep,
+  CacheFeedItem,
   Engine,
   EngineCall,
   EngineFailure,
   EngineInfo,
   EngineLoad,
-  EngineStep,
+  EngineResponsePart,
   LoadedModel,
 } from "../backends/engine.ts";
 import type { Random } from "./random.ts";
@@ -148,7 +148,7 @@
   async *run(
     call: EngineCall,
     signal: AbortSignal,
-  ): AsyncIterable<Result<EngineStep, EngineFailure>> {
+  ): AsyncIterable<Result<EngineResponsePart, EngineFailure>> {
     if (!this.#isUp) return yield Result.err(UNREACHABLE);
     const life = this.#life;
     const plan = this.#options.planOf(call.requestId);
@@ -170,7 +170,7 @@
   }
 
   cacheSnapshot(): Promise<
-    Result<Extract<CacheFeedStep, { kind: "snapshot" }>, EngineFailure>
+    Result<Extract<CacheFeedItem, { kind: "snapshot" }>, EngineFailure>
   > {
     if (!this.#isUp) return Promise.resolve(Result.err(UNREACHABLE));
     const blocks = this.#cache.snapshot();
@@ -184,7 +184,7 @@
   async *cacheEvents(
     sinceSeq: number,
     signal: AbortSignal,
-  ): AsyncIterable<Result<CacheFeedStep, EngineFailure>> {
+  ): AsyncIterable<Result<CacheFeedItem, EngineFailure>> {
     const life = this.#life;
     let nextSeq = sinceSeq;
     while (!signal.aborted) {
--- a/src/experiment/worker.ts
+++ b/src/experiment/worker.ts
@@ -56,7 +56,7 @@
       log: createSilentLogger(),
       seed: options.id,
       liveRuns: () => [],
-      countsInFlight: options.countsInFlight,
+      countsPrefillsInFlight: options.countsInFlight,
     });
   }
 
@@ -103,10 +103,11 @@
   ): Promise<RunResult> {
     if (this.isLeaving) return { kind: "refused", refusal: refuseLeaving() };
     const { server } = this;
-    const isHeld = server.admission.holds.use(holdId, ask.runId) !== undefined;
+    const isHeld =
+      server.admission.holds.consume(holdId, ask.runId) !== undefined;
     const nowMs = this.#options.clock.nowMs();
     const run = Run.create({ ask, attempt: 0, nowMs, limits: OUTPUT_LIMITS });
-    const entered = server.enter(run, {
+    const entered = server.admit(run, {
       isHeld,
       teamMaxInFlight: TEAM_MAX_IN_FLIGHT,
     });
@@ -142,7 +143,7 @@
       deadlineAtMs: Infinity,
       teamMaxInFlight: TEAM_MAX_IN_FLIGHT,
     };
-    return this.server.admission.quote(demand).match({
+    return this.server.admission.estimate(demand).match({
       Ok: (quote) => quote.expectedTtftMs,
       Err: () => Infinity,
     });
--- a/src/lease/fenced_lease_test.ts
+++ b/src/lease/fenced_lease_test.ts
@@ -176,7 +176,7 @@
 test("a lease expires by the wall clock while the instance is suspended", async () => {
   const { clock, held } = setUp();
   const lease = await held("e1");
-  clock.jumpWall(TTL_MS);
+  clock.advanceWallClock(TTL_MS);
   assert.equal(lease.isHeldFor(0), false);
 });
 
--- a/src/lease/fencing_gate.ts
+++ b/src/lease/fencing_gate.ts
@@ -40,7 +40,7 @@
   }
 
   /** Highest fencing number by lease key, for state dumps. */
-  get numbers(): Record<string, string> {
+  get highestNumbers(): Record<string, string> {
     const entries = [...this.#highest].map((
       [key, number],
     ) => [key, `${number}`]);
@@ -53,12 +53,14 @@
    * @param leaseKey Key of the lease.
    * @returns Success, or why the number can't be read.
    */
-  async prepare(leaseKey: string): Promise<Result<void, FloorUnavailable>> {
+  async loadHighestNumber(
+    leaseKey: string,
+  ): Promise<Result<void, FloorUnavailable>> {
     if (this.#highest.has(leaseKey) || !this.#readFloor) {
       return Result.ok(undefined);
     }
     const floor = await this.#readFloor(leaseKey);
-    return floor.map((number) => this.raise(leaseKey, number));
+    return floor.map((number) => this.recordNumber(leaseKey, number));
   }
 
   /**
@@ -69,7 +71,7 @@
    * @returns Whether the order may be executed; if so, lower numbers are refused from now on.
    */
   admit(leaseKey: string, fencingNumber: bigint): boolean {
-    if (fencingNumber < this.highestOf(leaseKey)) return false;
+    if (fencingNumber < this.highestNumber(leaseKey)) return false;
     this.#highest.set(leaseKey, fencingNumber);
     return true;
   }
@@ -80,8 +82,8 @@
    * @param leaseKey Key of the lease.
    * @param fencingNumber A number seen elsewhere, such as in the store or at the server.
    */
-  raise(leaseKey: string, fencingNumber: bigint): void {
-    if (fencingNumber < this.highestOf(leaseKey)) return;
+  recordNumber(leaseKey: string, fencingNumber: bigint): void {
+    if (fencingNumber < this.highestNumber(leaseKey)) return;
     this.#highest.set(leaseKey, fencingNumber);
   }
 
@@ -89,7 +91,7 @@
    * @param leaseKey Key of the lease.
    * @returns The highest number seen, or 0 if none was.
    */
-  highestOf(leaseKey: string): bigint {
+  highestNumber(leaseKey: string): bigint {
     return this.#highest.get(leaseKey) ?? 0n;
   }
 }
--- a/src/lease/manual_clock.ts
+++ b/src/lease/manual_clock.ts
@@ -50,7 +50,7 @@
    *
    * @param ms Time to add.
    */
-  jumpWall(ms: number): void {
+  advanceWallClock(ms: number): void {
     this.#wallOffsetMs += ms;
   }
 
--- a/src/limits/_bucket_fleet.ts
+++ b/src/limits/_bucket_fleet.ts
@@ -230,7 +230,7 @@
       dueAtMs > this.#nowMs
     );
     for (const { from, to, report } of due) {
-      if (to.isUp) to.buckets.hear(from, report);
+      if (to.isUp) to.buckets.applyReport(from, report);
     }
   }
 
--- a/src/limits/share_ledger.ts
+++ b/src/limits/share_ledger.ts
@@ -10,7 +10,7 @@
  */
 import type { Clock } from "../base/mod.ts";
 import type { TeamDemand, TeamShare } from "../wire/gen/cicadahitch.ts";
-import { reportIntervalMs, shareTtlMs } from "./_pace.ts";
+import { reportIntervalMs, shareTtlMs } from "./_report_interval.ts";
 import {
   evenShare,
   floorShare,
--- a/src/limits/shared_buckets.ts
+++ b/src/limits/shared_buckets.ts
@@ -141,7 +141,7 @@
   }
 
   /** Whether a change was sent fewer than {@link SENDS_PER_CHANGE} times. */
-  get hasNews(): boolean {
+  get hasUnsentChanges(): boolean {
     for (const { sendsLeft } of this.#tracked.values()) {
       if (sendsLeft > 0) return true;
     }
@@ -171,7 +171,7 @@
    * @param address Another process.
    * @param report Its report; ignored if it is from before a restart of that process.
    */
-  hear(address: string, { startedAtMs, rows }: MemberReport): void {
+  applyReport(address: string, { startedAtMs, rows }: MemberReport): void {
     const nowMs = this.#options.clock.nowMs();
     const previousStartedAtMs = this.#memberStartedAtMs.get(address);
     if (
--- a/src/limits/team_limiter.ts
+++ b/src/limits/team_limiter.ts
@@ -5,7 +5,7 @@
 import type { Clock } from "../base/mod.ts";
 import type { TeamDemand, TeamShare } from "../wire/gen/cicadahitch.ts";
 import { floorShare, type Limits } from "./_division.ts";
-import { TeamUsage, type TeamUsageState } from "./_team_use.ts";
+import { TeamUsage, type TeamUsageState } from "./_team_usage.ts";
 
 /** An entry requests a share once it uses this part of its floor. */
 const FLOOR_REPORT_SHARE = 0.75;
--- a/src/placement/baselines.ts
+++ b/src/placement/baselines.ts
@@ -61,7 +61,7 @@
     return offers[0];
   }
 
-  learn(observation: Observation): void {
+  recordObservation(observation: Observation): void {
     switch (observation.kind) {
       case "placed":
         this.#recordPlacement(observation.request, observation.memberId);
--- a/src/placement/in_flight_prefixes.ts
+++ b/src/placement/in_flight_prefixes.ts
@@ -27,7 +27,7 @@
    *
    * @param points The chain points of its prompt.
    */
-  enter(points: readonly ChainPoint[]): void {
+  add(points: readonly ChainPoint[]): void {
     for (const { key } of points) {
       this.#countsByKey.set(key, (this.#countsByKey.get(key) ?? 0) + 1);
     }
@@ -39,7 +39,7 @@
    *
    * @param points The chain points that were added for it.
    */
-  leave(points: readonly ChainPoint[]): void {
+  remove(points: readonly ChainPoint[]): void {
     for (const { key } of points) {
       const count = (this.#countsByKey.get(key) ?? 0) - 1;
       if (count > 0) this.#countsByKey.set(key, count);
--- a/src/placement/in_flight_prefixes_test.ts
+++ b/src/placement/in_flight_prefixes_test.ts
@@ -7,12 +7,12 @@
 
 test("a prefix matches while a request with it is in flight", () => {
   const prefixes = InFlightPrefixes.create();
-  prefixes.enter([SHALLOW, DEEP]);
-  prefixes.enter([SHALLOW]);
+  prefixes.add([SHALLOW, DEEP]);
+  prefixes.add([SHALLOW]);
   assert.equal(prefixes.matchedBlocks([SHALLOW, DEEP]), 9);
-  prefixes.leave([SHALLOW, DEEP]);
+  prefixes.remove([SHALLOW, DEEP]);
   assert.equal(prefixes.matchedBlocks([SHALLOW, DEEP]), 4);
-  prefixes.leave([SHALLOW]);
+  prefixes.remove([SHALLOW]);
   assert.equal(prefixes.matchedBlocks([SHALLOW, DEEP]), 0);
   assert.equal(prefixes.size, 0);
 });
--- a/src/placement/mod.ts
+++ b/src/placement/mod.ts
@@ -35,4 +35,4 @@
   type ServerOffer,
 } from "./policy.ts";
 export { PolicyName } from "./policy_name.ts";
-export { describePrompt, type PromptSettings } from "./describe.ts";
+export { describePrompt, type PromptSettings } from "./describe_prompt.ts";
--- a/src/placement/offers_policy.ts
+++ b/src/placement/offers_policy.ts
@@ -7,7 +7,7 @@
  * candidates' agents, which know the actual cache contents and load, decide among the candidates.
  */
 import type { ChainPoint, Offer } from "../wire/gen/cicadahitch.ts";
-import { ServerBackoff } from "./avoidance.ts";
+import { ServerBackoff } from "./server_backoff.ts";
 import { MAX_PLACEMENT_LEVELS } from "./chain.ts";
 import { LRUMap } from "./lru_map.ts";
 import type { Member, MemberTable } from "./member_table.ts";
@@ -82,7 +82,7 @@
     return best;
   }
 
-  learn(observation: Observation): void {
+  recordObservation(observation: Observation): void {
     const nowMs = this.#options.nowMs();
     switch (observation.kind) {
       case "placed":
--- a/src/placement/policy.ts
+++ b/src/placement/policy.ts
@@ -1,6 +1,7 @@
 /**
  * Interface of the placement policies. A dispatcher calls `candidates`, requests an offer from
- * each, sends the request to the server that `choose` returns, and reports the result to `learn`.
+ * each, sends the request to the server that `choose` returns, and reports the result to
+ * `recordObservation`.
  */
 import type { ChainPoint, Offer } from "../wire/gen/cicadahitch.ts";
 import type { Member, MemberTable } from "./member_table.ts";
@@ -83,7 +84,7 @@
     offers: ServerOffer<M>[],
   ): ServerOffer<M> | undefined;
   /** Updates the policy's state with an observation. */
-  learn(observation: Observation): void;
+  recordObservation(observation: Observation): void;
   /** @returns A summary of the in-memory state, for state dumps. */
   dump(): Record<string, unknown>;
 }
--- a/src/placement/policy_test.ts
+++ b/src/placement/policy_test.ts
@@ -126,7 +126,12 @@
       const [member] = policy.candidates(request, table);
       seen.add(member!.id);
       const offer = offerOf({ queueMs });
-      policy.learn({ kind: "placed", request, memberId: member!.id, offer });
+      policy.recordObservation({
+        kind: "placed",
+        request,
+        memberId: member!.id,
+        offer,
+      });
     }
     return seen.size;
   };
@@ -143,7 +148,12 @@
   const request = requestOf(1, 2);
   const own = policy.candidates(request, table).map(({ id }) => id);
   const memberId = table.members.find(({ id }) => !own.includes(id))!.id;
-  policy.learn({ kind: "placed", request, memberId, offer: offerOf({}) });
+  policy.recordObservation({
+    kind: "placed",
+    request,
+    memberId,
+    offer: offerOf({}),
+  });
   assert.equal(policy.candidates(request, table)[0]!.id, memberId);
 });
 
@@ -153,7 +163,7 @@
   const table = tableOf(3);
   const request = requestOf(1, 2);
   const [first, second] = policy.candidates(request, table);
-  policy.learn({ kind: "failed", memberId: first!.id });
+  policy.recordObservation({ kind: "failed", memberId: first!.id });
   assert.ok(!policy.candidates(request, table).includes(first!));
   const excludedIds = new Set([second!.id]);
   const left = policy.candidates({ ...request, excludedIds }, table);
@@ -173,7 +183,7 @@
   const policy = policyAt({ nowMs: 0 });
   const table = tableOf(2);
   for (const { id } of table.members) {
-    policy.learn({ kind: "failed", memberId: id });
+    policy.recordObservation({ kind: "failed", memberId: id });
   }
   assert.equal(policy.candidates(requestOf(1), table).length, 2);
   const excludedIds = new Set(table.members.map(({ id }) => id));
--- a/src/planner/pool_planner_test.ts
+++ b/src/planner/pool_planner_test.ts
@@ -35,7 +35,7 @@
     const gate = gates.get(move.serverId) ?? FencingGate.create();
     gates.set(move.serverId, gate);
     const passed = gate.admit(leaseKey, fencingNumber);
-    const highestFencingNumber = gate.highestOf(leaseKey);
+    const highestFencingNumber = gate.highestNumber(leaseKey);
     const outcome: OrderOutcome = passed
       ? { kind: "accepted" }
       : { kind: "fenced", highestFencingNumber };
--- a/src/planner/wanted_models.ts
+++ b/src/planner/wanted_models.ts
@@ -1,5 +1,5 @@
 /** Collects the models that the teams' branches want in a pool. */
-import type { BranchInForce } from "../config/branch_set.ts";
+import type { BranchRecord } from "../config/branch_set.ts";
 import type { LoadedModel } from "../backends/engine.ts";
 import { modelKey, type WantedModel } from "./pool_view.ts";
 
@@ -12,7 +12,7 @@
  * @returns Each model, adapter and version once, with the highest minimum of all teams.
  */
 export function wantedModels(
-  branches: BranchInForce[],
+  branches: BranchRecord[],
   pool: string,
 ): WantedModel[] {
   const wanted = new Map<string, WantedModel>();
--- a/src/platform/decode.ts
+++ b/src/platform/decode.ts
@@ -61,7 +61,7 @@
  * @param value The stored value.
  * @returns The decoded value, or why it could not be decoded.
  */
-export function decodeFact(
+export function decodeValue(
   key: string,
   value: Uint8Array,
 ): Result<DecodedValue, MalformedValue> {
@@ -79,7 +79,7 @@
  * @param key The deleted key.
  * @returns Which server it registered, if it was a registration.
  */
-export function decodeRemoval(key: string): DecodedDeletion {
+export function decodeDeletion(key: string): DecodedDeletion {
   if (!key.startsWith(SERVERS_PREFIX)) return { kind: "other" };
   return { kind: "server", serverId: key.slice(SERVERS_PREFIX.length) };
 }
--- a/src/platform/decode_test.ts
+++ b/src/platform/decode_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
-import { decodeFact } from "./decode.ts";
+import { decodeValue } from "./decode.ts";
 import { forwardHeaders, readAnswer, readRequest } from "./headers.ts";
 
 const SEED = 20_261_202;
@@ -12,7 +12,7 @@
 
 test("route has the services of its traffic split, or its single service", () => {
   const base = { name: "r", host: "A.example", prefix: "/", timeout_ms: 1 };
-  const decoded = decodeFact(
+  const decoded = decodeValue(
     "op/config",
     bytes({
       version: 3,
@@ -44,7 +44,7 @@
 });
 
 function quotaOf(fields: object) {
-  const decoded = decodeFact(
+  const decoded = decodeValue(
     "op/config",
     bytes({
       version: 1,
@@ -93,7 +93,7 @@
 test("error for an invalid value has its key", () => {
   for (const key of ["op/config", "op/version/m", "servers/i-1"]) {
     for (const value of ["", "[]", "{}", "null", '{"version":"x"}']) {
-      const decoded = decodeFact(key, Buffer.from(value));
+      const decoded = decodeValue(key, Buffer.from(value));
       assert.ok(decoded.isErr, `${key}: ${value}`);
       assert.equal(decoded.error.key, key);
     }
@@ -111,7 +111,7 @@
   );
   fc.assert(
     fc.property(keys, values, (key, value) => {
-      const decoded = decodeFact(key, value);
+      const decoded = decodeValue(key, value);
       return decoded.isOk || decoded.error.kind === "malformed";
     }),
     { seed: SEED, numRuns: 1000 },
@@ -127,7 +127,7 @@
   fc.assert(
     fc.property(fields, (others) => {
       const value = bytes({ ...REGISTRATION, ...ENGINE, ...others });
-      const decoded = decodeFact("servers/i-1", value);
+      const decoded = decodeValue("servers/i-1", value);
       if (decoded.isErr) return;
       assert.ok(decoded.value.kind === "server");
       const { service, address, zone, slots } = decoded.value.server;
@@ -158,7 +158,7 @@
 
 function isValid(fields: object, id = "i-1"): boolean {
   const value = bytes({ ...REGISTRATION, ...fields });
-  return decodeFact(`servers/${id}`, value).isOk;
+  return decodeValue(`servers/${id}`, value).isOk;
 }
 
 test("valid registrations are accepted", () => {
@@ -243,7 +243,7 @@
 test("start time of a server is read, and is undefined if missing", () => {
   for (const born of [1_764_000_000_000, 0, undefined]) {
     const value = bytes({ ...REGISTRATION, born });
-    const decoded = decodeFact("servers/i-1", value);
+    const decoded = decodeValue("servers/i-1", value);
     assert.ok(decoded.isOk && decoded.value.kind === "server");
     assert.equal(decoded.value.server.bornAtMs, born);
   }
@@ -251,13 +251,13 @@
 
 test("version of wanted weights must be a non-negative integer", () => {
   for (const version of ["2", 2.5, -1, null]) {
-    const decoded = decodeFact("op/version/m", bytes({ model: "m", version }));
+    const decoded = decodeValue("op/version/m", bytes({ model: "m", version }));
     assert.ok(decoded.isErr, `${version}`);
   }
 });
 
 test("reason of a decoding error doesn't quote the value", () => {
-  const decoded = decodeFact("op/config", Buffer.from("key-of-w"));
+  const decoded = decodeValue("op/config", Buffer.from("key-of-w"));
   assert.ok(decoded.isErr);
   assert.doesNotMatch(decoded.error.reason, /key-of/);
 });
--- a/src/platform/http_call.ts
+++ b/src/platform/http_call.ts
@@ -27,7 +27,7 @@
    * Idle timeout: longest time without a byte of the answer. A large answer over a slow link may
    * take longer in total.
    */
-  callMs: number;
+  idleTimeoutMs: number;
   signal?: AbortSignal;
 }
 
@@ -66,8 +66,11 @@
   async send(call: Call): Promise<Result<CallAnswer, CallFailure>> {
     const controller = new AbortController();
     const onAbort = () => controller.abort();
-    const idleTimer = setTimeout(onAbort, call.callMs);
-    const totalTimer = setTimeout(onAbort, call.callMs * TOTAL_TIMEOUT_FACTOR);
+    const idleTimer = setTimeout(onAbort, call.idleTimeoutMs);
+    const totalTimer = setTimeout(
+      onAbort,
+      call.idleTimeoutMs * TOTAL_TIMEOUT_FACTOR,
+    );
     call.signal?.addEventListener("abort", onAbort, { once: true });
     try {
       const { statusCode, body } = await this.#pool.request({
--- a/src/platform/http_call_test.ts
+++ b/src/platform/http_call_test.ts
@@ -38,7 +38,7 @@
   const answer = await caller.send({
     method: "GET",
     path: "/",
-    callMs: CALL_MS,
+    idleTimeoutMs: CALL_MS,
   });
   assert.ok(answer.isOk);
   assert.deepEqual(answer.value.body, { text: "abcde" });
@@ -49,7 +49,7 @@
   const answer = await caller.send({
     method: "GET",
     path: "/",
-    callMs: CALL_MS,
+    idleTimeoutMs: CALL_MS,
   });
   assert.ok(answer.isErr);
   assert.equal(answer.error.kind, "no_answer");
--- a/src/platform/mod.ts
+++ b/src/platform/mod.ts
@@ -1,9 +1,9 @@
 /** Names, formats and calls of the users' platform, without any routing logic. */
 export {
   type DecodedDeletion as RemovedFact,
+  decodeDeletion,
   type DecodedValue as StoreFact,
-  decodeFact,
-  decodeRemoval,
+  decodeValue,
   type MalformedValue,
 } from "./decode.ts";
 export {
--- a/src/platform/server_calls.ts
+++ b/src/platform/server_calls.ts
@@ -55,7 +55,7 @@
       method: "GET",
       path: ServerPath.report,
       headers: { [Header.expectedServer]: server.id },
-      callMs,
+      idleTimeoutMs: callMs,
     });
     if (answer.isErr) return Result.err(answer.error);
     const { status, body } = answer.value;
@@ -95,7 +95,7 @@
       fencing_token: Number(order.fencingNumber),
       expected: order.orderSequence,
     },
-    callMs,
+    idleTimeoutMs: callMs,
   });
   await caller.close();
   return answer.map(({ status }) => readOrderAnswer(status));
@@ -138,7 +138,7 @@
     path: ServerPath.move,
     headers: { [Header.expectedServer]: server.id },
     body: { id: requestId, target: targetAddress, last: true },
-    callMs,
+    idleTimeoutMs: callMs,
   });
   await caller.close();
   return answer.map(({ status, body }) => readMoveAnswer(status, body));
@@ -162,7 +162,7 @@
     method: "DELETE",
     path: ServerPath.dropCopy + encodeURIComponent(copyId),
     headers: { [Header.expectedServer]: server.id },
-    callMs,
+    idleTimeoutMs: callMs,
   });
   await caller.close();
   return answer.map(({ status }) => status);
--- a/src/platform/store.ts
+++ b/src/platform/store.ts
@@ -131,7 +131,7 @@
       method: "POST",
       path: StorePath.commit,
       body: commitBody(expect, expanded.value),
-      callMs: this.#options.callMs,
+      idleTimeoutMs: this.#options.callMs,
     });
     if (answer.isErr) return Result.err(writeFailure(answer.error));
     const { status, body } = answer.value;
@@ -176,7 +176,7 @@
       method: "POST",
       path: StorePath.lease,
       body: { ttl_ms: ttlMs },
-      callMs: this.#options.callMs,
+      idleTimeoutMs: this.#options.callMs,
     });
     if (answer.isErr) return Result.err(writeFailure(answer.error));
     const { status, body } = answer.value;
@@ -193,7 +193,7 @@
     const answer = await this.#send({
       method: "POST",
       path: `${StorePath.renew}${leaseId}`,
-      callMs: this.#options.callMs,
+      idleTimeoutMs: this.#options.callMs,
     });
     if (answer.isErr) return Result.err(writeFailure(answer.error));
     const { status, body } = answer.value;
@@ -206,7 +206,7 @@
     const answer = await this.#send({
       method: "DELETE",
       path: `${StorePath.revoke}${leaseId}`,
-      callMs: this.#options.callMs,
+      idleTimeoutMs: this.#options.callMs,
     });
     if (answer.isErr) return Result.err(writeFailure(answer.error));
     const { status } = answer.value;
@@ -231,7 +231,7 @@
     const answer = await this.#send({
       method: "GET",
       path: `${StorePath.watch}?${query}`,
-      callMs,
+      idleTimeoutMs: callMs,
       signal,
     });
     if (answer.isErr) return Result.err(readFailure(answer.error));
@@ -245,7 +245,11 @@
 
   async #read(path: string): Promise<Result<CallAnswer, StoreFailure>> {
     const { callMs } = this.#options;
-    const answer = await this.#send({ method: "GET", path, callMs });
+    const answer = await this.#send({
+      method: "GET",
+      path,
+      idleTimeoutMs: callMs,
+    });
     if (answer.isErr) return Result.err(readFailure(answer.error));
     const { status } = answer.value;
     return status === 200 || status === 404
--- a/src/proof/_fleet.ts
+++ b/src/proof/_fleet.ts
@@ -1,5 +1,5 @@
 /** A small fleet in this process, over real sockets, whose links and processes fail on demand. */
-import { buildParts } from "../agent/agent_parts.ts";
+import { buildDependencies } from "../agent/agent_dependencies.ts";
 import { Agent, type AgentOptions, type BackendServer } from "../agent/mod.ts";
 import { createSilentLogger, systemClock } from "../base/mod.ts";
 import {
@@ -277,7 +277,7 @@
       log: this.#log,
       clock: systemClock,
     };
-    const parts = buildParts(options);
+    const parts = buildDependencies(options);
     let journal: ClaimsJournal | undefined;
     const agent = await Agent.create(options, {
       ...parts,
--- a/src/router/_suspect_world.ts
+++ b/src/router/_suspect_world.ts
@@ -134,7 +134,7 @@
       this.clock.nowMs() - this.#storedAtMs < WATCH_DELAY_MS;
     if (isNew) return;
     entry.known = this.#stored;
-    entry.record.recall();
+    entry.record.loadStored();
   }
 
   #commit: KeyValueStore["commit"] = (expect, writes) => {
--- a/src/router/in_force.ts
+++ b/src/router/in_force.ts
@@ -1,8 +1,8 @@
 /** Applies changes of the platform's store: configuration, servers, wanted weights, prompt stores. */
 import type { Logger } from "../base/mod.ts";
 import {
-  decodeFact,
-  decodeRemoval,
+  decodeDeletion,
+  decodeValue,
   type MalformedValue,
 } from "../platform/mod.ts";
 import { CacheBook, type OwnedBook } from "./cache_book.ts";
@@ -76,7 +76,7 @@
   take(change: MirrorChange): void {
     if (change.kind === "delete") return this.#applyRemoval(change.key);
     const { key, value } = change.entry;
-    const fact = decodeFact(key, value);
+    const fact = decodeValue(key, value);
     if (fact.isErr) return this.#onMalformed(fact.error);
     this.#malformedKeys.delete(key);
     switch (fact.value.kind) {
@@ -137,7 +137,7 @@
 
   #applyRemoval(key: string): void {
     this.#malformedKeys.delete(key);
-    const removed = decodeRemoval(key);
+    const removed = decodeDeletion(key);
     if (removed.kind === "server") this.#options.fleet.remove(removed.serverId);
   }
 
@@ -148,7 +148,7 @@
       this.#malformedKeys.add(key);
       this.#options.log.error({ event: "store_malformed", ...malformed });
     }
-    const named = decodeRemoval(key);
+    const named = decodeDeletion(key);
     if (named.kind !== "server") return;
     this.#options.fleet.drop(named.serverId, "registration_malformed");
   }
--- a/src/router/lessons.ts
+++ b/src/router/lessons.ts
@@ -95,7 +95,7 @@
     const answer = await caller.send({
       method: "GET",
       path: LESSONS_PATH,
-      callMs: CALL_TIMEOUT_MS,
+      idleTimeoutMs: CALL_TIMEOUT_MS,
     });
     await caller.close();
     this.#isAsking = false;
--- a/src/router/quarantine.ts
+++ b/src/router/quarantine.ts
@@ -12,9 +12,9 @@
 import type { Server } from "./server.ts";
 import { type LostRequest, ServerEndDetector } from "./server_ends.ts";
 import {
-  SERIOUS_ENDS,
+  CLEARED_AFTER_MS,
+  MIN_SHARED_ENDS,
   type ServerEnd,
-  SETTLED_MS,
   type SuspectSource,
   SuspectTable,
   type Verdict,
@@ -119,7 +119,7 @@
     const { request, choice, runsFromMs, headAtMs, sentAtMs } = send;
     const nowMs = this.#options.clock.nowMs();
     const isSettled = runsFromMs !== undefined &&
-      nowMs - runsFromMs >= SETTLED_MS;
+      nowMs - runsFromMs >= CLEARED_AFTER_MS;
     if (isSettled) return;
     this.#serverEnds.lost(choice.server, {
       requestId: request.facts.requestId,
@@ -152,12 +152,12 @@
   }
 
   /** Whether this entry has observed something that the store's record may lack. */
-  get hasOwnNews(): boolean {
+  get hasUnrecordedChanges(): boolean {
     return this.#hasOwnNews;
   }
 
   /** Called when the store's record is up to date. */
-  recorded(): void {
+  markRecorded(): void {
     this.#hasOwnNews = false;
   }
 
@@ -175,7 +175,7 @@
     if (this.#sendQueue.length > 0) return true;
     const sinceMs = this.#options.clock.nowMs() - this.#repeatedAtMs;
     return sinceMs >= this.#repeatPauseMs &&
-      this.table.suspects(SERIOUS_ENDS).length > 0;
+      this.table.suspects(MIN_SHARED_ENDS).length > 0;
   }
 
   /**
@@ -208,7 +208,7 @@
     for (const [digest, server, answering, ageMs, runMs] of ended) {
       const answeringMs = answering ?? undefined;
       const atMs = nowMs - ageMs;
-      this.learn(digest, { server, answeringMs, atMs, runMs });
+      this.mergeEnd(digest, { server, answeringMs, atMs, runMs });
     }
   }
 
@@ -218,9 +218,9 @@
    * @param digest Digest of a request that was in flight on the server.
    * @param end The server end.
    */
-  learn(digest: string, end: ServerEnd): void {
+  mergeEnd(digest: string, end: ServerEnd): void {
     const before = this.table.verdict(digest);
-    if (!this.table.note(digest, end)) return;
+    if (!this.table.recordEnd(digest, end)) return;
     this.#logVerdict(digest, before);
   }
 
@@ -230,7 +230,7 @@
    * @returns A JSON-serializable list.
    */
   state(): unknown {
-    return this.table.suspects(SERIOUS_ENDS).map(({ digest, ends }) => ({
+    return this.table.suspects(MIN_SHARED_ENDS).map(({ digest, ends }) => ({
       digest,
       servers: ends.map(({ server }) => server),
       verdict: this.table.verdict(digest).kind,
@@ -260,7 +260,7 @@
     for (const { digest, answeringMs, atMs, runMs } of lost) {
       const end = { server: start, answeringMs, atMs, runMs };
       const before = this.table.verdict(digest);
-      if (!this.table.note(digest, end)) continue;
+      if (!this.table.recordEnd(digest, end)) continue;
       this.#enqueue({ kind: "ended", digest, end });
       this.#hasOwnNews = true;
       this.#logVerdict(digest, before);
@@ -295,7 +295,7 @@
    */
   #repeatSuspects(outgoing: QuarantineGossip, nowMs: number): void {
     if (nowMs - this.#repeatedAtMs < this.#repeatPauseMs) return;
-    const rows = this.table.suspects(SERIOUS_ENDS).flatMap(
+    const rows = this.table.suspects(MIN_SHARED_ENDS).flatMap(
       ({ digest, ends }) => ends.map((end) => toRow(digest, end, nowMs)),
     );
     if (rows.length === 0) return;
--- a/src/router/quarantine_test.ts
+++ b/src/router/quarantine_test.ts
@@ -19,7 +19,7 @@
   for (let i = 0; i < count; i++) {
     clock.advance(1000);
     const atMs = clock.nowMs();
-    quarantine.learn("cause", {
+    quarantine.mergeEnd("cause", {
       server: `s${i}/0`,
       answeringMs: 10,
       atMs,
--- a/src/router/quotas.ts
+++ b/src/router/quotas.ts
@@ -54,7 +54,7 @@
 
   /** Whether usage was charged that the other entries don't know of yet. */
   get hasUpdate(): boolean {
-    return this.#buckets.hasNews;
+    return this.#buckets.hasUnsentChanges;
   }
 
   /** @param workspaces Workspaces of the current configuration, with their limits. */
@@ -115,7 +115,7 @@
     ipAddress: string,
     { startedAtMs, taken }: QuotaUpdate,
   ): void {
-    this.#buckets.hear(ipAddress, { startedAtMs, rows: taken });
+    this.#buckets.applyReport(ipAddress, { startedAtMs, rows: taken });
   }
 
   /** @returns The limits and their remaining levels, for state dumps. */
--- a/src/router/relay.ts
+++ b/src/router/relay.ts
@@ -144,7 +144,7 @@
       const answer = await caller.send({
         method: "GET",
         path: `${RELAY_PATH}?after=${mirror.revision}`,
-        callMs: REQUEST_TIMEOUT_MS,
+        idleTimeoutMs: REQUEST_TIMEOUT_MS,
       });
       if (answer.isErr || answer.value.status !== 200) return false;
       const before = mirror.revision;
--- a/src/router/router.ts
+++ b/src/router/router.ts
@@ -119,7 +119,7 @@
           this.#mirror.entry(NAMED_RECORD_KEY),
           this.#clock.wallMs(),
         ),
-      onSuspects: () => this.#suspectRecord.recall(),
+      onSuspects: () => this.#suspectRecord.loadStored(),
       onConfig: ({ workspaces }) => {
         this.#ingress.applyLimits();
         this.#quotas.use(workspaces);
--- a/src/router/weights_roll_test.ts
+++ b/src/router/weights_roll_test.ts
@@ -325,7 +325,7 @@
 
 test("wall clock that was set back does not prolong a holder's wait", async (t) => {
   const world = await startRoll(t, { engineCount: 6 });
-  world.clock.jumpWall(-60_000);
+  world.clock.advanceWallClock(-60_000);
   const timesMs = await orderTimesAfterKill(world, {
     holder: world.holder,
     nextId: "a",
--- a/src/suspects/mod.ts
+++ b/src/suspects/mod.ts
@@ -4,9 +4,9 @@
  */
 export { hashRequest } from "./request_hash.ts";
 export {
-  SERIOUS_ENDS,
+  CLEARED_AFTER_MS,
+  MIN_SHARED_ENDS,
   type ServerEnd,
-  SETTLED_MS,
   SuspectTable,
   type Verdict,
 } from "./suspect_table.ts";
--- a/src/suspects/suspect_record.ts
+++ b/src/suspects/suspect_record.ts
@@ -7,7 +7,7 @@
 import { readJson } from "../lease/mod.ts";
 import type { KeyValueEntry, KeyValueStore } from "../store/store.ts";
 import {
-  SERIOUS_ENDS,
+  MIN_SHARED_ENDS,
   type ServerEnd,
   type Suspect,
   type SuspectTable,
@@ -47,11 +47,11 @@
 export interface SuspectSource {
   readonly table: SuspectTable;
   /** Whether this process itself observed changes that the record may not contain yet. */
-  readonly hasOwnNews: boolean;
+  readonly hasUnrecordedChanges: boolean;
   /** Adds a server end that another process observed. */
-  learn(digest: string, end: ServerEnd): void;
+  mergeEnd(digest: string, end: ServerEnd): void;
   /** Called after all known changes were written to the record. */
-  recorded(): void;
+  markRecorded(): void;
 }
 
 /** Dependencies of a {@link SuspectRecord}. */
@@ -93,7 +93,7 @@
   }
 
   /** Merges the stored record into the suspected requests; malformed rows are ignored. */
-  recall(): void {
+  loadStored(): void {
     const { clock, source, record } = this.#options;
     const wallMs = clock.wallMs();
     for (const { digest, ends } of readRows(record()?.value)) {
@@ -101,7 +101,7 @@
         // Clamped to 0, as this instance's clock may be behind the writer's.
         const ageMs = Math.max(0, wallMs - atWallMs);
         const atMs = clock.nowMs() - ageMs;
-        source.learn(digest, { ...end, atMs });
+        source.mergeEnd(digest, { ...end, atMs });
       }
     }
   }
@@ -130,7 +130,7 @@
   async update(): Promise<boolean> {
     const { source, record, isStoreServing, clock } = this.#options;
     const known = [...readRows(record()?.value), ...this.#written];
-    const serious = source.table.suspects(SERIOUS_ENDS).slice(0, MAX_ROWS);
+    const serious = source.table.suspects(MIN_SHARED_ENDS).slice(0, MAX_ROWS);
     if (!this.#isDue(known, serious)) return true;
     if (!isStoreServing()) return true;
     this.#outdatedSinceMs = undefined;
@@ -147,7 +147,7 @@
     }
     const nowMs = clock.nowMs();
     this.#outdatedSinceMs ??= nowMs;
-    if (source.hasOwnNews) return true;
+    if (source.hasUnrecordedChanges) return true;
     return nowMs - this.#outdatedSinceMs >=
       OTHER_WRITER_WAIT_MS * (1 + random());
   }
@@ -173,7 +173,7 @@
     const isWritten = committed.isOk && committed.value.kind === "committed";
     if (isWritten) {
       this.#written = rows;
-      source.recorded();
+      source.markRecorded();
     }
     log.info({ event: "suspects_recorded", rows: rows.length, isWritten });
     return isWritten;
--- a/src/suspects/suspect_table.ts
+++ b/src/suspects/suspect_table.ts
@@ -11,11 +11,11 @@
 /** Number of server ends at which a request is quarantined. */
 export const ENDS_TO_QUARANTINE = 3;
 /** Number of server ends from which a suspect is gossiped repeatedly and persisted in the store. */
-export const SERIOUS_ENDS = 2;
+export const MIN_SHARED_ENDS = 2;
 /**
  * A run that has produced output for this long is no longer a possible cause of its server's end.
  */
-export const SETTLED_MS = 1000;
+export const CLEARED_AFTER_MS = 1000;
 /** Error of the times that entries exchange, network latency included. */
 const TIMING_ERROR_MS = 100;
 /** Maximum number of ends kept per request; further ones would not change the verdict. */
@@ -93,7 +93,7 @@
    * @param end The server's end.
    * @returns Whether the end was recorded; false if it is known, expired or older than an answer.
    */
-  note(digest: string, end: ServerEnd): boolean {
+  recordEnd(digest: string, end: ServerEnd): boolean {
     if (this.#isExpired(end.atMs)) return false;
     if (end.atMs <= (this.#clearedAtMs.get(digest) ?? -Infinity)) return false;
     const ends: Ends = this.#suspects.get(digest)?.ends ?? new Map();
--- a/src/suspects/suspect_table_test.ts
+++ b/src/suspects/suspect_table_test.ts
@@ -21,7 +21,7 @@
   /** Ends a server at the time of the previous end; its requests had run for a while. */
   endTogether(server: string, digests: string[]): void {
     digests.forEach((digest, i) =>
-      this.table.note(digest, {
+      this.table.recordEnd(digest, {
         server,
         answeringMs: i < 2 ? 200 + 100 * i : undefined,
         atMs: this.clock.nowMs(),
@@ -88,7 +88,12 @@
   for (const server of ["s1", "s2", "s3"]) {
     fixture.clock.advance(10);
     const atMs = fixture.clock.nowMs();
-    fixture.table.note("cause", { server, answeringMs: 5, atMs, runMs: 8 });
+    fixture.table.recordEnd("cause", {
+      server,
+      answeringMs: 5,
+      atMs,
+      runMs: 8,
+    });
   }
   assert.equal(fixture.kind("cause"), "quarantined");
 });
@@ -98,7 +103,12 @@
   for (const server of ["s1", "s2", "s3"]) {
     fixture.clock.advance(100);
     const atMs = fixture.clock.nowMs();
-    fixture.table.note("cause", { server, answeringMs: 50, atMs, runMs: 900 });
+    fixture.table.recordEnd("cause", {
+      server,
+      answeringMs: 50,
+      atMs,
+      runMs: 900,
+    });
   }
   assert.equal(fixture.kind("cause"), "quarantined");
 });
@@ -123,7 +133,7 @@
   for (const server of ["s1", "s2", "s3"]) fixture.end(server, ["cause"]);
   assert.ok(fixture.table.clear("cause", fixture.clock.nowMs()));
   assert.equal(fixture.kind("cause"), "clear");
-  assert.ok(!fixture.table.note("cause", early));
+  assert.ok(!fixture.table.recordEnd("cause", early));
   assert.equal(fixture.kind("cause"), "clear");
 });
 
@@ -147,7 +157,7 @@
     runMs: 50,
   };
   fixture.clock.advance(LONG_MS);
-  assert.ok(!fixture.table.note("cause", end));
+  assert.ok(!fixture.table.recordEnd("cause", end));
   assert.equal(fixture.table.size, 0);
 });
 
--- a/src/wire/calls.ts
+++ b/src/wire/calls.ts
@@ -106,7 +106,7 @@
  * @param failure Why a call returned no answer.
  * @returns Whether the connection was refused: no process listens at the peer's address any more.
  */
-export function isRefused(failure: CallFailure): boolean {
+export function isConnectionRefused(failure: CallFailure): boolean {
   return failure.kind === "unreachable" &&
     failure.message.includes("ECONNREFUSED");
 }
--- a/src/wire/mod.ts
+++ b/src/wire/mod.ts
@@ -3,7 +3,7 @@
   type CallFailure,
   callUnary,
   failureOf,
-  isRefused,
+  isConnectionRefused,
   type UnaryMethod,
   type UnaryOptions,
 } from "./calls.ts";
--- a/src/wire/run_codec.ts
+++ b/src/wire/run_codec.ts
@@ -9,7 +9,7 @@
 const CONTINUATION_BIT = 0x80;
 
 /** `AgentService` that encodes the answers to `Run` with {@link encodeRunDown}. */
-export const LEAN_AGENT_SERVICE: typeof AgentService = {
+export const OPTIMIZED_AGENT_SERVICE: typeof AgentService = {
   ...AgentService,
   run: { ...AgentService.run, responseSerialize: encodeRunDown },
 };
