--- a/src/router/cache_transfer.ts
+++ b/src/router/cache_transfer.ts
@@ -99,7 +99,7 @@
     const answer = await caller.send({
       method: "GET",
       path: CACHE_TRANSFER_PATH,
-      callMs: CALL_TIMEOUT_MS,
+      idleTimeoutMs: CALL_TIMEOUT_MS,
     });
     await caller.close();
     this.#isAsking = false;
--- a/src/router/router.ts
+++ b/src/router/router.ts
@@ -119,7 +119,7 @@
           this.#mirror.entry(PUBLISH_TIMES_KEY),
           this.#clock.wallMs(),
         ),
-      onSuspectRecord: () => this.#suspectRecord.recall(),
+      onSuspectRecord: () => this.#suspectRecord.loadStored(),
       onConfig: ({ workspaces }) => {
         this.#ingress.applyLimits();
         this.#quotas.setLimits(workspaces);
