--- a/src/standin/_engine_cache.ts
+++ b/src/standin/_engine_cache.ts
@@ -1,18 +1,18 @@
-/** The stand-in engine's prefix cache: blocks in a chain, the least recently used evicted first. */
+/** Prefix cache of the stand-in engine: chained prompt blocks with least-recently-used eviction. */
 import { hash } from "node:crypto";
 import type { CacheEvent, LoadedModel } from "../backends/mod.ts";
 
-/** A cached block. */
+/** One block of a cached prompt, chained to the block before it. */
 export interface CacheBlock {
   blockKey: string;
-  /** Empty for a first block. */
+  /** Key of the preceding block; empty for the first block of a prompt. */
   parentKey: string;
   cacheSalt: string;
   model: LoadedModel;
   content: string;
 }
 
-/** Whose blocks a prompt may use. */
+/** Cache partition: only prompts with the same salt and model share blocks. */
 export interface CacheScope {
   cacheSalt: string;
   model: LoadedModel;
@@ -21,24 +21,24 @@
 /** Settings of a {@link PrefixCache}. */
 export interface PrefixCacheOptions {
   blockBytes: number;
-  /** Blocks beyond this are evicted. */
+  /** Maximum number of blocks; the least recently used ones are evicted beyond it. */
   capacityBlocks: number;
-  /** Receives events without their sequence numbers, which the feed gives. */
+  /** Called on each stored or removed block; the event feed adds the sequence number. */
   onEvent: (event: UnnumberedEvent) => void;
 }
 
-/** A cache event before it is numbered. */
+/** A cache event without its sequence number. */
 export type UnnumberedEvent = CacheEvent extends infer E
   ? E extends CacheEvent ? Omit<E, "seq"> : never
   : never;
 
-const CONTINUATION_BITS = 0xc0;
-const CONTINUATION = 0x80;
+const UTF8_LEAD_MASK = 0xc0;
+const UTF8_CONTINUATION = 0x80;
 
-/** Blocks of prompts that were prefilled. */
+/** Holds the blocks of prefilled prompts. */
 export class PrefixCache {
   readonly #options: PrefixCacheOptions;
-  /** In the order of last use, oldest first. */
+  /** Blocks by key, in the order of last use, least recent first. */
   readonly #blocks = new Map<string, CacheBlock>();
 
   private constructor(options: PrefixCacheOptions) {
@@ -46,14 +46,14 @@
   }
 
   /**
-   * @param options Size, and who hears of changes.
+   * @param options Block size, capacity and event callback.
    * @returns An empty cache.
    */
   static create(options: PrefixCacheOptions): PrefixCache {
     return new PrefixCache(options);
   }
 
-  /** Blocks held. */
+  /** Number of cached blocks. */
   get size(): number {
     return this.#blocks.size;
   }
@@ -65,16 +65,18 @@
 
   /**
    * @param blockKey Key of a block.
-   * @returns The block, if it is held.
+   * @returns The block, or undefined if it is not cached.
    */
   get(blockKey: string): CacheBlock | undefined {
     return this.#blocks.get(blockKey);
   }
 
   /**
-   * @param prompt The prompt's text.
-   * @param scope Whose blocks it may use.
-   * @returns The prompt's full blocks; the rest of the prompt is never cached.
+   * Splits a prompt into its chain of blocks.
+   *
+   * @param prompt Text of the prompt.
+   * @param scope Salt and model that the block keys depend on.
+   * @returns Full blocks only; a partial block at the end is never cached.
    */
   split(prompt: string, scope: CacheScope): CacheBlock[] {
     const bytes = Buffer.from(prompt);
@@ -82,7 +84,10 @@
     let parentKey = "";
     let start = 0;
     while (start + this.#options.blockBytes <= bytes.length) {
-      const end = characterBoundary(bytes, start + this.#options.blockBytes);
+      const end = lastCharacterBoundary(
+        bytes,
+        start + this.#options.blockBytes,
+      );
       const content = bytes.toString("utf8", start, end);
       const block = toBlock(parentKey, content, scope);
       blocks.push(block);
@@ -93,10 +98,10 @@
   }
 
   /**
-   * Looks up a chain and marks what it finds as used.
+   * Finds the longest cached prefix of a chain and marks its blocks as used.
    *
    * @param chain Blocks of a prompt.
-   * @returns Bytes of the longest prefix that is cached.
+   * @returns Length of the cached prefix in bytes.
    */
   match(chain: CacheBlock[]): number {
     let count = 0;
@@ -105,55 +110,58 @@
       matchedBytes += Buffer.byteLength(chain[count]!.content);
       count++;
     }
-    // Backwards, so that a parent is evicted after its children.
+    // Last block first, so that children are evicted before their parent.
     for (let index = count - 1; index >= 0; index--) this.#touch(chain[index]!);
     return matchedBytes;
   }
 
   /**
-   * Stores a chain whose prompt was prefilled.
+   * Stores the chain of a prefilled prompt, up to the capacity.
    *
    * @param chain Blocks of a prompt.
    */
   store(chain: CacheBlock[]): void {
     const capacity = this.#options.capacityBlocks;
     const kept = chain.length > capacity ? chain.slice(0, capacity) : chain;
-    const fresh = kept.filter(({ blockKey }) => !this.#blocks.has(blockKey));
+    const newBlocks = kept.filter(({ blockKey }) =>
+      !this.#blocks.has(blockKey)
+    );
     for (let index = kept.length - 1; index >= 0; index--) {
       this.#touch(kept[index]!);
     }
-    for (const block of fresh) {
+    for (const block of newBlocks) {
       this.#options.onEvent({ kind: "stored", ...block });
     }
     this.#evict();
   }
 
   /**
-   * Takes over a block of another engine, unless its parent is missing.
+   * Imports a block of another engine. A block is rejected if its parent is missing or its key does
+   * not match its content.
    *
-   * @param block The block.
-   * @returns True when the cache holds it now.
+   * @param block Block exported by the other engine.
+   * @returns Whether the block is cached afterwards.
    */
   import(block: CacheBlock): boolean {
     const { parentKey, content } = block;
     if (parentKey !== "" && !this.#blocks.has(parentKey)) return false;
-    const own = toBlock(parentKey, content, block);
-    if (own.blockKey !== block.blockKey) return false;
-    if (this.#blocks.has(own.blockKey)) return true;
-    this.#touchWithAncestors(own);
-    this.#options.onEvent({ kind: "stored", ...own });
+    const recomputed = toBlock(parentKey, content, block);
+    if (recomputed.blockKey !== block.blockKey) return false;
+    if (this.#blocks.has(recomputed.blockKey)) return true;
+    this.#touchWithAncestors(recomputed);
+    this.#options.onEvent({ kind: "stored", ...recomputed });
     this.#evict();
-    return this.#blocks.has(own.blockKey);
+    return this.#blocks.has(recomputed.blockKey);
   }
 
-  /** Drops all blocks of models that are no longer served. */
+  /** Removes all blocks of models that are no longer served. */
   retain(isServed: (model: LoadedModel) => boolean): void {
     for (const block of [...this.#blocks.values()]) {
       if (!isServed(block.model)) this.#remove(block.blockKey);
     }
   }
 
-  /** Drops all blocks without events, as a crash does. */
+  /** Simulates a crash: drops all blocks without publishing events. */
   clear(): void {
     this.#blocks.clear();
   }
@@ -202,12 +210,12 @@
   return { blockKey, parentKey, cacheSalt, model, content };
 }
 
-/** The last end at or before `end` that splits no character. */
-function characterBoundary(bytes: Buffer, end: number): number {
+/** @returns The last position at or before `end` that does not split a UTF-8 character. */
+function lastCharacterBoundary(bytes: Buffer, end: number): number {
   let boundary = end;
   while (
     boundary < bytes.length &&
-    (bytes[boundary]! & CONTINUATION_BITS) === CONTINUATION
+    (bytes[boundary]! & UTF8_LEAD_MASK) === UTF8_CONTINUATION
   ) boundary--;
   return boundary;
 }
--- a/src/standin/_engine_events.ts
+++ b/src/standin/_engine_events.ts
@@ -1,41 +1,45 @@
-/** The stand-in engine's feed of cache events: numbered, kept for a while, lost or late on demand. */
+/**
+ * Feed of the stand-in engine's cache events. Events are numbered and buffered for reconnecting
+ * readers; tests can make the feed drop or delay them.
+ */
 import type { ServerResponse } from "node:http";
 import type { UnnumberedEvent } from "./_engine_cache.ts";
 
 /** Settings of a {@link CacheEventFeed}. */
 export interface CacheEventFeedOptions {
-  /** Events kept for readers that come back. */
+  /** Minimum number of recent events that are buffered for reconnecting readers. */
   keptEvents: number;
-  /** How often an idle feed sends an empty line. */
+  /** Interval of heartbeats, which are sent as empty lines. */
   heartbeatMs: number;
 }
 
-/** A reader of the feed. */
+/** A connected reader. */
 interface Reader {
   response: ServerResponse;
+  /** Sequence number of the next event to send. */
   nextSeq: number;
 }
 
-interface KeptEvent {
+interface BufferedEvent {
   seq: number;
   line: string;
 }
 
 const FIRST_SEQ = 1;
 
-/** Numbers events and sends them to readers. */
+/** Assigns sequence numbers to cache events and streams them to all readers. */
 export class CacheEventFeed {
-  /** This many next events get a number and are then lost. */
+  /** Number of upcoming events that are dropped after they get a sequence number. */
   loseNext = 0;
-  /** Events reach readers this much later. */
-  lateMs = 0;
+  /** Delay until an event is sent to readers. */
+  delayMs = 0;
   readonly #options: CacheEventFeedOptions;
   readonly #readers = new Set<Reader>();
-  #kept: KeptEvent[] = [];
+  #buffer: BufferedEvent[] = [];
   #nextSeq = FIRST_SEQ;
-  /** Changes with {@link reset}, so that late events of an earlier life are dropped. */
-  #life = 0;
-  #flushing = false;
+  /** Incremented by {@link reset}, so that delayed events from before the reset are dropped. */
+  #generation = 0;
+  #isFlushScheduled = false;
   #heartbeat: NodeJS.Timeout | undefined;
 
   private constructor(options: CacheEventFeedOptions) {
@@ -43,20 +47,22 @@
   }
 
   /**
-   * @param options Sizes and times.
-   * @returns A feed without events.
+   * @param options Buffer size and heartbeat interval.
+   * @returns An empty feed.
    */
   static create(options: CacheEventFeedOptions): CacheEventFeed {
     return new CacheEventFeed(options);
   }
 
-  /** Number of the next event. */
+  /** Sequence number of the next published event. */
   get nextSeq(): number {
     return this.#nextSeq;
   }
 
   /**
-   * @param event What happened.
+   * Numbers an event and sends it to all readers, unless a fault drops or delays it.
+   *
+   * @param event A change of the cache.
    */
   publish(event: UnnumberedEvent): void {
     const seq = this.#nextSeq++;
@@ -64,21 +70,22 @@
       this.loseNext--;
       return;
     }
-    if (this.lateMs > 0) {
-      const life = this.#life;
-      const keep = () => life === this.#life && this.#keep(seq, event);
-      setTimeout(keep, this.lateMs).unref();
+    if (this.delayMs > 0) {
+      const generation = this.#generation;
+      const append = () =>
+        generation === this.#generation && this.#append(seq, event);
+      setTimeout(append, this.delayMs).unref();
       return;
     }
-    this.#keep(seq, event);
+    this.#append(seq, event);
   }
 
   /**
-   * Sends kept events from `sinceSeq` and all later ones.
+   * Adds a reader and sends it the buffered events from `sinceSeq` on, then all new ones.
    *
-   * @param response Where to.
-   * @param sinceSeq First number wanted.
-   * @param incarnation Names the engine's life in the first line.
+   * @param response Response that the events are written to.
+   * @param sinceSeq First sequence number to send.
+   * @param incarnation Current incarnation of the engine, sent in the first line.
    */
   attach(
     response: ServerResponse,
@@ -95,38 +102,41 @@
     this.#send(reader);
   }
 
-  /** Starts anew, as a crash does; readers are cut by the engine's listener. */
+  /**
+   * Simulates a crash: drops all events and readers and restarts the numbering. The engine's HTTP
+   * listener closes the connections.
+   */
   reset(): void {
-    this.#life++;
-    this.#kept = [];
+    this.#generation++;
+    this.#buffer = [];
     this.#nextSeq = FIRST_SEQ;
     for (const reader of [...this.#readers]) this.#detach(reader);
   }
 
-  #keep(seq: number, event: UnnumberedEvent): void {
-    this.#kept.push({ seq, line: `${JSON.stringify({ ...event, seq })}\n` });
-    const excess = this.#kept.length - this.#options.keptEvents;
-    if (excess > this.#options.keptEvents) this.#kept.splice(0, excess);
-    this.#flushSoon();
+  #append(seq: number, event: UnnumberedEvent): void {
+    this.#buffer.push({ seq, line: `${JSON.stringify({ ...event, seq })}\n` });
+    const excess = this.#buffer.length - this.#options.keptEvents;
+    if (excess > this.#options.keptEvents) this.#buffer.splice(0, excess);
+    this.#scheduleFlush();
   }
 
-  /** Events of one step go out in one write. */
-  #flushSoon(): void {
-    if (this.#flushing || this.#readers.size === 0) return;
-    this.#flushing = true;
+  /** Defers sending, so that all events of one event-loop turn go out in one write. */
+  #scheduleFlush(): void {
+    if (this.#isFlushScheduled || this.#readers.size === 0) return;
+    this.#isFlushScheduled = true;
     setImmediate(() => {
-      this.#flushing = false;
+      this.#isFlushScheduled = false;
       for (const reader of this.#readers) this.#send(reader);
     });
   }
 
   #send(reader: Reader): void {
-    const kept = this.#kept;
-    let first = kept.length;
-    while (first > 0 && kept[first - 1]!.seq >= reader.nextSeq) first--;
-    if (first === kept.length) return;
-    const lines = kept.slice(first).map(({ line }) => line);
-    reader.nextSeq = kept[kept.length - 1]!.seq + 1;
+    const buffer = this.#buffer;
+    let first = buffer.length;
+    while (first > 0 && buffer[first - 1]!.seq >= reader.nextSeq) first--;
+    if (first === buffer.length) return;
+    const lines = buffer.slice(first).map(({ line }) => line);
+    reader.nextSeq = buffer[buffer.length - 1]!.seq + 1;
     reader.response.write(lines.join(""));
   }
 
--- a/src/standin/_engine_routes.ts
+++ b/src/standin/_engine_routes.ts
@@ -9,7 +9,7 @@
 import type { StandinEngineFaults } from "./engine_options.ts";
 import type { EngineState } from "./_engine_state.ts";
 
-/** Body of an order. */
+/** Body of an order to load or unload a model or to change the role. */
 interface OrderBody {
   fencing_number: string;
   model?: LoadedModel;
@@ -21,17 +21,19 @@
   block_keys: string[];
 }
 
-const LOWEST_PRIORITY = 0;
+const DEFAULT_PRIORITY = 0;
 
-/** What routes can do to the engine as a whole. */
+/** Operations on the whole engine that the routes need. */
 export interface EngineControl {
   setFaults(faults: Partial<StandinEngineFaults>): Promise<void> | void;
 }
 
 /**
- * @param state The engine's parts.
- * @param request To be answered.
- * @param control The engine as a whole.
+ * Dispatches a request to its route.
+ *
+ * @param state Shared state of the engine.
+ * @param request The request to answer.
+ * @param control Operations on the whole engine.
  */
 export async function serveEngine(
   state: EngineState,
@@ -41,15 +43,15 @@
   const { response } = request;
   switch (`${request.method} ${request.url.pathname}`) {
     case "POST /v1/chat/completions":
-      return run(state, request, { api: "chat", control });
+      return startRun(state, request, { api: "chat", control });
     case "POST /v1/completions":
-      return run(state, request, { api: "text", control });
+      return startRun(state, request, { api: "text", control });
     case "GET /info":
-      return answerJson(response, 200, info(state));
+      return answerJson(response, 200, describeEngine(state));
     case "GET /load":
-      return answerJson(response, 200, load(state));
+      return answerJson(response, 200, describeLoad(state));
     case "GET /cache":
-      return answerJson(response, 200, snapshot(state));
+      return answerJson(response, 200, describeCache(state));
     case "GET /cache_events":
       return followEvents(state, request);
     case "POST /kv/export":
@@ -59,7 +61,7 @@
     case "POST /orders/load":
     case "POST /orders/unload":
     case "POST /orders/role":
-      return await order(state, request);
+      return await handleOrder(state, request);
     case "GET /control/executions":
       return answerJson(response, 200, { executions: state.executions });
     case "GET /control/orders":
@@ -74,34 +76,37 @@
   }
 }
 
-function run(
+function startRun(
   state: EngineState,
   request: HostRequest,
   { api, control }: { api: "chat" | "text"; control: EngineControl },
 ): void {
   const body = readJson<Record<string, unknown>>(request);
-  const refusal = refuse(state, body);
+  const refusal = findRefusal(state, body);
   if (refusal) return answerError(request, refusal.status, refusal.message);
   const model = state.models.find(requestedModel(body))!;
   const { response } = request;
-  const entry = createRun(state, { api, body, model, request });
-  if (isCrashing(state, request)) {
-    state.executions.push(entry.execution);
+  const engineRun = createRun(state, { api, body, model, request });
+  if (triggersCrash(state, request)) {
+    state.executions.push(engineRun.execution);
     return void control.setFaults({ crash: true });
   }
   response.once("close", () => {
-    state.scheduler.cancel(entry);
+    state.scheduler.cancel(engineRun);
     recordLoad(state);
   });
-  state.scheduler.submit(entry);
+  state.scheduler.submit(engineRun);
   recordLoad(state);
 }
 
-function isCrashing({ faults }: EngineState, { body }: HostRequest): boolean {
+function triggersCrash(
+  { faults }: EngineState,
+  { body }: HostRequest,
+): boolean {
   return faults.crashOnText !== "" && body.includes(faults.crashOnText);
 }
 
-function refuse(
+function findRefusal(
   state: EngineState,
   body: Record<string, unknown>,
 ): { status: number; message: string } | undefined {
@@ -158,7 +163,7 @@
   });
   const { incarnation } = state;
   return {
-    priority: Number(body["priority"] ?? LOWEST_PRIORITY),
+    priority: Number(body["priority"] ?? DEFAULT_PRIORITY),
     chain: state.cache.split(input.prompt, { cacheSalt, model }),
     promptTokens,
     answerLength: tokens.length,
@@ -183,7 +188,7 @@
   state.loadHistory.record(state.scheduler.load());
 }
 
-function info(state: EngineState): unknown {
+function describeEngine(state: EngineState): unknown {
   const { options } = state;
   return {
     incarnation: state.incarnation,
@@ -197,13 +202,13 @@
   };
 }
 
-function load(state: EngineState): unknown {
+function describeLoad(state: EngineState): unknown {
   const report = state.loadHistory.report(state.scheduler.load());
   const { incarnation } = state;
   return { incarnation, ...report.load, ageMs: report.ageMs };
 }
 
-function snapshot(state: EngineState): unknown {
+function describeCache(state: EngineState): unknown {
   const { nextSeq } = state.feed;
   const blocks = state.cache.list().map((block) => ({
     kind: "stored",
@@ -238,7 +243,10 @@
   answerJson(request.response, 200, { imported });
 }
 
-async function order(state: EngineState, request: HostRequest): Promise<void> {
+async function handleOrder(
+  state: EngineState,
+  request: HostRequest,
+): Promise<void> {
   const body = readJson<OrderBody>(request);
   const fencingNumber = BigInt(body.fencing_number);
   const highest = state.highestFencingNumber;
@@ -250,11 +258,11 @@
   const kind = request.url.pathname.slice("/orders/".length);
   const subject = body.role ?? JSON.stringify(body.model);
   state.orders.push({ fencingNumber: body.fencing_number, kind, subject });
-  await execute(state, kind, body);
+  await executeOrder(state, kind, body);
   answerJson(request.response, 200, {});
 }
 
-async function execute(
+async function executeOrder(
   state: EngineState,
   kind: string,
   body: OrderBody,
--- a/src/standin/_engine_scheduler.ts
+++ b/src/standin/_engine_scheduler.ts
@@ -1,32 +1,34 @@
-/** Continuous batching: which requests have a slot, are prefilled, and get their next token. */
+/** Simulates continuous batching: assigns slots, and times prefill and decode steps. */
 import type { CacheBlock, PrefixCache } from "./_engine_cache.ts";
 import { BYTES_PER_TOKEN } from "./answer.ts";
 import type { EngineExecution } from "./engine_options.ts";
 
-/** Where a run's output goes. */
+/** Receives the output of a run. */
 export interface RunSink {
-  /** Tokens `from` (inclusive) to `to` (exclusive) of the answer are ready. */
+  /** Called when tokens `from` (inclusive) to `to` (exclusive) of the answer are ready. */
   emit(from: number, to: number): void;
-  /** All tokens were emitted. */
+  /** Called once after the last token. */
   end(cachedTokens: number): void;
 }
 
-/** A request in the engine. */
+/** The state of one request in the engine. */
 export interface EngineRun {
-  /** Lower runs first. */
+  /** Runs with a lower number are scheduled first. */
   readonly priority: number;
+  /** Cache blocks of the prompt. */
   readonly chain: CacheBlock[];
   readonly promptTokens: number;
   readonly answerLength: number;
   readonly sink: RunSink;
-  /** For the log of executions; its `cachedTokens` is filled in there. */
+  /** Entry for the execution log, which sets its `cachedTokens` when the prefill starts. */
   readonly execution: EngineExecution;
-  /** Given by the scheduler. */
+  /** Position in the order of arrival, set by the scheduler; breaks ties between priorities. */
   arrival: number;
   started: boolean;
   cachedTokens: number;
-  /** Tokens still to prefill; all of the prompt before the run starts. */
+  /** Prompt tokens that are not prefilled yet; may be fractional. */
   prefillLeft: number;
+  /** Number of answer tokens emitted so far. */
   emitted: number;
 }
 
@@ -36,48 +38,48 @@
   prefillMsPerToken: number;
   decodeMsPerToken: number;
   cache: PrefixCache;
-  /** Called when a run's prefill begins. */
+  /** Called when the prefill of a run starts. */
   onStart: (run: EngineRun) => void;
 }
 
-/** Numbers of the load report. */
+/** Load figures of an engine. */
 export interface SchedulerLoad {
   running: number;
   waiting: number;
   prefillTokensQueued: number;
 }
 
-/** While prompts are being prefilled, the choice among them is made anew this often. */
+/** Interval at which the scheduler reconsiders which prompt to prefill next. */
 const PREFILL_SLICE_MS = 10;
 
-/** Shares the engine's time among runs, with one timer for all of them. */
+/** Divides simulated compute time among runs, with a single timer. */
 export class EngineScheduler {
   readonly #options: EngineSchedulerOptions;
-  /** Sorted: the next to get a slot first. */
+  /** Runs without a slot, in scheduling order. */
   readonly #waiting: EngineRun[] = [];
-  /** Have a slot; sorted: the next to be prefilled first. */
+  /** Runs with a slot whose prompt is not fully prefilled, in scheduling order. */
   readonly #prefilling: EngineRun[] = [];
   readonly #decoding = new Set<EngineRun>();
-  #arrivals = 0;
+  #nextArrival = 0;
   #queuedTokens = 0;
   #timer: NodeJS.Timeout | undefined;
-  #dueMs = 0;
-  #prefillMs = 0;
-  #decodeMs = 0;
+  #timerDueMs = 0;
+  #prefilledUntilMs = 0;
+  #decodedUntilMs = 0;
 
   private constructor(options: EngineSchedulerOptions) {
     this.#options = options;
   }
 
   /**
-   * @param options Speed, slots and cache.
-   * @returns A scheduler without runs.
+   * @param options Slots, speeds and cache.
+   * @returns An idle scheduler.
    */
   static create(options: EngineSchedulerOptions): EngineScheduler {
     return new EngineScheduler(options);
   }
 
-  /** @returns The load at this moment. */
+  /** @returns The current load. */
   load(): SchedulerLoad {
     return {
       running: this.#running,
@@ -87,27 +89,32 @@
   }
 
   /**
-   * @param run Waits for a slot from now on.
+   * Enqueues a run.
+   *
+   * @param run A run that has not been submitted before.
    */
   submit(run: EngineRun): void {
-    run.arrival = this.#arrivals++;
+    run.arrival = this.#nextArrival++;
     run.prefillLeft = run.promptTokens;
     this.#queuedTokens += run.promptTokens;
     insert(this.#waiting, run);
-    this.#wake(0);
+    this.#scheduleStep(0);
   }
 
   /**
-   * @param run Leaves, wherever it stands; nothing happens when it has ended.
+   * Removes a run from the queue or from its slot; does nothing if the run has ended.
+   *
+   * @param run A submitted run.
    */
   cancel(run: EngineRun): void {
-    const stood = remove(this.#waiting, run) || remove(this.#prefilling, run);
-    if (stood) this.#queuedTokens -= run.prefillLeft;
-    const decoded = this.#decoding.delete(run);
-    if (stood || decoded) this.#wake(0);
+    const wasQueued = remove(this.#waiting, run) ||
+      remove(this.#prefilling, run);
+    if (wasQueued) this.#queuedTokens -= run.prefillLeft;
+    const wasDecoding = this.#decoding.delete(run);
+    if (wasQueued || wasDecoding) this.#scheduleStep(0);
   }
 
-  /** Drops all runs. */
+  /** Drops all runs without ending their sinks. */
   clear(): void {
     this.#waiting.length = 0;
     this.#prefilling.length = 0;
@@ -121,12 +128,15 @@
     return this.#prefilling.length + this.#decoding.size;
   }
 
-  /** A timer that is due earlier stays, so that no stream of requests can hold it back. */
-  #wake(delayMs: number): void {
+  /**
+   * Schedules the next step. A timer that is due earlier is kept, so that a steady stream of requests
+   * cannot postpone it forever.
+   */
+  #scheduleStep(delayMs: number): void {
     const dueMs = performance.now() + delayMs;
-    if (this.#timer && this.#dueMs <= dueMs) return;
+    if (this.#timer && this.#timerDueMs <= dueMs) return;
     clearTimeout(this.#timer);
-    this.#dueMs = dueMs;
+    this.#timerDueMs = dueMs;
     this.#timer = setTimeout(() => this.#step(), delayMs);
   }
 
@@ -137,10 +147,10 @@
     this.#prefill(nowMs);
     while (this.#admit()) this.#prefill(nowMs);
     const delayMs = this.#nextDelayMs(nowMs);
-    if (delayMs !== undefined) this.#wake(delayMs);
+    if (delayMs !== undefined) this.#scheduleStep(delayMs);
   }
 
-  /** Gives free slots to runs that wait; tells whether there were any. */
+  /** Moves waiting runs to free slots; returns whether any run was moved. */
   #admit(): boolean {
     const free = this.#options.maxRunning - this.#running;
     const admitted = this.#waiting.splice(0, free);
@@ -148,33 +158,33 @@
     return admitted.length > 0;
   }
 
-  /** Spends the time since the last step on prompts, the most urgent first. */
+  /** Spends the time since the last step on prefill, in scheduling order. */
   #prefill(nowMs: number): void {
-    let spareMs = nowMs - this.#prefillMs;
-    this.#prefillMs = nowMs;
+    let budgetMs = nowMs - this.#prefilledUntilMs;
+    this.#prefilledUntilMs = nowMs;
     while (this.#prefilling.length > 0) {
       const run = this.#prefilling[0]!;
-      if (!run.started) this.#start(run);
+      if (!run.started) this.#startPrefill(run);
       const neededMs = run.prefillLeft * this.#options.prefillMsPerToken;
-      if (neededMs > spareMs) return this.#prefillPart(run, spareMs);
-      spareMs -= neededMs;
+      if (neededMs > budgetMs) return this.#prefillPart(run, budgetMs);
+      budgetMs -= neededMs;
       this.#finishPrefill(run, nowMs);
     }
   }
 
-  #start(run: EngineRun): void {
+  #startPrefill(run: EngineRun): void {
     const matchedBytes = this.#options.cache.match(run.chain);
     run.cachedTokens = Math.floor(matchedBytes / BYTES_PER_TOKEN);
-    // At least one token is computed, since the answer depends on it.
-    const left = Math.max(1, run.promptTokens - run.cachedTokens);
-    this.#queuedTokens -= run.prefillLeft - left;
-    run.prefillLeft = left;
+    // The first answer token depends on the last prompt token, so at least one is always computed.
+    const tokensToCompute = Math.max(1, run.promptTokens - run.cachedTokens);
+    this.#queuedTokens -= run.prefillLeft - tokensToCompute;
+    run.prefillLeft = tokensToCompute;
     run.started = true;
     this.#options.onStart(run);
   }
 
-  #prefillPart(run: EngineRun, spareMs: number): void {
-    const tokens = spareMs / this.#options.prefillMsPerToken;
+  #prefillPart(run: EngineRun, budgetMs: number): void {
+    const tokens = budgetMs / this.#options.prefillMsPerToken;
     run.prefillLeft -= tokens;
     this.#queuedTokens -= tokens;
   }
@@ -184,22 +194,22 @@
     this.#queuedTokens = Math.max(0, this.#queuedTokens - run.prefillLeft);
     run.prefillLeft = 0;
     this.#options.cache.store(run.chain);
-    if (this.#decoding.size === 0) this.#decodeMs = nowMs;
+    if (this.#decoding.size === 0) this.#decodedUntilMs = nowMs;
     this.#decoding.add(run);
     this.#emit(run, 1);
   }
 
-  /** One step gives one token to each run that decodes. */
+  /** Emits one token per elapsed decode step for each decoding run. */
   #decode(nowMs: number): void {
     if (this.#decoding.size === 0) return;
     const { decodeMsPerToken } = this.#options;
     const steps = decodeMsPerToken === 0
       ? Infinity
-      : Math.floor((nowMs - this.#decodeMs) / decodeMsPerToken);
+      : Math.floor((nowMs - this.#decodedUntilMs) / decodeMsPerToken);
     if (steps === 0) return;
-    this.#decodeMs = decodeMsPerToken === 0
+    this.#decodedUntilMs = decodeMsPerToken === 0
       ? nowMs
-      : this.#decodeMs + steps * decodeMsPerToken;
+      : this.#decodedUntilMs + steps * decodeMsPerToken;
     for (const run of this.#decoding) this.#emit(run, steps);
   }
 
@@ -216,7 +226,7 @@
     const { decodeMsPerToken, prefillMsPerToken } = this.#options;
     let delayMs: number | undefined;
     if (this.#decoding.size > 0) {
-      delayMs = this.#decodeMs + decodeMsPerToken - nowMs;
+      delayMs = this.#decodedUntilMs + decodeMsPerToken - nowMs;
     }
     const next = this.#prefilling[0];
     if (next) {
@@ -230,7 +240,7 @@
 
 function insert(queue: EngineRun[], run: EngineRun): void {
   let index = queue.length;
-  while (index > 0 && goesBefore(run, queue[index - 1]!)) index--;
+  while (index > 0 && precedes(run, queue[index - 1]!)) index--;
   queue.splice(index, 0, run);
 }
 
@@ -241,7 +251,7 @@
   return true;
 }
 
-function goesBefore(run: EngineRun, other: EngineRun): boolean {
+function precedes(run: EngineRun, other: EngineRun): boolean {
   if (run.priority !== other.priority) return run.priority < other.priority;
   return run.arrival < other.arrival;
 }
--- a/src/standin/_engine_state.ts
+++ b/src/standin/_engine_state.ts
@@ -1,4 +1,4 @@
-/** What a stand-in engine and its routes share. */
+/** State that a stand-in engine shares with its routes. */
 import type { PrefixCache } from "./_engine_cache.ts";
 import type { CacheEventFeed } from "./_engine_events.ts";
 import type { EngineScheduler } from "./_engine_scheduler.ts";
@@ -11,7 +11,7 @@
   StandinEngineOptions,
 } from "./engine_options.ts";
 
-/** Parts of a running engine, shared with its routes. */
+/** Components and mutable state of a running engine. */
 export interface EngineState {
   readonly options: StandinEngineOptions;
   readonly faults: StandinEngineFaults;
--- a/src/standin/_engine_stream.ts
+++ b/src/standin/_engine_stream.ts
@@ -1,39 +1,39 @@
-/** One run's server-sent events. */
+/** Streams the answer of one run as server-sent events. */
 import type { ServerResponse } from "node:http";
 import type { RunSink } from "./_engine_scheduler.ts";
 
-/** What a stream of events is made from. */
+/** Contents and faults of an {@link EngineStream}. */
 export interface EngineStreamOptions {
   api: "chat" | "text";
   requestId: string;
   model: string;
-  /** Tells which engine and weights answered. */
+  /** Weights version and engine incarnation, sent as the system fingerprint. */
   fingerprint: string;
   tokens: string[];
   promptTokens: number;
-  /** Pieces after which the run stalls; negative: never. */
+  /** Number of tokens after which the run stalls; negative: never. */
   stallAfterPieces: number;
-  /** Pieces after which the connection is cut; negative: never. */
+  /** Number of tokens after which the connection is closed; negative: never. */
   cutAfterPieces: number;
 }
 
-/** Writes a run's tokens as OpenAI's chunks. */
+/** Writes tokens as completion chunks in the format of OpenAI's API. */
 export class EngineStream implements RunSink {
   readonly #response: ServerResponse;
   readonly #options: EngineStreamOptions;
-  /** Everything of an event before its choice. */
-  readonly #head: string;
+  /** The part of an event before its `choices`, which is the same for all events. */
+  readonly #eventPrefix: string;
   #pieces = 0;
 
   private constructor(response: ServerResponse, options: EngineStreamOptions) {
     this.#response = response;
     this.#options = options;
-    this.#head = eventHead(options);
+    this.#eventPrefix = buildEventPrefix(options);
   }
 
   /**
-   * @param response Where to write; its head is sent at once.
-   * @param options What to write.
+   * @param response Response to write to; its headers are sent immediately.
+   * @param options Contents and faults.
    * @returns A stream without events.
    */
   static create(
@@ -51,44 +51,44 @@
   emit(from: number, to: number): void {
     let text = "";
     for (let index = from; index < to; index++) {
-      if (this.#isStopped()) break;
+      if (this.#hasReachedFault()) break;
       this.#pieces++;
-      text += this.#choice(this.#options.tokens[index]!, "null");
+      text += this.#formatEvent(this.#options.tokens[index]!, "null");
     }
     if (text !== "") this.#response.write(text);
-    this.#cutIfDue();
+    this.#cutIfReached();
   }
 
   end(cachedTokens: number): void {
-    if (this.#isStopped()) return;
-    const last = this.#choice("", `"stop"`);
-    const usage = `${this.#head}"choices":[],"usage":${
-      this.#usage(cachedTokens)
+    if (this.#hasReachedFault()) return;
+    const last = this.#formatEvent("", `"stop"`);
+    const usage = `${this.#eventPrefix}"choices":[],"usage":${
+      this.#formatUsage(cachedTokens)
     }}\n\n`;
     this.#response.end(`${last}${usage}data: [DONE]\n\n`);
   }
 
-  #isStopped(): boolean {
+  #hasReachedFault(): boolean {
     const { stallAfterPieces, cutAfterPieces } = this.#options;
     return isReached(stallAfterPieces, this.#pieces) ||
       isReached(cutAfterPieces, this.#pieces);
   }
 
-  #cutIfDue(): void {
+  #cutIfReached(): void {
     if (!isReached(this.#options.cutAfterPieces, this.#pieces)) return;
-    // Ends without the closing event, as a proxy does that lost its server.
+    // Ends without the final event, like a proxy that lost its connection to the server.
     this.#response.end();
   }
 
-  #choice(token: string, finishReason: string): string {
+  #formatEvent(token: string, finishReason: string): string {
     const content = this.#options.api === "chat"
       ? `"delta":{"content":${JSON.stringify(token)}}`
       : `"text":${JSON.stringify(token)}`;
     const choice = `{"index":0,${content},"finish_reason":${finishReason}}`;
-    return `${this.#head}"choices":[${choice}]}\n\n`;
+    return `${this.#eventPrefix}"choices":[${choice}]}\n\n`;
   }
 
-  #usage(cachedTokens: number): string {
+  #formatUsage(cachedTokens: number): string {
     const { promptTokens, tokens } = this.#options;
     return JSON.stringify({
       prompt_tokens: promptTokens,
@@ -99,7 +99,7 @@
   }
 }
 
-function eventHead(options: EngineStreamOptions): string {
+function buildEventPrefix(options: EngineStreamOptions): string {
   const kind = options.api === "chat"
     ? "chat.completion.chunk"
     : "text_completion";
--- a/src/standin/_http_host.ts
+++ b/src/standin/_http_host.ts
@@ -1,4 +1,4 @@
-/** A small HTTP listener for stand-ins: it can go down, come back, and cut its connections. */
+/** HTTP listener of the stand-ins; it can be stopped, restarted and made to cut its connections. */
 import {
   createServer,
   type IncomingMessage,
@@ -7,7 +7,7 @@
 } from "node:http";
 import type { AddressInfo, Socket } from "node:net";
 
-/** One request, with its body read. */
+/** A request whose body was read completely. */
 export interface HostRequest {
   method: string;
   url: URL;
@@ -16,17 +16,17 @@
   response: ServerResponse;
 }
 
-/** Answers a request. */
+/** Handles a request and writes its response. */
 export type HostHandler = (request: HostRequest) => void | Promise<void>;
 
 /** Settings of a {@link HttpHost}. */
 export interface HttpHostOptions {
-  /** `ip:port`; port 0: any free one. */
+  /** `ip:port`; port 0 selects a free port. */
   listenAddress: string;
   handle: HostHandler;
 }
 
-/** A listener with faults. */
+/** An HTTP listener with injectable connection faults. */
 export class HttpHost {
   readonly #handle: HostHandler;
   readonly #host: string;
@@ -42,8 +42,8 @@
   }
 
   /**
-   * @param options Where to listen and who answers.
-   * @returns A listener that is up.
+   * @param options Address and request handler.
+   * @returns A listener that accepts connections.
    */
   static async create(options: HttpHostOptions): Promise<HttpHost> {
     const host = new HttpHost(options);
@@ -51,12 +51,12 @@
     return host;
   }
 
-  /** `ip:port`. */
+  /** `ip:port` of the listener. */
   get address(): string {
     return `${this.#host}:${this.#port}`;
   }
 
-  /** Listens again, on the same port. */
+  /** Starts listening, on the same port as before {@link down}. */
   async up(): Promise<void> {
     if (this.#server) return;
     const server = createServer((request, response) => {
@@ -71,7 +71,7 @@
     this.#port = (server.address() as AddressInfo).port;
   }
 
-  /** Refuses connections and cuts those that are open. */
+  /** Stops listening and cuts all open connections. */
   async down(): Promise<void> {
     const server = this.#server;
     if (!server) return;
@@ -83,10 +83,10 @@
     await closed;
   }
 
-  /** Cuts all open connections. */
+  /** Resets all open connections. */
   cut(): void {
     for (const socket of this.#sockets) {
-      // Node can't reset a connection that it is shutting down, and would leave it open.
+      // Node ignores a reset on a socket that is already being ended, and leaves it open.
       if (socket.writableEnded) socket.destroy();
       else socket.resetAndDestroy();
     }
@@ -116,9 +116,11 @@
 }
 
 /**
- * @param response Where to answer.
+ * Sends a JSON response.
+ *
+ * @param response Response to write.
  * @param status HTTP status.
- * @param value Sent as JSON.
+ * @param value Value of the body.
  */
 export function answerJson(
   response: ServerResponse,
@@ -135,7 +137,7 @@
 
 /**
  * @param request A request with a JSON body.
- * @returns The parsed body; an empty body is an empty object.
+ * @returns The parsed body; an empty object if the body is empty.
  */
 export function readJson<T>(request: HostRequest): T {
   if (request.body.length === 0) return {} as T;
@@ -143,8 +145,10 @@
 }
 
 /**
- * @param host Listener to take down.
- * @param downMs For how long.
+ * Stops a listener and restarts it after a delay, without waiting for the restart.
+ *
+ * @param host Listener to stop.
+ * @param downMs Delay until the restart.
  */
 export async function takeDownFor(
   host: HttpHost,
--- a/src/standin/_kv_codec.ts
+++ b/src/standin/_kv_codec.ts
@@ -1,4 +1,4 @@
-/** Translation from etcd's messages to the memory store's calls, on the server's side. */
+/** Converts between etcd messages and the types of the memory store. */
 import {
   type Compare,
   Compare_CompareResult,
@@ -20,13 +20,13 @@
 
 const EMPTY = Buffer.alloc(0);
 
-/** A message that the stand-in does not support. */
+/** Thrown for an etcd message that the stand-in does not support. */
 export class UnsupportedError extends Error {
   override readonly name = "UnsupportedError";
 }
 
 /**
- * @param revision Store revision.
+ * @param revision Revision of the store.
  * @returns The header of a response.
  */
 export function toHeader(revision: bigint): ResponseHeader {
@@ -34,8 +34,8 @@
 }
 
 /**
- * @param entry The store's form.
- * @returns etcd's form.
+ * @param entry Entry of the memory store.
+ * @returns The etcd key-value pair.
  */
 export function toKeyValue(entry: KeyValueEntry): KeyValue {
   return {
@@ -49,8 +49,8 @@
 }
 
 /**
- * @param event The store's form.
- * @returns etcd's form.
+ * @param event Event of the memory store.
+ * @returns The etcd event.
  */
 export function toEvent(event: TableEvent): Event {
   if (event.kind === "put") {
@@ -69,9 +69,9 @@
 }
 
 /**
- * @param key First key.
- * @param rangeEnd Empty: only that key; a zero byte: no upper end.
- * @returns The store's form.
+ * @param key First key of the range; a zero byte selects all keys from the start.
+ * @param rangeEnd Exclusive end; empty selects only `key`, a zero byte means no upper bound.
+ * @returns The range in the memory store.
  */
 export function toRange(key: Buffer, rangeEnd: Buffer): KeyRange {
   const from = key.length === 1 && key[0] === 0 ? "" : key.toString();
@@ -83,8 +83,8 @@
 }
 
 /**
- * @param compare A condition; only equality of the last revision is supported.
- * @returns The store's form.
+ * @param compare Condition of a transaction; only equality of the mod revision is supported.
+ * @returns The expectation for the memory store.
  */
 export function toExpectation(compare: Compare): Expectation {
   const supported = compare.result === Compare_CompareResult.EQUAL &&
@@ -97,8 +97,8 @@
 }
 
 /**
- * @param op A change.
- * @returns The store's form.
+ * @param op Operation of the success branch; only puts and deletes are supported.
+ * @returns The write for the memory store.
  */
 export function toWrite({ request }: RequestOp): Write {
   switch (request?.$case) {
@@ -120,10 +120,10 @@
 }
 
 /**
- * @param op A query of the failure branch.
- * @param current Expected keys that exist.
- * @param revision Store revision.
- * @returns The answer to the query.
+ * @param op Operation of the failure branch; only the range of a single key is supported.
+ * @param current Current entries of the compared keys that exist.
+ * @param revision Revision of the store.
+ * @returns The response to the operation.
  */
 export function toFailureResponse(
   { request }: RequestOp,
--- a/src/standin/_kv_watch.ts
+++ b/src/standin/_kv_watch.ts
@@ -1,4 +1,4 @@
-/** Serves one etcd watch stream with one watch. */
+/** Serves an etcd watch stream that carries a single watch. */
 import type { ServerDuplexStream } from "@grpc/grpc-js";
 import type { RevisionTable } from "../store/mod.ts";
 import type {
@@ -12,13 +12,16 @@
 type WatchStream = ServerDuplexStream<WatchRequest, WatchResponse>;
 
 const WATCH_ID = 1n;
-/** etcd answers a request for progress with this id: it holds for all watches of the stream. */
+/** Watch id of etcd's progress responses, which apply to all watches of the stream. */
 const ALL_WATCHES = -1n;
 
 /**
- * @param stream The client's stream.
- * @param table What is watched.
- * @param isSilent True: the stream is dead from now on, though it stays open.
+ * Serves a watch until the client cancels it or ends the stream.
+ *
+ * @param stream Stream of the client.
+ * @param table Table to watch.
+ * @param isSilent Returns true while the server must not respond; the watch then stops for good, but
+ * its stream stays open.
  */
 export function serveWatch(
   stream: WatchStream,
@@ -27,7 +30,7 @@
 ): void {
   let unsubscribe = () => {};
   const respond = (response: Partial<WatchResponse>) => {
-    // Going on after a gap would break the order that a watch promises.
+    // Resuming after skipped events would violate the gapless order that a watch guarantees.
     if (isSilent()) return unsubscribe();
     stream.write(toResponse(table.revision, response));
   };
@@ -41,7 +44,7 @@
   stream.on("data", ({ requestUnion }: WatchRequest) => {
     switch (requestUnion?.$case) {
       case "createRequest":
-        unsubscribe = create(requestUnion.value, table, respond);
+        unsubscribe = createWatch(requestUnion.value, table, respond);
         return;
       case "progressRequest":
         return respond({ watchId: ALL_WATCHES });
@@ -52,7 +55,7 @@
   });
 }
 
-function create(
+function createWatch(
   request: WatchCreateRequest,
   table: RevisionTable,
   respond: (response: Partial<WatchResponse>) => void,
--- a/src/standin/_load_history.ts
+++ b/src/standin/_load_history.ts
@@ -1,4 +1,4 @@
-/** Load reports that lag. */
+/** Load reports with a fixed delay, like those of a real engine. */
 import type { SchedulerLoad } from "./_engine_scheduler.ts";
 
 interface Sample {
@@ -6,13 +6,13 @@
   load: SchedulerLoad;
 }
 
-/** A report and its age. */
+/** A load report and its age. */
 export interface AgedLoad {
   load: SchedulerLoad;
   ageMs: number;
 }
 
-/** Keeps what the load was, for as long as the report lags. */
+/** Records load samples to report the load of a fixed time ago. */
 export class LoadHistory {
   readonly #lagMs: number;
   #samples: Sample[] = [];
@@ -22,47 +22,53 @@
   }
 
   /**
-   * @param lagMs Age of the report.
-   * @returns A history without samples.
+   * @param lagMs Age of the reported load.
+   * @returns An empty history.
    */
   static create(lagMs: number): LoadHistory {
     return new LoadHistory(lagMs);
   }
 
   /**
-   * @param load The load from now on.
+   * Adds a sample.
+   *
+   * @param load The current load.
    */
   record(load: SchedulerLoad): void {
     const nowMs = performance.now();
     this.#samples.push({ atMs: nowMs, load });
-    this.#forget(nowMs);
+    this.#dropStale(nowMs);
   }
 
   /**
-   * @param current Reported where the history does not reach back.
-   * @returns The load as it was when the lag began.
+   * @param current The current load, reported if there are no samples.
+   * @returns The load `lagMs` ago; idle if all samples are newer.
    */
   report(current: SchedulerLoad): AgedLoad {
     const nowMs = performance.now();
-    this.#forget(nowMs);
+    this.#dropStale(nowMs);
     const first = this.#samples[0];
     if (!first) return { load: current, ageMs: 0 };
     if (first.atMs > nowMs - this.#lagMs) {
-      return { load: IDLE, ageMs: this.#lagMs };
+      return { load: IDLE_LOAD, ageMs: this.#lagMs };
     }
     return { load: first.load, ageMs: this.#lagMs };
   }
 
-  /** Keeps the newest sample that is older than the lag, and all later ones. */
-  #forget(nowMs: number): void {
+  /** Drops all samples before the newest one that is at least `lagMs` old. */
+  #dropStale(nowMs: number): void {
     const samples = this.#samples;
-    let stale = 0;
+    let staleCount = 0;
     while (
-      stale + 1 < samples.length &&
-      samples[stale + 1]!.atMs <= nowMs - this.#lagMs
-    ) stale++;
-    if (stale > 0) samples.splice(0, stale);
+      staleCount + 1 < samples.length &&
+      samples[staleCount + 1]!.atMs <= nowMs - this.#lagMs
+    ) staleCount++;
+    if (staleCount > 0) samples.splice(0, staleCount);
   }
 }
 
-const IDLE: SchedulerLoad = { running: 0, waiting: 0, prefillTokensQueued: 0 };
+const IDLE_LOAD: SchedulerLoad = {
+  running: 0,
+  waiting: 0,
+  prefillTokensQueued: 0,
+};
--- a/src/standin/_model_set.ts
+++ b/src/standin/_model_set.ts
@@ -1,7 +1,7 @@
-/** Models that an engine serves, and the orders that change them. */
+/** The set of models that an engine serves. */
 import type { LoadedModel } from "../backends/mod.ts";
 
-/** The models of one engine; the last one loaded comes first. */
+/** The models of one engine, most recently loaded first. */
 export class ModelSet {
   #models: LoadedModel[];
 
@@ -10,8 +10,8 @@
   }
 
   /**
-   * @param models Served from the start.
-   * @returns The set.
+   * @param models Initial models.
+   * @returns A set with these models.
    */
   static create(models: LoadedModel[]): ModelSet {
     return new ModelSet([...models]);
@@ -23,8 +23,8 @@
   }
 
   /**
-   * @param model Name, adapter and version; an empty version: the last one loaded.
-   * @returns The model that serves a request for it, if any does.
+   * @param model Requested model; an empty version selects the most recently loaded one.
+   * @returns The loaded model that serves the request, if any.
    */
   find(model: LoadedModel): LoadedModel | undefined {
     return this.#models.find((served) =>
@@ -35,7 +35,9 @@
   }
 
   /**
-   * @param model Comes first from now on.
+   * Adds a model, or moves it to the front.
+   *
+   * @param model Model that was loaded.
    */
   add(model: LoadedModel): void {
     this.remove(model);
@@ -43,15 +45,17 @@
   }
 
   /**
-   * @param model Is no longer served.
+   * Removes a model, if it is in the set.
+   *
+   * @param model Model that was unloaded.
    */
   remove(model: LoadedModel): void {
     this.#models = this.#models.filter((served) => !isSame(served, model));
   }
 
   /**
-   * @param model A model of exactly this version.
-   * @returns True when it is served.
+   * @param model Model with its exact version.
+   * @returns Whether the model is served.
    */
   has(model: LoadedModel): boolean {
     return this.#models.some((served) => isSame(served, model));
--- a/src/standin/_platform_answer.ts
+++ b/src/standin/_platform_answer.ts
@@ -1,30 +1,35 @@
-/** Plain answers of the stand-in for a backend server of the platform. */
+/** Non-streaming answers of the stand-in for a backend server of the platform. */
 import type { HostRequest } from "./_http_host.ts";
 import {
+  consumeFault,
   type StandinPlatformWorkerFaults,
-  take,
 } from "./platform_worker_options.ts";
 
-/** Body of every plain answer. */
+/** Body of every non-streaming answer. */
 export const PLAIN_BODY = "done";
 
-/** Who answers. */
+/** Settings of {@link answerCall}. */
 export interface AnswerOptions {
   faults: StandinPlatformWorkerFaults;
+  /** Identifies the backend server in the response headers. */
   seal: string;
 }
 
 /**
- * @param request A call that ran.
- * @param options Who answers, and what goes wrong.
+ * Answers a plain call, subject to the faults.
+ *
+ * @param request A call that was executed.
+ * @param options Seal of the backend server and faults to inject.
  */
 export function answerCall(
   { headers, response }: HostRequest,
   { faults, seal }: AnswerOptions,
 ): void {
-  const isFailure = take(faults, "fail");
-  const id = take(faults, "foreign") ? "other" : String(headers["attempt-id"]);
-  if (take(faults, "unframed")) {
+  const isFailure = consumeFault(faults, "fail");
+  const id = consumeFault(faults, "foreign")
+    ? "other"
+    : String(headers["attempt-id"]);
+  if (consumeFault(faults, "unframed")) {
     response.socket?.end(
       `HTTP/1.1 200 OK\r\nserver-seal: s\r\nattempt-id: ${id}\r\n\r\n` +
         PLAIN_BODY,
--- a/src/standin/_platform_orders.ts
+++ b/src/standin/_platform_orders.ts
@@ -1,32 +1,33 @@
-/** Orders that a stand-in backend server has taken, and the weights that it has by them. */
+/** Weight-loading orders of a stand-in backend server. */
 
 /** An order that was accepted. */
 export interface StandinPlatformOrder {
   version: number;
   holder: string;
   fencingToken: number;
-  /** When it was accepted. */
+  /** Time of acceptance on the monotonic clock. */
   atMs: number;
 }
 
 /** Settings of {@link PlatformOrders}. */
 export interface PlatformOrdersOptions {
-  /** Version of the weights at first. */
+  /** Initial version of the weights. */
   version: number;
+  /** Whether orders with an outdated fencing token are rejected. */
   requireFencing: boolean;
-  /** Time from an order until its weights are there. */
+  /** Time that loading weights takes. */
   loadMs: number;
 }
 
-/** Takes orders one at a time. */
+/** Validates and executes orders, one at a time. */
 export class PlatformOrders {
-  /** All that were accepted, also before the last start. */
+  /** All accepted orders, including those from before a restart. */
   readonly accepted: StandinPlatformOrder[] = [];
   readonly #options: PlatformOrdersOptions;
   #version: number;
   #sequence = 0;
-  #highestFence = 0;
-  #load: NodeJS.Timeout | undefined;
+  #highestFencingToken = 0;
+  #loadTimer: NodeJS.Timeout | undefined;
 
   constructor(options: PlatformOrdersOptions) {
     this.#options = options;
@@ -38,53 +39,58 @@
     return this.#version;
   }
 
-  /** Orders accepted since the last start. */
+  /** Number of orders accepted since the last restart. */
   get sequence(): number {
     return this.#sequence;
   }
 
-  /** Whether weights are being loaded. */
+  /** Whether a load is in progress. */
   get busy(): boolean {
-    return this.#load !== undefined;
+    return this.#loadTimer !== undefined;
   }
 
   /**
-   * @param order An order as it came.
-   * @returns The status of the answer.
+   * Validates an order and starts loading its weights.
+   *
+   * @param order Parsed body of the order.
+   * @returns HTTP status of the answer: 202 if accepted, 200 if the version is already loaded, 412 for
+   * an outdated fencing token, 409 if a load is in progress or the sequence does not match.
    */
-  judge(order: Record<string, unknown>): number {
-    const fence = Number(order["fencing_token"]);
-    if (this.#options.requireFencing && fence < this.#highestFence) return 412;
+  submit(order: Record<string, unknown>): number {
+    const fencingToken = Number(order["fencing_token"]);
+    if (
+      this.#options.requireFencing && fencingToken < this.#highestFencingToken
+    ) return 412;
     if (this.busy || order["expected"] !== this.#sequence) return 409;
     const version = Number(order["version"]);
     if (version === this.#version) return 200;
-    this.#highestFence = fence;
+    this.#highestFencingToken = fencingToken;
     this.#sequence++;
     this.accepted.push({
       version,
       holder: String(order["holder"]),
-      fencingToken: fence,
+      fencingToken,
       atMs: performance.now(),
     });
-    this.#begin(version);
+    this.#startLoad(version);
     return 202;
   }
 
-  /** Forgets counts and fences, and the load that is in progress; loaded weights stay. */
+  /** Resets the sequence and the fencing token and aborts a load in progress; keeps loaded weights. */
   restart(): void {
-    clearTimeout(this.#load);
-    this.#load = undefined;
+    clearTimeout(this.#loadTimer);
+    this.#loadTimer = undefined;
     this.#sequence = 0;
-    this.#highestFence = 0;
+    this.#highestFencingToken = 0;
   }
 
-  #begin(version: number): void {
+  #startLoad(version: number): void {
     if (this.#options.loadMs === 0) {
       this.#version = version;
       return;
     }
-    this.#load = setTimeout(() => {
-      this.#load = undefined;
+    this.#loadTimer = setTimeout(() => {
+      this.#loadTimer = undefined;
       this.#version = version;
     }, this.#options.loadMs);
   }
--- a/src/standin/_platform_stream.ts
+++ b/src/standin/_platform_stream.ts
@@ -1,32 +1,32 @@
-/** Streams of the stand-in for a backend server of the platform. */
+/** Event streams of the stand-in for a backend server of the platform. */
 import type { IncomingHttpHeaders, ServerResponse } from "node:http";
 import { setTimeout as sleep } from "node:timers/promises";
 import type { StreamStall } from "./platform_worker_options.ts";
 
-/** A stream under way. */
+/** A stream in progress. */
 export interface RunningStream {
   response: ServerResponse;
-  /** Last event that was sent. */
-  last: number;
+  /** Id of the last event that was sent; ids start at 1. */
+  lastEventId: number;
 }
 
-/** What a stream is made of. */
-export interface EventsOptions {
-  /** Events of the whole stream. */
+/** Length, timing and faults of a stream. */
+export interface WriteEventsOptions {
+  /** Number of events in a complete stream. */
   events: number;
-  /** Pause between them. */
+  /** Pause after each event. */
   eventMs: number;
-  /** Breaks off in the middle of the event after this one; left out: not at all. */
+  /** Number of complete events before the connection is cut mid-event; undefined: never. */
   cutAfter?: number;
-  /** Left out: it does not pause. */
+  /** Stall to inject; undefined: none. */
   stall?: StreamStall;
 }
 
 /**
- * Work on a stream stops when the time that came with it is over.
+ * Closes the response when the deadline given in the request's headers expires.
  *
  * @param headers Headers of the request.
- * @param response Its answer.
+ * @param response Response to the request.
  */
 export function endAtDeadline(
   headers: IncomingHttpHeaders,
@@ -39,15 +39,17 @@
 }
 
 /**
- * @param stream Whose events follow its last one.
- * @param options How many, and how fast.
+ * Writes the events after the stream's last one.
+ *
+ * @param stream Stream to continue.
+ * @param options Length, timing and faults.
  */
 export async function writeEvents(
   stream: RunningStream,
-  { events, eventMs, cutAfter, stall }: EventsOptions,
+  { events, eventMs, cutAfter, stall }: WriteEventsOptions,
 ): Promise<void> {
   const { response } = stream;
-  for (let i = stream.last + 1; i <= events; i++) {
+  for (let i = stream.lastEventId + 1; i <= events; i++) {
     if (stall && i === stall.afterEvent + 1) {
       if (stall.isBehindHead) response.flushHeaders();
       await sleep(stall.pauseMs, undefined, { ref: false });
@@ -59,7 +61,7 @@
       return;
     }
     response.write(`id: ${i}\ndata: x${i}\n\n`);
-    stream.last = i;
+    stream.lastEventId = i;
     if (eventMs > 0) await sleep(eventMs);
   }
   response.end();
--- a/src/standin/_rate_meter.ts
+++ b/src/standin/_rate_meter.ts
@@ -1,14 +1,14 @@
-/** Counts calls and their highest rate, for the platform's limits. */
+/** Measures call rates, to compare them with the platform's rate limits. */
 import type { Clock } from "../base/mod.ts";
 
-/** Calls of one kind. */
+/** Totals for one kind of call. */
 export interface CallRate {
   total: number;
-  /** Highest number of calls within one second. */
+  /** Highest number of calls within one clock second. */
   peakPerSecond: number;
 }
 
-/** What a {@link RateMeter} counted. */
+/** Totals and peaks of a {@link RateMeter}. */
 export interface RateReport {
   reads: CallRate;
   writes: CallRate;
@@ -17,20 +17,20 @@
 
 const SECOND_MS = 1000;
 
-/** Counts the calls of each second. */
+/** Counts calls per second, separately for reads, writes and watches. */
 export class RateMeter {
   readonly #clock: Clock;
-  readonly #reads: Counter = emptyCounter();
-  readonly #writes: Counter = emptyCounter();
-  readonly #watches: Counter = emptyCounter();
+  readonly #reads: Counter = createCounter();
+  readonly #writes: Counter = createCounter();
+  readonly #watches: Counter = createCounter();
 
   private constructor(clock: Clock) {
     this.#clock = clock;
   }
 
   /**
-   * @param clock Tells the seconds apart.
-   * @returns A meter that counted nothing yet.
+   * @param clock Clock that determines the second of a call.
+   * @returns A meter with all counts at zero.
    */
   static create(clock: Clock): RateMeter {
     return new RateMeter(clock);
@@ -51,7 +51,7 @@
     this.#count(this.#watches);
   }
 
-  /** @returns Totals and peaks up to now. */
+  /** @returns Totals and peaks so far. */
   report(): RateReport {
     return {
       reads: toRate(this.#reads),
@@ -79,7 +79,7 @@
   peak: number;
 }
 
-function emptyCounter(): Counter {
+function createCounter(): Counter {
   return { total: 0, second: -1, inSecond: 0, peak: 0 };
 }
 
--- a/src/standin/answer.ts
+++ b/src/standin/answer.ts
@@ -1,19 +1,19 @@
-/** What the stand-in engine answers: a pure function, so that oracles can tell the exact text. */
+/** Answers of the stand-in engine: a pure function of the request, so that tests know the exact text. */
 import { hash } from "node:crypto";
 import { renderPrompt as renderBytes } from "../placement/levels.ts";
 
-/** Bytes of prompt that count as one token. */
+/** Number of prompt bytes that count as one token. */
 export const BYTES_PER_TOKEN = 4;
 
-/** Tokens of an answer when the request sets no limit. */
+/** Number of answer tokens if the request sets no limit. */
 export const DEFAULT_MAX_TOKENS = 16;
 
-/** What an answer depends on. */
+/** The parts of a request that determine its answer. */
 export interface AnswerInput {
   model: string;
-  /** Empty: none. */
+  /** Empty if the request names no adapter. */
   adapter: string;
-  /** The whole prompt, as {@link renderPrompt} makes it. */
+  /** Full text of the prompt, as returned by {@link renderPrompt}. */
   prompt: string;
   maxTokens: number;
 }
@@ -38,12 +38,12 @@
 ] as const;
 
 /**
- * The engine's chat template, which the router has to know to tell what an engine has cached; see
- * docs/INTERFACES.md.
+ * Applies the engine's chat template. The router uses the same template to predict which prompt
+ * prefixes an engine has cached; see docs/INTERFACES.md.
  *
- * @param api Which interface the body was made for.
+ * @param api API of the request.
  * @param body Body of the request.
- * @returns The prompt's text.
+ * @returns Text of the prompt.
  */
 export function renderPrompt(
   api: "chat" | "text",
@@ -53,16 +53,16 @@
 }
 
 /**
- * @param prompt The prompt's text.
- * @returns Its tokens.
+ * @param prompt Text of the prompt.
+ * @returns Number of tokens in the prompt.
  */
 export function countTokens(prompt: string): number {
   return Math.ceil(Buffer.byteLength(prompt) / BYTES_PER_TOKEN);
 }
 
 /**
- * @param input What the answer depends on.
- * @returns The answer's tokens, in order.
+ * @param input Model, prompt and limit of the request.
+ * @returns Tokens of the answer, in order.
  */
 export function answerTokens(input: AnswerInput): string[] {
   const seed = hash(
@@ -72,24 +72,24 @@
   const tokens: string[] = [];
   let state = (parseInt(seed.slice(0, 8), 16) ^ input.maxTokens) | 1;
   for (let index = 0; index < input.maxTokens; index++) {
-    state = nextRandom(state);
+    state = xorshift32(state);
     tokens.push(WORDS[(state >>> 16) % WORDS.length]!);
   }
   return tokens;
 }
 
 /**
- * @param input What the answer depends on.
- * @returns The whole text of the answer.
+ * @param input Model, prompt and limit of the request.
+ * @returns Full text of the answer.
  */
 export function expectedAnswer(input: AnswerInput): string {
   return answerTokens(input).join("");
 }
 
 /**
- * @param api Which interface the body was made for.
+ * @param api API of the request.
  * @param body Body of the request.
- * @returns The whole text of the answer to it.
+ * @returns Full text of the answer to the request.
  */
 export function expectedAnswerTo(
   api: "chat" | "text",
@@ -99,9 +99,9 @@
 }
 
 /**
- * @param api Which interface the body was made for.
+ * @param api API of the request.
  * @param body Body of the request.
- * @returns What the answer depends on.
+ * @returns The parts of the request that determine its answer.
  */
 export function toAnswerInput(
   api: "chat" | "text",
@@ -116,8 +116,8 @@
   };
 }
 
-/** Xorshift with 32 bits. */
-function nextRandom(state: number): number {
+/** Advances a 32-bit xorshift generator. */
+function xorshift32(state: number): number {
   let next = state;
   next ^= next << 13;
   next ^= next >>> 17;
--- a/src/standin/engine_options.ts
+++ b/src/standin/engine_options.ts
@@ -3,47 +3,52 @@
 
 /** Settings of a {@link StandinEngine}. */
 export interface StandinEngineOptions {
-  /** `ip:port`; port 0: any free one. */
+  /** `ip:port`; port 0 selects a free port. */
   listenAddress: string;
   models: LoadedModel[];
+  /** Size of a cache block. */
   blockBytes: number;
+  /** Capacity of the prefix cache in blocks. */
   cacheBlocks: number;
+  /** Number of slots for concurrent runs. */
   maxRunning: number;
-  /** More requests than this wait: the next is answered with 429. */
+  /** Maximum queue length; further requests are answered with 429. */
   maxWaiting: number;
   prefillMsPerToken: number;
   decodeMsPerToken: number;
   /** Age of the load report. */
   loadLagMs: number;
-  /** Time that loading a model takes. */
+  /** Time to load a model. */
   modelLoadMs: number;
-  /** True: orders with an old fencing number are refused. */
+  /** Whether orders with an outdated fencing number are rejected. */
   enforceFencing: boolean;
-  /** Cache events kept for readers that come back. */
+  /** Minimum number of recent cache events buffered for reconnecting readers. */
   keptEvents: number;
+  /** Heartbeat interval of the cache-event feed. */
   heartbeatMs: number;
 }
 
-/** Faults of a {@link StandinEngine}, as the control endpoint takes them. */
+/** Faults of a {@link StandinEngine}, in the format of its control endpoint. */
 export interface StandinEngineFaults {
-  /** This many next cache events are lost. */
+  /** Number of upcoming cache events to drop. */
   loseEvents: number;
+  /** Delay of cache events. */
   lateEventsMs: number;
-  /** Each run says nothing more after this many pieces; negative: off. */
+  /** Number of tokens after which each run stalls; negative: off. */
   stallAfterPieces: number;
-  /** Each run's connection is cut after this many pieces; negative: off. */
+  /** Number of tokens after which the connection of each run is closed; negative: off. */
   cutAfterPieces: number;
-  /** This many next runs are answered with 503, and not run. */
+  /** Number of upcoming runs that are answered with 503 and not executed. */
   rejectNext: number;
-  /** True: crashes once and comes back empty. */
+  /** Crashes the engine once; it restarts immediately with an empty cache. */
   crash: boolean;
-  /** Each run of a request whose body holds this text crashes it; empty: off. */
+  /** Crashes the engine on each run whose request body contains this text; empty: off. */
   crashOnText: string;
-  /** Crashes, and comes back empty after this time; 0: does nothing. */
+  /** Crashes the engine; it restarts with an empty cache after this time; 0: off. */
   downMs: number;
 }
 
-/** An execution, for oracles. */
+/** Record of an executed run, checked by tests. */
 export interface EngineExecution {
   requestId: string;
   incarnation: string;
@@ -53,15 +58,15 @@
   cachedTokens: number;
 }
 
-/** An order that the engine carried out. */
+/** An order that the engine executed. */
 export interface ExecutedOrder {
   fencingNumber: string;
   kind: string;
-  /** The model or the role. */
+  /** The model as JSON, or the role. */
   subject: string;
 }
 
-/** Settings for what a test leaves open. */
+/** Default settings. */
 export const DEFAULT_ENGINE_OPTIONS: StandinEngineOptions = {
   listenAddress: "127.0.0.1:0",
   models: [{ model: "notes", adapter: "", weightsVersion: "1" }],
--- a/src/standin/engine_server.ts
+++ b/src/standin/engine_server.ts
@@ -1,4 +1,4 @@
-/** Stand-in for a model engine: batches continuously, caches prefixes, and fails on demand. */
+/** Stand-in for a model engine, with continuous batching, a prefix cache and fault injection. */
 import { randomUUID } from "node:crypto";
 import type { LoadedModel } from "../backends/mod.ts";
 import { CacheEventFeed } from "./_engine_events.ts";
@@ -17,7 +17,7 @@
   type StandinEngineOptions,
 } from "./engine_options.ts";
 
-/** The model engine of tests and development. */
+/** A simulated model engine for tests and development. */
 export class StandinEngine {
   readonly #state: EngineState;
   #host: HttpHost | undefined;
@@ -28,7 +28,7 @@
 
   /**
    * @param options Settings that differ from the defaults.
-   * @returns An engine that is up, with an empty cache.
+   * @returns A listening engine with an empty cache.
    */
   static async create(
     options: Partial<StandinEngineOptions> = {},
@@ -55,66 +55,68 @@
     return `http://${this.address}`;
   }
 
-  /** Changes with each crash. */
+  /** Id of the engine's current incarnation; changes with each crash. */
   get incarnation(): string {
     return this.#state.incarnation;
   }
 
-  /** Runs whose prefill began, in order, over all incarnations. */
+  /** Runs whose prefill started, in order, across all incarnations. */
   get executions(): readonly EngineExecution[] {
     return this.#state.executions;
   }
 
-  /** Orders carried out, in order. */
+  /** Accepted orders, in order of arrival. */
   get orders(): readonly ExecutedOrder[] {
     return this.#state.orders;
   }
 
-  /** Models served now. */
+  /** Models that are currently served. */
   get models(): LoadedModel[] {
     return this.#state.models.list();
   }
 
-  /** Blocks in the cache. */
+  /** Number of blocks in the prefix cache. */
   get cachedBlocks(): number {
     return this.#state.cache.size;
   }
 
   /**
-   * @param faults Faults to change; what is not named stays as it is.
+   * Changes faults.
+   *
+   * @param faults Faults to change; omitted ones keep their value.
    */
   async setFaults(faults: Partial<StandinEngineFaults>): Promise<void> {
     const { crash, downMs, ...lasting } = faults;
     Object.assign(this.#state.faults, lasting);
     this.#state.feed.loseNext = faults.loseEvents ?? this.#state.feed.loseNext;
-    this.#state.feed.lateMs = faults.lateEventsMs ?? this.#state.feed.lateMs;
+    this.#state.feed.delayMs = faults.lateEventsMs ?? this.#state.feed.delayMs;
     if (crash) this.crash();
-    if (downMs) await this.#downFor(downMs);
+    if (downMs) await this.#takeDownFor(downMs);
   }
 
-  /** Loses runs, cache and connections, and is back at once as a new incarnation. */
+  /** Drops runs, cache and connections, and restarts immediately as a new incarnation. */
   crash(): void {
     resetState(this.#state);
     this.#host!.cut();
   }
 
-  /** Crashes and stays down until {@link up}. */
+  /** Crashes and refuses connections until {@link up}. */
   async down(): Promise<void> {
     resetState(this.#state);
     await this.#host!.down();
   }
 
-  /** Comes back after {@link down}, on the same port. */
+  /** Starts listening again after {@link down}, on the same port. */
   async up(): Promise<void> {
     await this.#host!.up();
   }
 
-  /** Stops for good. */
+  /** Stops the engine permanently. */
   async close(): Promise<void> {
     await this.down();
   }
 
-  async #downFor(downMs: number): Promise<void> {
+  async #takeDownFor(downMs: number): Promise<void> {
     await this.down();
     setTimeout(() => void this.up(), downMs).unref();
   }
@@ -156,7 +158,7 @@
   };
 }
 
-/** Everything in memory is gone, the fencing number as well. */
+/** Clears all in-memory state, including the fencing number, as a restart does. */
 function resetState(state: EngineState): void {
   state.scheduler.clear();
   state.cache.clear();
--- a/src/standin/engine_test.ts
+++ b/src/standin/engine_test.ts
@@ -32,7 +32,7 @@
   version?: string;
 }
 
-/** Tokens that came from the cache; -1 when the run did not end well. */
+/** Runs a request; returns the number of cached tokens, or -1 if the run did not complete. */
 async function run(adapter: HttpEngine, options: RunOptions): Promise<number> {
   const { prompt, salt = "s", requestId = "r", priority = 0 } = options;
   const body = {
@@ -58,7 +58,7 @@
   return cached;
 }
 
-/** A prompt of `blocks` full blocks and a rest. */
+/** @returns A prompt of `blocks` full blocks and a partial one. */
 function prompt(letter: string, blocks: number): string {
   return letter.repeat(blocks * BLOCK_BYTES) + "rest";
 }
@@ -67,7 +67,7 @@
   return blocks * BLOCK_BYTES / BYTES_PER_TOKEN;
 }
 
-test("shared prefix comes from the cache, for the same salt only", async () => {
+test("a shared prefix is cached, but only for the same salt", async () => {
   const { adapter, close } = await open();
   assert.equal(await run(adapter, { prompt: prompt("a", 3) }), 0);
   const longer = prompt("a", 3).slice(0, -4) + prompt("b", 2);
@@ -77,7 +77,7 @@
   await close();
 });
 
-test("other weights share nothing", async () => {
+test("models with different weights versions share no cache blocks", async () => {
   const { adapter, close } = await open();
   await run(adapter, { prompt: prompt("a", 3) });
   const model = { model: "notes", adapter: "", weightsVersion: "2" };
@@ -88,7 +88,7 @@
   await close();
 });
 
-test("blocks unused for longest are evicted, children first", async () => {
+test("least recently used blocks are evicted, children before parents", async () => {
   const { engine, adapter, close } = await open({ cacheBlocks: 5 });
   await run(adapter, { prompt: prompt("a", 3) });
   await run(adapter, { prompt: prompt("b", 4) });
@@ -98,7 +98,7 @@
   await close();
 });
 
-test("engine's blocks are those of the router's chain", async () => {
+test("the engine splits prompts into the same blocks as the router", async () => {
   const { adapter, close } = await open({ blockBytes: CHAIN_BLOCK_BYTES });
   const messages = [
     { role: "system", content: "é".repeat(300) },
@@ -129,14 +129,14 @@
   await close();
 });
 
-test("weights that are not loaded are refused", async () => {
+test("a request for weights that are not loaded is rejected", async () => {
   const { engine, adapter, close } = await open();
   assert.equal(await run(adapter, { prompt: "a", version: "2" }), -1);
   assert.equal(engine.executions.length, 0);
   await close();
 });
 
-test("block never splits a character", async () => {
+test("a block never splits a UTF-8 character", async () => {
   const { adapter, close } = await open();
   const text = "a" + "é".repeat(BLOCK_BYTES);
   await run(adapter, { prompt: text });
@@ -150,7 +150,7 @@
   await close();
 });
 
-test("urgent request overtakes those that wait", async () => {
+test("an urgent request overtakes waiting requests", async () => {
   const { engine, adapter, close } = await open({
     maxRunning: 1,
     decodeMsPerToken: 5,
@@ -173,7 +173,7 @@
   await close();
 });
 
-test("crash empties the cache and changes the incarnation", async () => {
+test("a crash empties the cache and changes the incarnation", async () => {
   const { engine, adapter, close } = await open();
   await run(adapter, { prompt: prompt("a", 3) });
   const { incarnation } = engine;
@@ -183,7 +183,7 @@
   await close();
 });
 
-test("exported blocks serve another engine", async () => {
+test("another engine can import exported blocks, but only for the same salt", async () => {
   const source = await open();
   const target = await open();
   await run(source.adapter, { prompt: prompt("a", 3) });
@@ -210,7 +210,7 @@
   await target.close();
 });
 
-test("load report lags", async () => {
+test("the load report lags behind the actual load", async () => {
   const { engine, adapter, close } = await open({
     loadLagMs: 60_000,
     decodeMsPerToken: 5,
@@ -225,7 +225,7 @@
   await close();
 });
 
-test("all of many runs end", async () => {
+test("many concurrent runs all complete", async () => {
   const { engine, adapter, close } = await open({
     maxRunning: 64,
     prefillMsPerToken: 0.01,
--- a/src/standin/http_host_test.ts
+++ b/src/standin/http_host_test.ts
@@ -4,11 +4,11 @@
 import { test } from "node:test";
 import { HttpHost } from "./_http_host.ts";
 
-const LOOKS = 100;
+const MAX_POLLS = 100;
 
-// Node refuses to reset a connection that it is shutting down, and then never closes it: a request on
-// it stayed under way, and with it the process, until its long poll ended after 20 s.
-test("connection that the client ends as it is cut is closed", async (t) => {
+// Node ignores a reset on a socket that is already being ended, and then never closes it. A pending
+// long poll on such a connection kept the process alive until the poll ended after 20 s.
+test("cut() closes a connection that the client is ending", async (t) => {
   let isClosed = false;
   const host = await HttpHost.create({
     listenAddress: "127.0.0.1:0",
@@ -25,7 +25,7 @@
   client.write("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
   await once(client, "data");
   client.end();
-  for (let i = 0; i < LOOKS && !isClosed; i++) {
+  for (let i = 0; i < MAX_POLLS && !isClosed; i++) {
     await new Promise((resolve) => setTimeout(resolve, 10));
   }
   assert(isClosed);
--- a/src/standin/impatient_clients.ts
+++ b/src/standin/impatient_clients.ts
@@ -1,9 +1,9 @@
-/** Clients that leave early, and a process that has much to do, for tests of what is read late. */
+/** Test helpers for late reads: clients that disconnect early, and a blocked event loop. */
 import { once } from "node:events";
 import { Worker } from "node:worker_threads";
 
-/** How long a client waits. */
-const PATIENCE_MS = 300;
+/** Time from connecting until a client disconnects. */
+const ABORT_DELAY_MS = 300;
 const CLIENTS = `
   const { parentPort, workerData } = require("node:worker_threads");
   const { connect } = require("node:net");
@@ -22,30 +22,31 @@
   }
 `;
 
-/** What impatient clients ask. */
-export interface ImpatientClients {
+/** Clients that disconnect before they get an answer. */
+export interface AbortingClients {
   ipAddress: string;
   port: number;
   count: number;
-  /** The bytes of each one's request; NUMBER stands for its own. */
+  /** Raw bytes of each client's request; `NUMBER` is replaced by the client's index. */
   request: string;
 }
 
 /**
- * Connects clients at once, from a thread of their own, each with a request.
+ * Connects all clients at once from a worker thread. Each sends a request and disconnects without
+ * waiting for the answer.
  *
- * @param clients How many, and what they ask.
- * @returns Resolves when all have left without waiting for an answer.
+ * @param clients Target address, number of clients and request.
+ * @returns Resolves when all clients have disconnected.
  */
 export async function askAndLeave(
-  { ipAddress, port, count, request }: ImpatientClients,
+  { ipAddress, port, count, request }: AbortingClients,
 ): Promise<void> {
   const workerData = {
     port,
     host: ipAddress,
     count,
     request,
-    patienceMs: PATIENCE_MS,
+    patienceMs: ABORT_DELAY_MS,
   };
   const thread = new Worker(CLIENTS, { eval: true, workerData });
   await once(thread, "message");
@@ -53,19 +54,19 @@
 }
 
 /**
- * Gives this process work in each turn of its loop.
+ * Blocks the event loop of this process for some time in each turn.
  *
- * @param turnMs Work in a turn.
- * @returns Ends it.
+ * @param turnMs Blocking time per turn.
+ * @returns Stops the blocking.
  */
 export function keepBusy(turnMs: number): () => void {
   let isBusy = true;
-  const work = () => {
+  const blockTurn = () => {
     const endMs = performance.now() + turnMs;
     while (performance.now() < endMs);
-    if (isBusy) setImmediate(work);
+    if (isBusy) setImmediate(blockTurn);
   };
-  work();
+  blockTurn();
   return () => {
     isBusy = false;
   };
--- a/src/standin/instance_list_server.ts
+++ b/src/standin/instance_list_server.ts
@@ -1,4 +1,4 @@
-/** Stand-in for the platform's list of instances, which lags. */
+/** Stand-in for the platform's list of instances, which shows changes with a delay. */
 import type { Instance, InstanceChanges } from "../backends/mod.ts";
 import {
   answerJson,
@@ -9,9 +9,9 @@
 
 /** Settings of a {@link StandinInstanceList}. */
 export interface StandinInstanceListOptions {
-  /** `ip:port`; port 0: any free one. */
+  /** `ip:port`; port 0 selects a free port. */
   listenAddress: string;
-  /** Time after which a change shows. */
+  /** Delay until a change becomes visible. */
   lagMs: number;
 }
 
@@ -20,12 +20,13 @@
   lagMs: 0,
 };
 
+/** An instance and the revision of its last change. */
 interface Row {
   revision: number;
   instance: Instance;
 }
 
-/** The list of instances of tests and development. */
+/** A list of instances for tests and development. */
 export class StandinInstanceList {
   readonly #options: StandinInstanceListOptions;
   readonly #rows = new Map<string, Row>();
@@ -39,7 +40,7 @@
 
   /**
    * @param options Settings that differ from the defaults.
-   * @returns An empty list that is up.
+   * @returns A listening server with an empty list.
    */
   static async create(
     options: Partial<StandinInstanceListOptions> = {},
@@ -63,9 +64,10 @@
   }
 
   /**
-   * Changes rows; they show after the lag. A row stays, also with state `gone`.
+   * Adds or replaces instances; the change becomes visible after the lag. Rows are never removed, not
+   * even in state `gone`.
    *
-   * @param instances New state of the rows with these ids.
+   * @param instances New rows, matched by id.
    */
   set(instances: Instance[]): void {
     if (this.#options.lagMs === 0) return this.#apply(instances);
@@ -73,17 +75,17 @@
     setTimeout(() => this.#apply(rows), this.#options.lagMs).unref();
   }
 
-  /** Refuses connections until {@link up}. */
+  /** Cuts connections and refuses new ones until {@link up}. */
   async down(): Promise<void> {
     await this.#host!.down();
   }
 
-  /** Comes back after {@link down}, on the same port. */
+  /** Starts listening again after {@link down}, on the same port. */
   async up(): Promise<void> {
     await this.#host!.up();
   }
 
-  /** Stops for good. */
+  /** Stops the server permanently. */
   async close(): Promise<void> {
     await this.down();
   }
@@ -115,13 +117,16 @@
     const since = Number(searchParams.get("since") ?? 0);
     const waitMs = Number(searchParams.get("waitMs") ?? 0);
     if (since === this.#revision && waitMs > 0) {
-      await this.#changed(waitMs, request);
+      await this.#waitForChange(waitMs, request);
     }
-    answerJson(request.response, 200, this.#changes(since));
+    answerJson(request.response, 200, this.#changesSince(since));
   }
 
-  /** A revision from the future belongs to an earlier life of the list. */
-  #changes(since: number): InstanceChanges {
+  /**
+   * A revision newer than the current one comes from before a restart of the list, so it is answered
+   * with the full list.
+   */
+  #changesSince(since: number): InstanceChanges {
     const revision = this.#revision;
     const full = since === 0 || since > revision;
     const instances: Instance[] = [];
@@ -131,7 +136,7 @@
     return { revision, full, instances };
   }
 
-  #changed(waitMs: number, request: HostRequest): Promise<void> {
+  #waitForChange(waitMs: number, request: HostRequest): Promise<void> {
     return new Promise((resolve) => {
       const wake = () => {
         clearTimeout(timer);
--- a/src/standin/kv_server.ts
+++ b/src/standin/kv_server.ts
@@ -1,4 +1,4 @@
-/** Stand-in for the platform's key-value service: etcd's gRPC interface over a memory store. */
+/** Stand-in for the platform's key-value service: etcd's gRPC API on top of a memory store. */
 import {
   type handleBidiStreamingCall,
   type handleUnaryCall,
@@ -52,18 +52,18 @@
 
 /** Settings of a {@link StandinKv}. */
 export interface StandinKvOptions {
-  /** `ip:port` of the gRPC listener; port 0: any free one. */
+  /** `ip:port` of the gRPC listener; port 0 selects a free port. */
   listenAddress: string;
   /** `ip:port` of the HTTP control listener; empty: none. */
   controlAddress: string;
   clock: Clock;
 }
 
-/** Faults of a {@link StandinKv}, as the control endpoint takes them. */
+/** Faults of a {@link StandinKv}, in the format of its control endpoint. */
 export interface StandinKvFaults {
-  /** True: the listener is closed and all connections are cut. */
+  /** Closes the listener and cuts all connections. */
   down: boolean;
-  /** True: connections stay open, and nothing is answered. */
+  /** Keeps connections open but answers nothing. */
   silent: boolean;
   slowMs: number;
   loseNextAnswer: boolean;
@@ -80,17 +80,17 @@
 const SERVER_OPTIONS = { "grpc.max_receive_message_length": -1 };
 const MS_PER_SECOND = 1000;
 
-/** The key-value service of tests and development. */
+/** A key-value service for tests and development. */
 export class StandinKv {
-  /** Contents, faults and counters. */
+  /** Store behind the service, with its faults and counters. */
   readonly store: MemoryStore;
-  /** Calls of each second. */
+  /** Call counts and peak rates. */
   readonly rates: RateMeter;
   readonly #options: StandinKvOptions;
   #address: string;
   #server: Server | undefined;
   #control: HttpHost | undefined;
-  #silent = false;
+  #isSilent = false;
 
   private constructor(options: StandinKvOptions) {
     this.#options = options;
@@ -101,7 +101,7 @@
 
   /**
    * @param options Settings that differ from the defaults.
-   * @returns A service that is up and empty.
+   * @returns A listening service with an empty store.
    */
   static async create(
     options: Partial<StandinKvOptions> = {},
@@ -123,17 +123,19 @@
   }
 
   /**
-   * @param faults Faults to change; what is not named stays as it is.
+   * Changes faults.
+   *
+   * @param faults Faults to change; omitted ones keep their value.
    */
   async setFaults(faults: Partial<StandinKvFaults>): Promise<void> {
     const { down, silent, ...storeFaults } = faults;
     Object.assign(this.store.faults, storeFaults);
-    if (silent !== undefined) this.#silent = silent;
+    if (silent !== undefined) this.#isSilent = silent;
     if (down === true) this.#down();
     if (down === false) await this.#up();
   }
 
-  /** Stops for good. */
+  /** Stops the service permanently. */
   async close(): Promise<void> {
     this.#down();
     this.store.close();
@@ -168,7 +170,7 @@
     this.rates.read();
     const range = toRange(request.key, request.rangeEnd);
     const listing = await this.store.listRange(range);
-    if (this.#silent) return;
+    if (this.#isSilent) return;
     if (listing.isErr) return replyFailure(reply, listing.error);
     const kvs = listing.value.entries.map(toKeyValue);
     const header = toHeader(listing.value.revision);
@@ -180,7 +182,7 @@
     reply,
   ) => {
     this.rates.write();
-    if (this.#silent) return;
+    if (this.#isSilent) return;
     const commit = parseCommit(request);
     if (commit instanceof UnsupportedError) {
       return reply({ code: status.UNIMPLEMENTED, details: commit.message });
@@ -191,7 +193,7 @@
       return reply({ code: status.INVALID_ARGUMENT, details: refusal });
     }
     const result = await this.store.commit(expect, writes);
-    if (this.#silent) return;
+    if (this.#isSilent) return;
     if (result.isErr) return replyFailure(reply, result.error);
     const outcome = result.value;
     const header = toHeader(outcome.revision);
@@ -209,7 +211,7 @@
   ) => {
     this.rates.watch();
     this.store.counters.watches++;
-    serveWatch(stream, this.store.table, () => this.#silent);
+    serveWatch(stream, this.store.table, () => this.#isSilent);
   };
 
   readonly #leaseGrant: handleUnaryCall<LeaseGrantRequest, LeaseGrantResponse> =
@@ -218,7 +220,7 @@
       reply,
     ) => {
       this.rates.write();
-      if (this.#silent) return;
+      if (this.#isSilent) return;
       const ttlMs = Number(request.TTL) * MS_PER_SECOND;
       const lease = await this.store.grantLease(ttlMs);
       if (lease.isErr) return replyFailure(reply, lease.error);
@@ -235,7 +237,7 @@
     reply,
   ) => {
     this.rates.write();
-    if (this.#silent) return;
+    if (this.#isSilent) return;
     const revoked = await this.store.revokeLease(request.ID);
     if (revoked.isErr) return replyFailure(reply, revoked.error);
     reply(null, { header: toHeader(this.store.table.revision) });
@@ -249,9 +251,9 @@
     stream.on("end", () => stream.end());
     stream.on("data", async ({ ID }: LeaseKeepAliveRequest) => {
       this.rates.write();
-      if (this.#silent) return;
+      if (this.#isSilent) return;
       const lease = await this.store.renewLease(ID);
-      if (this.#silent || lease.isErr) return;
+      if (this.#isSilent || lease.isErr) return;
       const TTL = BigInt(lease.value.ttlMs / MS_PER_SECOND);
       const header = toHeader(this.store.table.revision);
       stream.write({ header, ID, TTL });
@@ -308,7 +310,7 @@
   });
 }
 
-/** A lost answer is never sent, so the caller runs into its deadline. */
+/** Reports an unavailable store; other failures are not answered, so the caller's deadline expires. */
 function replyFailure(
   reply: (error: Partial<ServiceError>) => void,
   failure: StoreFailure,
--- a/src/standin/main.ts
+++ b/src/standin/main.ts
@@ -1,4 +1,4 @@
-/** Runs one stand-in as a process of its own, until it is told to stop. */
+/** Command-line entry point: runs one stand-in in its own process until SIGTERM or SIGINT. */
 import yargs from "yargs";
 import { hideBin } from "yargs/helpers";
 import type { LoadedModel } from "../backends/mod.ts";
@@ -10,17 +10,17 @@
   StandinWeightStore,
 } from "./mod.ts";
 
-/** What can be run. */
+/** Kinds of stand-ins that can be started. */
 const KINDS = ["engine", "service", "kv", "instances", "weights"] as const;
 type Kind = (typeof KINDS)[number];
 
-/** A stand-in that runs. */
+/** A running stand-in. */
 interface Running {
   address: string;
   close(): Promise<void>;
 }
 
-/** Any option of a stand-in, by its name in camel case. */
+/** Options of a stand-in by camel-case name. */
 type Options = Record<string, unknown>;
 
 const parsed = await yargs(hideBin(process.argv))
--- a/src/standin/mod.ts
+++ b/src/standin/mod.ts
@@ -1,4 +1,4 @@
-/** Stand-ins for the platform, for tests and development. */
+/** Stand-ins for the platform's services and clients, for tests and development. */
 export {
   type AnswerInput,
   answerTokens,
@@ -19,8 +19,8 @@
 } from "./engine_options.ts";
 export { StandinEngine } from "./engine_server.ts";
 export {
+  type AbortingClients as ImpatientClients,
   askAndLeave,
-  type ImpatientClients,
   keepBusy,
 } from "./impatient_clients.ts";
 export {
@@ -36,7 +36,6 @@
   ask,
   type Asked,
   attemptOf,
-  type ClientWords,
   CONFIG,
   configWith,
   type EntryAddress,
@@ -45,6 +44,7 @@
   KEY,
   PROMPT,
   readiness,
+  type RequestOverrides as ClientWords,
   type RouteSettings,
   streamOf,
 } from "./platform_client.ts";
--- a/src/standin/platform_client.ts
+++ b/src/standin/platform_client.ts
@@ -1,12 +1,12 @@
-/** Stand-in for the users' operator, clients and balancer, as far as tests need them. */
+/** Test client of an entry, with a sample configuration and the load balancer's readiness check. */
 import { request as httpRequest } from "node:http";
 import { StandinPlatformWorker } from "./platform_worker.ts";
 
-/** Host of all routes. */
+/** Host name of all routes. */
 export const HOST = "salon.example";
-/** The key of the only workspace. */
+/** API key of the only workspace. */
 export const KEY = "key-of-w";
-/** The operator's first configuration: engines and a plain service. */
+/** Initial configuration: model engines and one plain service. */
 export const CONFIG = {
   version: 1,
   routes: [
@@ -55,28 +55,28 @@
   };
 }
 
-/** An answer as a client sees it. */
+/** An answer as received by a client. */
 export interface Asked {
   status: number;
   headers: Record<string, unknown>;
   body: string;
-  /** Whether the answer came to its end. */
+  /** Whether the whole body was received. */
   isWhole: boolean;
 }
 
-/** Where an entry takes clients. */
+/** Address at which an entry accepts clients. */
 export interface EntryAddress {
   ipAddress: string;
   clientPort: number;
 }
 
 /**
- * Asks as a client with a key does.
+ * Sends a POST request with the workspace's API key.
  *
- * @param entry Whom.
+ * @param entry Entry to send the request to.
  * @param path Path and query.
- * @param headers Headers more, or other ones.
- * @returns The answer, or what came of it.
+ * @param headers Headers to add to the default ones or to replace them.
+ * @returns The answer, possibly incomplete; rejects if no answer begins.
  */
 export function ask(
   { clientPort, ipAddress }: EntryAddress,
@@ -99,7 +99,7 @@
       },
     }, (response) => {
       let body = "";
-      const settle = (isWhole: boolean) =>
+      const resolveWith = (isWhole: boolean) =>
         resolve({
           status: response.statusCode ?? 0,
           headers: response.headers,
@@ -107,34 +107,34 @@
           isWhole,
         });
       response.on("data", (chunk) => body += chunk);
-      response.on("end", () => settle(response.complete));
-      response.on("error", () => settle(false));
+      response.on("end", () => resolveWith(response.complete));
+      response.on("error", () => resolveWith(false));
     });
     request.on("error", reject);
     request.end("payload");
   });
 }
 
-/** Headers of a model request. */
+/** Headers of a request for a model. */
 export const PROMPT = {
   model: "m",
   "token-usage": "1200,80",
   "prompt-prefix": "aa:1000,bb:200",
 };
 
-/** What a client says of one of several requests; what is left out is as in all others. */
-export interface ClientWords {
-  /** Id of the attempt. */
+/** Properties of a request that differ from the defaults of {@link ask}. */
+export interface RequestOverrides {
+  /** Attempt id. */
   id?: string;
-  /** How long it waits. */
+  /** Deadline of the request. */
   timeMs?: number;
-  /** Number of the prompt: only requests with the same one share a part of it. */
+  /** Number of the prompt; only requests with the same number share a prompt prefix. */
   prompt?: number;
 }
 
-/** @returns Headers that say so. */
+/** @returns Request headers for these properties. */
 export function headersOf(
-  { id, timeMs, prompt }: ClientWords,
+  { id, timeMs, prompt }: RequestOverrides,
 ): Record<string, string> {
   return {
     ...(id === undefined ? {} : { "attempt-id": id }),
@@ -145,18 +145,18 @@
   };
 }
 
-/** @returns Id of the attempt that a request with these headers is; nothing if they say none. */
+/** @returns The attempt id in these request headers, or undefined. */
 export function attemptOf(headers: Record<string, unknown>): unknown {
   return headers["attempt-id"];
 }
 
-/** Settings of all routes; what is left out is as in {@link CONFIG}. */
+/** Settings for all routes; omitted ones are as in {@link CONFIG}. */
 export interface RouteSettings {
   timeoutMs?: number;
   maxAttempts?: number;
 }
 
-/** @returns A {@link CONFIG} of this version whose routes have these settings. */
+/** @returns A copy of {@link CONFIG} with this version and these settings on all routes. */
 export function configWith(
   version: number,
   { timeoutMs, maxAttempts }: RouteSettings,
@@ -169,15 +169,17 @@
   return { ...CONFIG, version, routes };
 }
 
-/** @returns The body of a whole stream. */
+/** @returns The body of a complete stream with this number of events. */
 export function streamOf(events: number): string {
   return StandinPlatformWorker.streamText("x", events);
 }
 
 /**
- * @param port Where the balancer asks.
- * @param ipAddress Where the entry listens.
- * @returns The status of the answer.
+ * Calls the readiness endpoint as the load balancer does.
+ *
+ * @param port Port of the readiness endpoint.
+ * @param ipAddress IP address of the entry.
+ * @returns HTTP status of the answer.
  */
 export async function readiness(
   port: number,
--- a/src/standin/platform_store_server.ts
+++ b/src/standin/platform_store_server.ts
@@ -1,4 +1,4 @@
-/** Stand-in for the users' platform's store: its published HTTP calls over a memory store. */
+/** Stand-in for the platform's store: its HTTP API on top of a memory store. */
 import {
   type KeyValueEntry,
   MemoryStore,
@@ -10,7 +10,7 @@
 
 /** Settings of a {@link StandinPlatformStore}. */
 export interface StandinPlatformStoreOptions {
-  /** `ip:port`; port 0: any free one. */
+  /** `ip:port`; port 0 selects a free port. */
   listenAddress: string;
 }
 
@@ -18,30 +18,31 @@
   listenAddress: "127.0.0.1:0",
 };
 
+/** Status and JSON body of an answer. */
 interface Answer {
   status: number;
   body?: unknown;
 }
 
-/** A transaction as it is sent. */
-interface SentTransaction {
+/** Request body of a transaction. */
+interface TransactionBody {
   expected?: { key: string; revision: number }[];
   writes?: { key: string; value: string; lease?: number }[];
   deletes?: string[];
 }
 
-/** The platform's store, with the faults of {@link MemoryStore}. */
+/** A store for tests, with the faults of {@link MemoryStore}. */
 export class StandinPlatformStore {
   readonly store = MemoryStore.create();
-  /** Fields that are sent in place of an item's own, by key: what another writer left there. */
+  /** Fields that replace those of a sent item, by key; simulates malformed items of other writers. */
   readonly spoilt = new Map<string, object>();
   #host!: HttpHost;
 
   private constructor() {}
 
   /**
-   * @param options Where to listen.
-   * @returns A store that is up.
+   * @param options Settings that differ from the defaults.
+   * @returns A listening, empty store.
    */
   static async create(
     options: Partial<StandinPlatformStoreOptions> = {},
@@ -55,43 +56,51 @@
     return server;
   }
 
-  /** `ip:port`. */
+  /** `ip:port` of the listener. */
   get address(): string {
     return this.#host.address;
   }
 
   /**
-   * Writes as the operator or a backend server does.
+   * Writes an entry on behalf of the operator or a backend server.
    *
-   * @param key The key.
-   * @param value Written as JSON.
+   * @param key Key of the entry.
+   * @param value Value, stored as JSON.
    */
   async put(key: string, value: unknown): Promise<void> {
     const bytes = Buffer.from(JSON.stringify(value));
     await this.store.commit([], [{ kind: "put", key, value: bytes }]);
   }
 
-  /** @param config The operator's newest configuration. */
+  /**
+   * Publishes a configuration, as the operator does.
+   *
+   * @param config The new configuration.
+   */
   configure(config: unknown): Promise<void> {
     return this.put("op/config", config);
   }
 
-  /** @param key The key that goes. */
+  /**
+   * Deletes an entry.
+   *
+   * @param key Key of the entry.
+   */
   async delete(key: string): Promise<void> {
     await this.store.commit([], [{ kind: "delete", key }]);
   }
 
-  /** Refuses connections and cuts those that are open. */
+  /** Cuts connections and refuses new ones until {@link up}. */
   down(): Promise<void> {
     return this.#host.down();
   }
 
-  /** Listens again, on the same port. */
+  /** Starts listening again after {@link down}, on the same port. */
   up(): Promise<void> {
     return this.#host.up();
   }
 
-  /** Stops for good. */
+  /** Stops the store permanently. */
   async close(): Promise<void> {
     this.store.close();
     await this.#host.down();
@@ -101,7 +110,7 @@
     const answer = await this.#answer(request);
     const { response } = request;
     if (!answer) {
-      // The answer is lost, and so is its connection.
+      // An injected fault lost the answer; the client sees a broken connection.
       response.destroy();
       return;
     }
@@ -135,27 +144,27 @@
   }
 
   async #get(query: URLSearchParams): Promise<Answer | undefined> {
-    const found = await this.store.get(query.get("key") ?? "");
-    if (found.isErr) return refusal(found.error);
-    if (!found.value) return { status: 404 };
+    const entry = await this.store.get(query.get("key") ?? "");
+    if (entry.isErr) return toFailureAnswer(entry.error);
+    if (!entry.value) return { status: 404 };
     return {
       status: 200,
-      body: { ...this.#item(found.value), ...this.#revision() },
+      body: { ...this.#toItem(entry.value), ...this.#currentRevision() },
     };
   }
 
   async #range(query: URLSearchParams): Promise<Answer | undefined> {
     const listing = await this.store.list(query.get("prefix") ?? "");
-    if (listing.isErr) return refusal(listing.error);
+    if (listing.isErr) return toFailureAnswer(listing.error);
     const after = query.get("after") ?? "";
     const rows = listing.value.entries.filter(({ key }) => key > after);
     const page = rows.slice(0, PAGE_ITEMS);
     return {
       status: 200,
       body: {
-        items: page.map((entry) => this.#item(entry)),
+        items: page.map((entry) => this.#toItem(entry)),
         more_pages: rows.length > page.length,
-        ...this.#revision(),
+        ...this.#currentRevision(),
       },
     };
   }
@@ -172,13 +181,13 @@
       for await (
         const step of this.store.watch(prefix, after + 1n, stop.signal)
       ) {
-        if (step.isErr) return refusal(step.error);
+        if (step.isErr) return toFailureAnswer(step.error);
         if (step.value.kind === "progress") {
           if (events.length > 0) break;
           continue;
         }
         events.push(step.value);
-        // Steps of one commit come together; what follows later is another answer's.
+        // Events of one commit are delivered together; later events belong to the next answer.
         stop.abort();
       }
     } finally {
@@ -187,13 +196,13 @@
     return {
       status: 200,
       body: {
-        events: events.map((event) => this.#changed(event)),
-        current_rev: lastOf(events, after),
+        events: events.map((event) => this.#toWatchEvent(event)),
+        current_rev: lastRevision(events, after),
       },
     };
   }
 
-  async #commit(sent: SentTransaction): Promise<Answer | undefined> {
+  async #commit(sent: TransactionBody): Promise<Answer | undefined> {
     const expect = (sent.expected ?? []).map(({ key, revision }) => ({
       key,
       modRevision: BigInt(revision),
@@ -209,26 +218,26 @@
       key,
     }));
     const outcome = await this.store.commit(expect, [...puts, ...deletes]);
-    if (outcome.isErr) return refusal(outcome.error);
+    if (outcome.isErr) return toFailureAnswer(outcome.error);
     const { value } = outcome;
     return value.kind === "committed"
       ? { status: 200, body: { revision: Number(value.revision) } }
       : {
         status: 412,
-        body: { items: value.current.map((entry) => this.#item(entry)) },
+        body: { items: value.current.map((entry) => this.#toItem(entry)) },
       };
   }
 
   async #grant(sent: { ttl_ms: number }): Promise<Answer | undefined> {
     const granted = await this.store.grantLease(sent.ttl_ms);
-    if (granted.isErr) return refusal(granted.error);
+    if (granted.isErr) return toFailureAnswer(granted.error);
     const { leaseId, ttlMs } = granted.value;
     return { status: 200, body: { lease: Number(leaseId), ttl_ms: ttlMs } };
   }
 
   async #renew(leaseId: bigint): Promise<Answer | undefined> {
     const renewed = await this.store.renewLease(leaseId);
-    if (renewed.isErr) return refusal(renewed.error);
+    if (renewed.isErr) return toFailureAnswer(renewed.error);
     const { ttlMs } = renewed.value;
     return ttlMs > 0
       ? { status: 200, body: { ttl_ms: ttlMs } }
@@ -237,10 +246,10 @@
 
   async #revoke(leaseId: bigint): Promise<Answer | undefined> {
     const revoked = await this.store.revokeLease(leaseId);
-    return revoked.isErr ? refusal(revoked.error) : { status: 200 };
+    return revoked.isErr ? toFailureAnswer(revoked.error) : { status: 200 };
   }
 
-  #item(entry: KeyValueEntry): Record<string, unknown> {
+  #toItem(entry: KeyValueEntry): Record<string, unknown> {
     return {
       key: entry.key,
       value: Buffer.from(entry.value).toString("base64"),
@@ -251,22 +260,22 @@
     };
   }
 
-  #changed(event: TableEvent): Record<string, unknown> {
-    if (event.kind === "put") return this.#item(event.entry);
+  #toWatchEvent(event: TableEvent): Record<string, unknown> {
+    if (event.kind === "put") return this.#toItem(event.entry);
     const revision = Number(event.revision);
     return { key: event.key, revision, deleted: true };
   }
 
-  #revision(): { current_rev: number } {
+  #currentRevision(): { current_rev: number } {
     return { current_rev: Number(this.store.table.revision) };
   }
 }
 
-/** Items of one page of a range. */
+/** Maximum number of items in one page of a range. */
 const PAGE_ITEMS = 500;
 
-/** Nothing: the answer is lost. */
-function refusal(failure: StoreFailure): Answer | undefined {
+/** @returns The answer for a store failure; undefined if the answer is lost. */
+function toFailureAnswer(failure: StoreFailure): Answer | undefined {
   switch (failure.kind) {
     case "unavailable":
       return { status: 503 };
@@ -277,7 +286,7 @@
   }
 }
 
-function lastOf(events: TableEvent[], after: bigint): number {
+function lastRevision(events: TableEvent[], after: bigint): number {
   const last = events.at(-1);
   if (!last) return Number(after);
   const revision = last.kind === "put" ? last.entry.modRevision : last.revision;
--- a/src/standin/platform_worker.ts
+++ b/src/standin/platform_worker.ts
@@ -1,7 +1,4 @@
-/**
- * Stand-in for a backend server of the users' platform: plain calls and streams by its published
- * headers, its report, and orders for weights.
- */
+/** Stand-in for a backend server of the platform: plain calls, streams, reports and orders. */
 import type { IncomingHttpHeaders, ServerResponse } from "node:http";
 import { type HostRequest, HttpHost } from "./_http_host.ts";
 import { answerCall } from "./_platform_answer.ts";
@@ -15,14 +12,14 @@
   writeEvents,
 } from "./_platform_stream.ts";
 import {
+  consumeFault,
   DEFAULT_OPTIONS,
   NO_FAULTS,
   type StandinPlatformWorkerFaults,
   type StandinPlatformWorkerOptions,
-  take,
 } from "./platform_worker_options.ts";
 
-/** One request that ran. */
+/** A request that was executed. */
 export interface StandinPlatformRun {
   method: string;
   target: string;
@@ -30,24 +27,25 @@
   body: string;
 }
 
-/** Addresses of the servers that hold copies of runs, by where they came from and their id. */
-const copies = new Map<string, string>();
+/** Addresses of the servers that hold copies of moved runs, by source address and copy id. */
+const kvCopies = new Map<string, string>();
 
-/** A backend server with faults. */
+/** A simulated backend server with fault injection. */
 export class StandinPlatformWorker {
+  /** Executed requests, in order. */
   readonly runs: StandinPlatformRun[] = [];
-  /** Requests that it turned away because it wants a pause. */
+  /** Number of requests rejected with a retry delay, because of the `pauseS` fault. */
   turnedAway = 0;
-  /** Requests that it refused as not run. */
+  /** Number of requests rejected as not executed, without a retry delay. */
   refused = 0;
-  /** Ids of copies that were freed before a run went on from them. */
+  /** Ids of copies that were freed before a run resumed from them. */
   readonly freedCopies: string[] = [];
   readonly faults: StandinPlatformWorkerFaults;
-  /** Streams under way, by the id of the request. */
+  /** Streams in progress, by attempt id. */
   readonly #streams = new Map<string, RunningStream>();
   readonly #options: StandinPlatformWorkerOptions;
   readonly #orders: PlatformOrders;
-  #bornAtMs = Date.now();
+  #startedAtMs = Date.now();
   #host!: HttpHost;
 
   private constructor(options: StandinPlatformWorkerOptions) {
@@ -57,8 +55,8 @@
   }
 
   /**
-   * @param options What differs from the defaults.
-   * @returns A server that is up.
+   * @param options Settings that differ from the defaults.
+   * @returns A listening server.
    */
   static async create(
     options: Partial<StandinPlatformWorkerOptions> = {},
@@ -71,7 +69,7 @@
     return worker;
   }
 
-  /** `ip:port`. */
+  /** `ip:port` of the listener. */
   get address(): string {
     return this.#host.address;
   }
@@ -80,12 +78,12 @@
     return this.#options.id;
   }
 
-  /** Streams under way. */
+  /** Number of streams in progress. */
   get streams(): number {
     return this.#streams.size;
   }
 
-  /** The model that it serves; none: it is a plain server. */
+  /** The model that the server serves; undefined for a plain service. */
   get model(): string | undefined {
     return this.#options.model;
   }
@@ -95,20 +93,20 @@
     return this.#orders.version;
   }
 
-  /** When it started, in Unix ms. */
+  /** Time of the last start, in Unix milliseconds. */
   get bornAtMs(): number {
-    return this.#bornAtMs;
+    return this.#startedAtMs;
   }
 
-  /** Orders that it accepted, over all its starts. */
+  /** Accepted orders, including those from before a restart. */
   get orders(): StandinPlatformOrder[] {
     return this.#orders.accepted;
   }
 
   /**
-   * @param service The service that it belongs to.
-   * @param fields What differs from a ready server.
-   * @returns Its entry in the platform's store.
+   * @param service Service that the server belongs to.
+   * @param fields Fields that differ from those of a ready server.
+   * @returns The server's entry in the platform's store.
    */
   entry(service: string, fields: object = {}): object {
     return {
@@ -121,12 +119,12 @@
       models: this.#models(),
       cold_left_ms: 0,
       sequence: this.#orders.sequence,
-      born: this.#bornAtMs,
+      born: this.#startedAtMs,
       ...fields,
     };
   }
 
-  /** @param text The body of a whole stream. */
+  /** @returns The body of a complete stream whose events contain `text` and their id. */
   static streamText(text: string, events: number): string {
     return Array.from(
       { length: events },
@@ -134,36 +132,36 @@
     ).join("");
   }
 
-  /** Refuses connections and cuts those that are open. */
+  /** Cuts connections and refuses new ones until {@link up}. */
   down(): Promise<void> {
     return this.#host.down();
   }
 
-  /** Listens again, as the same start of it. */
+  /** Listens again after {@link down}, without counting as a restart. */
   up(): Promise<void> {
     return this.#host.up();
   }
 
   /**
-   * Starts again under its id. Its runs are cut, it holds no copy and counts its orders anew; the
-   * weights that it has loaded stay.
+   * Restarts the server under the same id. Cuts its runs, drops its copies and resets the order
+   * sequence; loaded weights are kept.
    *
-   * @param listenAddress Where it listens from now on; left out: where it did.
+   * @param listenAddress New listen address; defaults to the current one.
    */
   async restart(listenAddress?: string): Promise<void> {
     await this.#host.down();
     this.#streams.clear();
-    for (const [copy, holder] of copies) {
+    for (const [copy, holder] of kvCopies) {
       const isHere = holder === this.address ||
         copy.startsWith(`${this.address}/`);
-      if (isHere) copies.delete(copy);
+      if (isHere) kvCopies.delete(copy);
     }
     this.#orders.restart();
-    this.#bornAtMs = Math.max(Date.now(), this.#bornAtMs + 1);
+    this.#startedAtMs = Math.max(Date.now(), this.#startedAtMs + 1);
     await this.#listen(listenAddress ?? this.address);
   }
 
-  /** Stops. */
+  /** Stops the server permanently. */
   close(): Promise<void> {
     this.#orders.restart();
     return this.#host.down();
@@ -213,7 +211,7 @@
       models: this.#models(),
       busy: this.#orders.busy,
       sequence: this.#orders.sequence,
-      born: this.#bornAtMs,
+      born: this.#startedAtMs,
       queued: 0,
       running: 0,
       kv_used: 0,
@@ -224,12 +222,12 @@
 
   #order({ body, response }: HostRequest): void {
     const order = JSON.parse(body.toString());
-    const isRefused = take(this.faults, "refuseOrder");
-    response.writeHead(isRefused ? 409 : this.#orders.judge(order));
+    const isRefused = consumeFault(this.faults, "refuseOrder");
+    response.writeHead(isRefused ? 409 : this.#orders.submit(order));
     response.end();
   }
 
-  /** Stops a run and copies its memory. */
+  /** Stops a run and copies its key-value cache to the target server. */
   #move({ body, response }: HostRequest): void {
     const { id, target } = JSON.parse(body.toString());
     const stream = this.#streams.get(id);
@@ -241,16 +239,16 @@
     this.#streams.delete(id);
     stream.response.destroy();
     const handle = `copy-${id}`;
-    const isFull = take(this.faults, "moveFull");
-    if (!isFull) copies.set(`${this.address}/${handle}`, target);
+    const isFull = consumeFault(this.faults, "moveFull");
+    if (!isFull) kvCopies.set(`${this.address}/${handle}`, target);
     response.writeHead(isFull ? 503 : 200, {
       "content-type": "application/json",
     });
-    response.end(JSON.stringify({ handle, created: stream.last }));
+    response.end(JSON.stringify({ handle, created: stream.lastEventId }));
   }
 
   #freeCopy(id: string, response: ServerResponse): void {
-    const isKnown = copies.delete(`${this.address}/${id}`);
+    const isKnown = kvCopies.delete(`${this.address}/${id}`);
     if (isKnown) this.freedCopies.push(id);
     response.writeHead(isKnown ? 200 : 404);
     response.end();
@@ -258,23 +256,25 @@
 
   #run(request: HostRequest): void {
     const { response, headers } = request;
-    if (take(this.faults, "refuseWeights")) {
+    if (consumeFault(this.faults, "refuseWeights")) {
       response.writeHead(421);
       response.end();
       return;
     }
     const { pauseS } = this.faults;
-    if (pauseS !== undefined) return this.#turnAway(response, pauseS);
-    const wanted = headers["expect-version"];
-    if (wanted !== undefined && Number(wanted) !== this.version) {
+    if (pauseS !== undefined) return this.#askToPause(response, pauseS);
+    const expectedVersion = headers["expect-version"];
+    if (
+      expectedVersion !== undefined && Number(expectedVersion) !== this.version
+    ) {
       response.writeHead(421, { "weight-versions": String(this.version) });
       response.end();
       return;
     }
     const copy = headers["kv-from"];
     const isCopyHere = copy === undefined ||
-      copies.get(String(copy)) === this.address;
-    if (take(this.faults, "refuse") || !isCopyHere) {
+      kvCopies.get(String(copy)) === this.address;
+    if (consumeFault(this.faults, "refuse") || !isCopyHere) {
       this.refused++;
       response.writeHead(503, { "not-executed": "1" });
       response.end();
@@ -287,10 +287,10 @@
       body: request.body.toString(),
     });
     if (request.url.pathname === this.faults.endOnTarget) {
-      return this.#endUnder(request);
+      return this.#crashDuring(request);
     }
-    if (take(this.faults, "hang")) return;
-    if (take(this.faults, "loseAnswer")) return void response.destroy();
+    if (consumeFault(this.faults, "hang")) return;
+    if (consumeFault(this.faults, "loseAnswer")) return void response.destroy();
     if (this.#options.model !== undefined) return this.#stream(request);
     const { lateMs } = this.faults;
     const answer = () =>
@@ -299,7 +299,7 @@
     setTimeout(answer, lateMs);
   }
 
-  #turnAway(response: ServerResponse, pauseS: number): void {
+  #askToPause(response: ServerResponse, pauseS: number): void {
     this.turnedAway++;
     response.writeHead(503, {
       "not-executed": "1",
@@ -308,8 +308,8 @@
     response.end();
   }
 
-  /** Its process ends once the head of the answer is out, and all else that it runs with it. */
-  #endUnder({ headers, response }: HostRequest): void {
+  /** Simulates a process crash right after the response headers, which also ends all other runs. */
+  #crashDuring({ headers, response }: HostRequest): void {
     response.writeHead(200, {
       "content-type": "text/event-stream",
       "server-seal": `seal-${this.id}`,
@@ -330,7 +330,7 @@
       "attempt-id": String(headers["attempt-id"]),
       "weight-versions": String(this.version),
     });
-    const stream = { response, last: first - 1 };
+    const stream = { response, lastEventId: first - 1 };
     endAtDeadline(headers, response);
     const id = String(headers["attempt-id"]);
     this.#streams.set(id, stream);
--- a/src/standin/platform_worker_options.ts
+++ b/src/standin/platform_worker_options.ts
@@ -1,73 +1,75 @@
-/** Settings and faults of the stand-in for a backend server of the platform. */
+/** Settings and injectable faults of the stand-in for a backend server of the platform. */
 
-/** Settings of a stand-in backend server of the platform. */
+/** Settings of a stand-in backend server. */
 export interface StandinPlatformWorkerOptions {
-  /** `ip:port`; port 0: any free one. */
+  /** `ip:port`; port 0 selects a free port. */
   listenAddress: string;
-  /** Stays the same when it starts again. */
+  /** Instance id; unchanged by a restart. */
   id: string;
-  /** Left out for plain services. */
+  /** Model that the server serves; undefined for a plain service. */
   model?: string;
-  /** Version of the model's weights at first. */
+  /** Initial version of the model's weights. */
   version: number;
-  /** Events of a whole stream. */
+  /** Number of events in a complete stream. */
   events: number;
-  /** Pause between events. */
+  /** Pause after each event. */
   eventMs: number;
+  /** Whether orders with an outdated fencing token are rejected. */
   requireFencing: boolean;
-  /** Time from an order until its weights are there. */
+  /** Time that loading weights takes. */
   loadMs: number;
-  /** Shared with other servers: what goes wrong once goes wrong at one of them. */
+  /** Faults to share with other servers; a fault that occurs once then occurs at only one of them. */
   faults?: StandinPlatformWorkerFaults;
 }
 
 /** A pause in a stream. */
 export interface StreamStall {
+  /** Id of the last event before the pause. */
   afterEvent: number;
   pauseMs: number;
-  /** The pause lasts until this is settled, too. */
+  /** Extends the pause until this promise resolves. */
   opened?: Promise<unknown>;
-  /** Whether the head of the answer goes out before it. */
+  /** Whether the response headers are sent before the pause. */
   isBehindHead?: boolean;
 }
 
-/** What goes wrong with the next requests. */
+/** Faults to inject; a number counts the upcoming requests that are affected, if not stated otherwise. */
 export interface StandinPlatformWorkerFaults {
-  /** Requests that are refused as not run. */
+  /** Requests that are rejected as not executed. */
   refuse: number;
-  /** Requests that run, and whose connection ends without an answer. */
+  /** Requests that are executed, but whose connection is closed without an answer. */
   loseAnswer: number;
-  /** Requests that run and fail with a 500 of the server's own. */
+  /** Requests that are executed and answered with status 500 by the server itself. */
   fail: number;
-  /** Streams that break off in the middle of an event, after this many whole ones. */
+  /** Cuts the next stream in the middle of an event, after this number of complete ones. */
   cutAfterEvents: number | undefined;
-  /** A pause in each stream, before the event after this one. */
+  /** Pause in each stream. */
   stall: StreamStall | undefined;
-  /** Time that plain answers take. */
+  /** Delay of plain answers. */
   lateMs: number;
-  /** Time between a plain answer's head and its body. */
+  /** Delay between the headers and the body of plain answers. */
   bodyLateMs: number;
-  /** Plain answers without a length. */
+  /** Plain answers that are sent without a body length. */
   unframed: number;
-  /** Plain answers that carry the id of another request. */
+  /** Plain answers that carry the attempt id of another request. */
   foreign: number;
-  /** Requests that run and are never answered. */
+  /** Requests that are executed and never answered. */
   hang: number;
-  /** Runs that stop when they are to be moved, and are not copied. */
+  /** Moves that stop the run but fail to copy it, as if the target were full. */
   moveFull: number;
-  /** Requests that are refused for their weights, without a word on which are loaded. */
+  /** Requests that are rejected for a version mismatch, without stating the loaded versions. */
   refuseWeights: number;
-  /** Orders that are refused, as if another were being carried out. */
+  /** Orders that are rejected as if another one were in progress. */
   refuseOrder: number;
-  /** Path of a request that ends the server as soon as it runs. */
+  /** Path whose requests crash the server; undefined: none. */
   endOnTarget: string | undefined;
-  /** All answers say that the server leaves. */
+  /** Whether all answers announce that the server is shutting down. */
   leaving: boolean;
-  /** Requests are refused as not run, and nothing more is wanted for so many seconds. */
+  /** Rejects all requests as not executed, with this retry delay in seconds; undefined: off. */
   pauseS: number | undefined;
 }
 
-/** Settings unless said otherwise. */
+/** Default settings. */
 export const DEFAULT_OPTIONS: StandinPlatformWorkerOptions = {
   listenAddress: "127.0.0.1:0",
   id: "i-standin",
@@ -78,7 +80,7 @@
   loadMs: 0,
 };
 
-/** Nothing goes wrong. */
+/** Disables all faults. */
 export const NO_FAULTS: StandinPlatformWorkerFaults = {
   refuse: 0,
   loseAnswer: 0,
@@ -98,7 +100,7 @@
   pauseS: undefined,
 };
 
-/** Faults that are counted down. */
+/** Faults that count the affected requests. */
 type CountedFault = Exclude<
   keyof StandinPlatformWorkerFaults,
   | "cutAfterEvents"
@@ -111,11 +113,13 @@
 >;
 
 /**
- * @param faults What goes wrong.
- * @param fault One of them.
- * @returns Whether it goes wrong now; it is then counted down.
+ * Checks whether a counted fault applies to the current request, and decrements its count if so.
+ *
+ * @param faults Faults of the server.
+ * @param fault Fault to check.
+ * @returns Whether the fault applies.
  */
-export function take(
+export function consumeFault(
   faults: StandinPlatformWorkerFaults,
   fault: CountedFault,
 ): boolean {
--- a/src/standin/prefix_cache_test.ts
+++ b/src/standin/prefix_cache_test.ts
@@ -15,7 +15,7 @@
     weightsVersion,
   })),
 });
-/** Few letters, so that prompts share prefixes. */
+/** Prompts from a small alphabet, so that they share prefixes. */
 const prompts = fc.array(fc.constantFrom("aaaa", "bbbb", "éé"), {
   maxLength: 9,
 })
@@ -24,13 +24,13 @@
   maxLength: 30,
 });
 
-test("a cached block has its parent, and events tell what is cached", () => {
+test("each cached block has a cached parent, and events match the cache", () => {
   fc.assert(
     fc.property(steps, (steps) => {
-      const told = new Set<string>();
+      const reportedKeys = new Set<string>();
       const onEvent = (event: UnnumberedEvent) => {
-        if (event.kind === "stored") told.add(event.blockKey);
-        if (event.kind === "removed") told.delete(event.blockKey);
+        if (event.kind === "stored") reportedKeys.add(event.blockKey);
+        if (event.kind === "removed") reportedKeys.delete(event.blockKey);
       };
       const cache = PrefixCache.create({
         blockBytes: BLOCK_BYTES,
@@ -44,7 +44,7 @@
         const blocks = cache.list();
         const keys = new Set(blocks.map(({ blockKey }) => blockKey));
         assert.ok(keys.size <= CAPACITY);
-        assert.deepEqual([...keys].sort(), [...told].sort());
+        assert.deepEqual([...keys].sort(), [...reportedKeys].sort());
         const listed = new Set([""]);
         for (const { blockKey, parentKey } of blocks) {
           assert.ok(listed.has(parentKey));
@@ -56,7 +56,7 @@
   );
 });
 
-test("without eviction a match is the longest prefix seen in its scope", () => {
+test("without eviction, a match is the longest prefix stored in its scope", () => {
   fc.assert(
     fc.property(steps, (steps) => {
       const cache = PrefixCache.create({
@@ -66,14 +66,14 @@
       });
       const seen = new Set<string>();
       for (const { scope, prompt } of steps) {
-        const name = JSON.stringify(scope);
+        const scopeKey = JSON.stringify(scope);
         const chain = cache.split(prompt, scope);
         let expected = 0;
         let prefix = "";
         for (const { content } of chain) {
           prefix += content;
-          if (seen.has(name + prefix)) expected = Buffer.byteLength(prefix);
-          seen.add(name + prefix);
+          if (seen.has(scopeKey + prefix)) expected = Buffer.byteLength(prefix);
+          seen.add(scopeKey + prefix);
         }
         assert.equal(cache.match(chain), expected);
         cache.store(chain);
--- a/src/standin/service_server.ts
+++ b/src/standin/service_server.ts
@@ -1,4 +1,4 @@
-/** Stand-in for a plain service some of whose calls may not be repeated. */
+/** Stand-in for a plain service, some of whose calls are not idempotent. */
 import { setTimeout as delay } from "node:timers/promises";
 import {
   answerJson,
@@ -10,27 +10,27 @@
 
 /** Settings of a {@link StandinService}. */
 export interface StandinServiceOptions {
-  /** `ip:port`; port 0: any free one. */
+  /** `ip:port`; port 0 selects a free port. */
   listenAddress: string;
-  /** Time that each call takes. */
+  /** Duration of each call. */
   delayMs: number;
 }
 
-/** Faults of a {@link StandinService}, as the control endpoint takes them. */
+/** Faults of a {@link StandinService}, in the format of its control endpoint. */
 export interface StandinServiceFaults {
-  /** This many next bookings are carried out, and their connection is cut. */
+  /** Number of upcoming bookings that are executed, but whose connection is cut without an answer. */
   dropAnswers: number;
-  /** This many next bookings are cut before they are carried out. */
+  /** Number of upcoming bookings whose connection is cut before they are executed. */
   dropRequests: number;
-  /** Added to each call, before it takes effect. */
+  /** Delay added to each call before it takes effect. */
   slowMs: number;
-  /** Refuses connections for this long; 0: does nothing. */
+  /** Takes the service down for this time; 0: off. */
   downMs: number;
 }
 
-/** A booking that was carried out. */
+/** An executed booking. */
 export interface ServiceExecution {
-  /** Counts from 1. */
+  /** Sequence number, starting at 1. */
   number: number;
   idempotencyKey: string;
   body: string;
@@ -41,7 +41,7 @@
   delayMs: 0,
 };
 
-/** The plain service of tests and development. */
+/** A plain service for tests and development. */
 export class StandinService {
   readonly faults: StandinServiceFaults = {
     dropAnswers: 0,
@@ -59,7 +59,7 @@
 
   /**
    * @param options Settings that differ from the defaults.
-   * @returns A service that is up.
+   * @returns A listening service.
    */
   static async create(
     options: Partial<StandinServiceOptions> = {},
@@ -82,13 +82,15 @@
     return `http://${this.address}`;
   }
 
-  /** Bookings carried out, in order. */
+  /** Executed bookings, in order. */
   get executions(): readonly ServiceExecution[] {
     return this.#executions;
   }
 
   /**
-   * @param faults Faults to change; what is not named stays as it is.
+   * Changes faults.
+   *
+   * @param faults Faults to change; omitted ones keep their value.
    */
   async setFaults(faults: Partial<StandinServiceFaults>): Promise<void> {
     const { downMs, ...lasting } = faults;
@@ -101,12 +103,12 @@
     await this.#host!.down();
   }
 
-  /** Comes back after {@link down}, on the same port. */
+  /** Starts listening again after {@link down}, on the same port. */
   async up(): Promise<void> {
     await this.#host!.up();
   }
 
-  /** Stops for good. */
+  /** Stops the service permanently. */
   async close(): Promise<void> {
     await this.down();
   }
--- a/src/standin/tcp_relay.ts
+++ b/src/standin/tcp_relay.ts
@@ -1,28 +1,30 @@
-/** A relay between two ends whose connections can go silent, be cut, or be slow. */
+/** TCP relay that can delay, freeze or cut the connections it forwards. */
 import { connect, createServer, type Server, type Socket } from "node:net";
 import type { AddressInfo } from "node:net";
 
 /** Settings of a {@link TcpRelay}. */
 export interface TcpRelayOptions {
-  /** `ip:port`; port 0: any free one. */
+  /** `ip:port`; port 0 selects a free port. */
   listenAddress: string;
-  /** `ip:port` of the real listener. */
+  /** `ip:port` to forward connections to. */
   targetAddress: string;
-  /** Added to each direction. */
+  /** Delay added in each direction. */
   delayMs: number;
 }
 
-interface Relayed {
-  near: Socket;
-  far: Socket;
+/** A forwarded connection. */
+interface RelayedConnection {
+  client: Socket;
+  target: Socket;
+  /** Whether data and closes are no longer forwarded. */
   frozen: boolean;
 }
 
-/** Stands between two processes in tests. */
+/** Injects network faults between two processes in tests. */
 export class TcpRelay {
   readonly #options: TcpRelayOptions;
   readonly #server: Server;
-  readonly #relayed = new Set<Relayed>();
+  readonly #connections = new Set<RelayedConnection>();
   #isDown = false;
   #isSilent = false;
 
@@ -32,8 +34,8 @@
   }
 
   /**
-   * @param options Where to listen, and what for.
-   * @returns A relay that listens.
+   * @param options Target address, and settings that differ from the defaults.
+   * @returns A listening relay.
    */
   static async create(
     options: Partial<TcpRelayOptions> & { targetAddress: string },
@@ -56,44 +58,44 @@
     return `${address}:${port}`;
   }
 
-  /** Connections now open. */
+  /** Number of open connections. */
   get openCount(): number {
-    return this.#relayed.size;
+    return this.#connections.size;
   }
 
-  /** From now on open connections pass nothing on, for good; new ones work. */
+  /** Stops forwarding on all open connections permanently; new connections work. */
   freezeOpen(): void {
-    for (const relayed of this.#relayed) relayed.frozen = true;
+    for (const connection of this.#connections) connection.frozen = true;
   }
 
-  /** Passes nothing on until {@link up}, on connections that are open and on new ones. */
+  /** Stops forwarding on open and new connections until {@link up}; they stay open. */
   silent(): void {
     this.#isSilent = true;
     this.freezeOpen();
   }
 
-  /** Cuts open connections. */
+  /** Cuts all open connections. */
   cutOpen(): void {
-    for (const { near, far } of this.#relayed) {
-      near.destroy();
-      far.destroy();
+    for (const { client, target } of this.#connections) {
+      client.destroy();
+      target.destroy();
     }
   }
 
-  /** Cuts open connections, and new ones as soon as they are made. */
+  /** Cuts all open connections, and new ones as soon as they are accepted, until {@link up}. */
   down(): void {
     this.#isDown = true;
     this.cutOpen();
   }
 
-  /** Passes new connections on again; those of a {@link silent} time are cut. */
+  /** Forwards new connections again; cuts those that {@link silent} froze. */
   up(): void {
     if (this.#isSilent) this.cutOpen();
     this.#isDown = false;
     this.#isSilent = false;
   }
 
-  /** Stops for good. */
+  /** Stops the relay permanently. */
   async close(): Promise<void> {
     const closed = new Promise<void>((resolve) =>
       this.#server.close(() => resolve())
@@ -102,37 +104,37 @@
     await closed;
   }
 
-  #accept(near: Socket): void {
+  #accept(client: Socket): void {
     if (this.#isDown) {
-      near.destroy();
+      client.destroy();
       return;
     }
-    const far = connect(splitAddress(this.#options.targetAddress));
-    const relayed = { near, far, frozen: this.#isSilent };
-    this.#relayed.add(relayed);
-    for (const socket of [near, far]) socket.setNoDelay(true);
-    this.#pass(relayed, near, far);
-    this.#pass(relayed, far, near);
+    const target = connect(splitAddress(this.#options.targetAddress));
+    const connection = { client, target, frozen: this.#isSilent };
+    this.#connections.add(connection);
+    for (const socket of [client, target]) socket.setNoDelay(true);
+    this.#forward(connection, client, target);
+    this.#forward(connection, target, client);
   }
 
-  #pass(relayed: Relayed, from: Socket, to: Socket): void {
+  #forward(connection: RelayedConnection, from: Socket, to: Socket): void {
     const { delayMs } = this.#options;
-    const later = (action: () => void) => {
+    const afterDelay = (action: () => void) => {
       if (delayMs === 0) return action();
       setTimeout(action, delayMs);
     };
     from.on("data", (data) => {
-      later(() => {
-        if (!relayed.frozen && to.writable) to.write(data);
+      afterDelay(() => {
+        if (!connection.frozen && to.writable) to.write(data);
       });
     });
     from.on("error", () => {});
     from.on("close", () => {
-      // A frozen connection does not tell the other end that this one is gone.
-      later(() => {
-        if (relayed.frozen) return;
+      // On a frozen connection, the other end must not notice the close.
+      afterDelay(() => {
+        if (connection.frozen) return;
         to.destroy();
-        this.#relayed.delete(relayed);
+        this.#connections.delete(connection);
       });
     });
   }
--- a/src/standin/weight_store_server.ts
+++ b/src/standin/weight_store_server.ts
@@ -1,12 +1,12 @@
-/** Stand-in for the platform's weight store, which limits its rate. */
+/** Stand-in for the platform's weight store, which is rate-limited. */
 import type { WeightsInfo } from "../backends/mod.ts";
 import { answerJson, type HostRequest, HttpHost } from "./_http_host.ts";
 
 /** Settings of a {@link StandinWeightStore}. */
 export interface StandinWeightStoreOptions {
-  /** `ip:port`; port 0: any free one. */
+  /** `ip:port`; port 0 selects a free port. */
   listenAddress: string;
-  /** Calls within a second; further ones are answered with 429. */
+  /** Maximum number of calls per second; further ones are answered with 429. */
   callsPerSecond: number;
   weights: WeightsInfo[];
 }
@@ -20,7 +20,7 @@
 const SECOND_MS = 1000;
 const WEIGHTS_PATH = /^\/v1\/weights\/([^/]+)\/([^/]+)$/;
 
-/** The weight store of tests and development. */
+/** A weight store for tests and development. */
 export class StandinWeightStore {
   readonly #options: StandinWeightStoreOptions;
   #windowStartMs = 0;
@@ -33,7 +33,7 @@
 
   /**
    * @param options Settings that differ from the defaults.
-   * @returns A store that is up.
+   * @returns A listening store.
    */
   static async create(
     options: Partial<StandinWeightStoreOptions> = {},
@@ -56,7 +56,7 @@
     return `http://${this.address}`;
   }
 
-  /** Stops for good. */
+  /** Stops the store permanently. */
   async close(): Promise<void> {
     await this.#host!.down();
   }
