--- a/src/standin/mod.ts
+++ b/src/standin/mod.ts
@@ -19,7 +19,7 @@
 } from "./engine_options.ts";
 export { StandinEngine } from "./engine_server.ts";
 export {
-  type AbortingClients as ImpatientClients,
+  type AbortingClients,
   askAndLeave,
   keepBusy,
 } from "./impatient_clients.ts";
@@ -44,7 +44,7 @@
   KEY,
   PROMPT,
   readiness,
-  type RequestOverrides as ClientWords,
+  type RequestOverrides,
   type RouteSettings,
   streamOf,
 } from "./platform_client.ts";
