--- a/src/admin/_fuzz_world.ts
+++ b/src/admin/_fuzz_world.ts
@@ -1,6 +1,6 @@
 /**
- * A small fleet under faults, and an oracle that watches it: what the store's table really took, what
- * callers were told, and what each process has had in force.
+ * A small fleet with injected faults, and an oracle for it. The oracle compares the writes that the
+ * store committed, the outcomes reported to callers and the branches in force in each process.
  */
 import assert from "node:assert/strict";
 import { createSilentLogger, systemClock } from "../base/mod.ts";
@@ -17,15 +17,15 @@
 import type { AdminCommands } from "./commands.ts";
 import { AdminServer } from "./server.ts";
 
-/** Nodes of the world; the first two have administration servers. */
+/** Addresses of the nodes; the first two have administration servers. */
 export const NODES = ["n0", "n1", "n2", "n3"] as const;
-/** Teams that are written. */
+/** Teams that the test writes. */
 export const TEAMS = ["a", "b"] as const;
-/** The agent that entries push to and start from. */
+/** Address of the agent that entries push branches to and fetch branches from. */
 export const AGENT = "agent";
 
-/** A write as its caller saw it. */
-export interface Told {
+/** A write with the outcome reported to its caller. */
+export interface ReportedWrite {
   writeId: string;
   team: string;
   ifMatch: bigint | undefined;
@@ -33,48 +33,48 @@
   revision: bigint;
 }
 
-/** A write that took effect. */
-export interface Taken {
+/** A write that the store committed. */
+export interface CommittedWrite {
   team: string;
   revision: bigint;
   writeId: string;
 }
 
-const SYNC = {
+const SYNC_OPTIONS = {
   startJitterMs: 0,
   exchangeIntervalMs: 4,
   maxStartMs: 10,
   isolationLimitMs: 1000,
   seedAddresses: () => [AGENT],
 };
-const SETTLE_MS = 30;
-const QUIET_MS = 20_000;
+const RESOLVE_TIMEOUT_MS = 30;
+const CONVERGENCE_TIMEOUT_MS = 20_000;
 
-/** Fleet, faults and oracle. */
-export class FuzzWorld {
+/** A fleet with fault injection and the oracle that checks it. */
+export class FuzzHarness {
   readonly store = MemoryStore.create({ progressMs: 5 });
   readonly fleet: LocalFleet;
   readonly agent = BranchSet.create();
-  readonly told: Told[] = [];
-  readonly taken: Taken[] = [];
+  readonly reportedWrites: ReportedWrite[] = [];
+  readonly commits: CommittedWrite[] = [];
   readonly violations: string[] = [];
   readonly #admins = new Map<string, AdminServer>();
-  readonly #pending = new Set<Promise<void>>();
+  readonly #backgroundTasks = new Set<Promise<void>>();
   #lastWrite = 0;
 
   private constructor(random: () => number) {
     const { store } = this;
-    this.fleet = LocalFleet.create({ store, random, sync: SYNC });
+    this.fleet = LocalFleet.create({ store, random, sync: SYNC_OPTIONS });
     this.fleet.agents.set(AGENT, this.agent);
     store.table.subscribe(prefixRange(TEAMS_PREFIX), 0n, (events) => {
-      for (const event of events) this.taken.push(takenBy(event, store));
+      for (const event of events) this.commits.push(toCommitted(event, store));
     });
     for (const address of NODES) this.#start(address);
   }
 
-  /** @returns A world with all nodes started. */
-  static create(random: () => number): FuzzWorld {
-    return new FuzzWorld(random);
+  /** @returns A harness with all nodes started. */
+  static create(random: () => number): FuzzHarness {
+    return new FuzzHarness(random);
   }
 
   /** @returns The node at this address. */
@@ -91,15 +91,15 @@
     return admin.commands;
   }
 
-  /** @returns An id for a write. */
+  /** @returns A new write id. */
   nextWriteId(): string {
     return `write-${++this.#lastWrite}`;
   }
 
-  /** Lets something go on beside the commands that follow. */
-  beside(work: Promise<void>): void {
-    const done = work.finally(() => this.#pending.delete(done));
-    this.#pending.add(done);
+  /** Runs a task concurrently with the commands that follow. */
+  runInBackground(work: Promise<void>): void {
+    const done = work.finally(() => this.#backgroundTasks.delete(done));
+    this.#backgroundTasks.add(done);
   }
 
   async restart(address: string): Promise<void> {
@@ -107,8 +107,8 @@
     this.#start(address);
   }
 
-  /** Ends all faults, waits until all is still, and compares with the oracle. */
-  async settle(): Promise<void> {
+  /** Clears all faults, waits until all nodes have converged, and verifies the outcomes. */
+  async convergeAndVerify(): Promise<void> {
     Object.assign(this.store.faults, {
       down: false,
       loseNextAnswer: false,
@@ -117,13 +117,16 @@
     });
     this.fleet.cutOff.clear();
     for (const { store } of this.fleet.nodes.values()) store.open = true;
-    await Promise.all(this.#pending);
-    const untilMs = performance.now() + QUIET_MS;
-    while (!this.#converged()) {
-      assert(performance.now() < untilMs, `Not converged: ${this.#describe()}`);
+    await Promise.all(this.#backgroundTasks);
+    const untilMs = performance.now() + CONVERGENCE_TIMEOUT_MS;
+    while (!this.#hasConverged()) {
+      assert(
+        performance.now() < untilMs,
+        `Not converged: ${this.#describeState()}`,
+      );
       await systemClock.sleep(2);
     }
-    this.#checkTold();
+    this.#checkReportedWrites();
     assert.deepEqual(this.violations, []);
   }
 
@@ -134,7 +137,7 @@
 
   #start(address: string): void {
     const node = this.fleet.start(address);
-    this.#watch(node);
+    this.#checkBranchChanges(node);
     if (address !== "n0" && address !== "n1") return;
     this.#admins.set(
       address,
@@ -148,32 +151,35 @@
         peerAddress: () => address,
         clock: systemClock,
         log: createSilentLogger(),
-        settleMs: SETTLE_MS,
+        resolveTimeoutMs: RESOLVE_TIMEOUT_MS,
       }),
     );
   }
 
-  /** A process never goes back, and has nothing in force that was never written. */
-  #watch({ address, branches }: FleetNode): void {
+  /** Checks that a process never reverts to an older revision or holds a branch never written. */
+  #checkBranchChanges({ address, branches }: FleetNode): void {
     const highest = new Map<string, bigint>();
     branches.onChange(({ team, revision, json }) => {
       if (revision <= (highest.get(team) ?? 0n)) {
-        this.violations.push(`${address} went back on ${team} to ${revision}`);
+        this.violations.push(
+          `${address} reverted ${team} to revision ${revision}`,
+        );
       }
       highest.set(team, revision);
       const known = json.length === 0 ||
-        this.taken.some((taken) =>
-          taken.team === team && taken.revision === revision &&
-          taken.writeId === writeIdOf(json)
+        this.commits.some((commit) =>
+          commit.team === team &&
+          commit.revision === revision &&
+          commit.writeId === decodeWriteId(json)
         );
-      if (!known) this.violations.push(`${address} has an unknown ${team}`);
+      if (!known) this.violations.push(`${address} holds an unwritten ${team}`);
     });
   }
 
-  #converged(): boolean {
+  #hasConverged(): boolean {
     const live = this.store.table.list(prefixRange(TEAMS_PREFIX));
     for (const { branches, sync } of this.fleet.nodes.values()) {
-      if (branches.completeTo < (this.taken.at(-1)?.revision ?? 0n)) {
+      if (branches.completeTo < (this.commits.at(-1)?.revision ?? 0n)) {
         return false;
       }
       const held = branches.all().filter(({ json }) => json.length > 0);
@@ -185,31 +191,35 @@
     return true;
   }
 
-  #checkTold(): void {
-    for (const told of this.told) {
-      const effects = this.taken.filter(({ writeId }) =>
-        writeId === told.writeId
+  #checkReportedWrites(): void {
+    for (const report of this.reportedWrites) {
+      const effects = this.commits.filter(({ writeId }) =>
+        writeId === report.writeId
       );
-      const what = `${told.writeId}, told ${told.outcome}`;
+      const what = `${report.writeId}, reported as ${report.outcome}`;
       assert(effects.length <= 1, `${what}, took effect twice`);
-      if (told.outcome === "refused") assert.equal(effects.length, 0, what);
-      if (told.outcome === "accepted") {
-        assert.equal(effects[0]?.revision, told.revision, what);
+      if (report.outcome === "refused") assert.equal(effects.length, 0, what);
+      if (report.outcome === "accepted") {
+        assert.equal(effects[0]?.revision, report.revision, what);
       }
-      if (told.ifMatch === undefined || !effects[0]) continue;
-      assert.equal(this.#before(effects[0]), told.ifMatch, `${what}, blind`);
+      if (report.ifMatch === undefined || !effects[0]) continue;
+      assert.equal(
+        this.#findReplacedRevision(effects[0]),
+        report.ifMatch,
+        `${what}, replaced a revision other than ifMatch`,
+      );
     }
   }
 
-  /** Revision that a write replaced. */
-  #before(write: Taken): bigint {
-    const earlier = this.taken.filter(({ team, revision }) =>
+  /** Returns the revision that a write replaced; 0 if the team was never written before. */
+  #findReplacedRevision(write: CommittedWrite): bigint {
+    const earlier = this.commits.filter(({ team, revision }) =>
       team === write.team && revision < write.revision
     );
     return earlier.at(-1)?.revision ?? 0n;
   }
 
-  #describe(): string {
+  #describeState(): string {
     const nodes = [...this.fleet.nodes.values()].map(({ address, sync }) =>
       JSON.stringify({ address, state: sync.state() })
     );
@@ -220,18 +230,21 @@
   }
 }
 
-function takenBy(event: TableEvent, store: MemoryStore): Taken {
+function toCommitted(
+  event: TableEvent,
+  store: MemoryStore,
+): CommittedWrite {
   if (event.kind === "put") {
     const { key, modRevision, value } = event.entry;
-    const writeId = writeIdOf(value);
+    const writeId = decodeWriteId(value);
     return { team: teamOfKey(key), revision: modRevision, writeId };
   }
   const { key, revision } = event;
   const team = teamOfKey(key);
   const head = store.table.get(`/cicadahitch/history/${team}/head`);
-  return { team, revision, writeId: head ? writeIdOf(head.value) : "" };
+  return { team, revision, writeId: head ? decodeWriteId(head.value) : "" };
 }
 
-function writeIdOf(json: Uint8Array): string {
+function decodeWriteId(json: Uint8Array): string {
   return decodeStored(json).map(({ writeId }) => writeId).unwrapOr("");
 }
--- a/src/admin/_rig.ts
+++ b/src/admin/_rig.ts
@@ -1,4 +1,4 @@
-/** Administration servers over one store in memory, for tests. */
+/** A cluster of administration servers that share an in-memory store, for tests. */
 import { createHash } from "node:crypto";
 import { createSilentLogger, systemClock } from "../base/mod.ts";
 import { type FleetNode, LocalFleet } from "../config/local_fleet.ts";
@@ -6,7 +6,7 @@
 import { AdminClient } from "./client.ts";
 import { AdminServer } from "./server.ts";
 
-/** Bearer key of the servers. */
+/** Bearer key of the administration servers. */
 export const ADMIN_KEY = "test-administrator";
 
 /** A branch with one workspace. */
@@ -16,34 +16,34 @@
   workspaces: { salon: { defaultClass: "desk" } },
 };
 
-/** A node with its administration server, and a client of that. */
-export interface RigNode extends FleetNode {
+/** A node with its administration server and a client of this server. */
+export interface TestNode extends FleetNode {
   server: AdminServer;
   client: AdminClient;
   url: string;
 }
 
-/** Nodes over one store. */
-export interface Rig {
+/** Nodes that share one store. */
+export interface TestCluster {
   store: MemoryStore;
   fleet: LocalFleet;
-  nodes: RigNode[];
+  nodes: TestNode[];
   close(): Promise<void>;
 }
 
 /**
  * @param count Number of nodes.
- * @returns Nodes whose servers listen on loopback.
+ * @returns A cluster whose servers listen on the loopback interface.
  */
-export async function startRig(count: number): Promise<Rig> {
+export async function startTestCluster(count: number): Promise<TestCluster> {
   const store = MemoryStore.create({ progressMs: 10 });
   const fleet = LocalFleet.create({
     store,
     sync: { startJitterMs: 0, exchangeIntervalMs: 20 },
   });
-  const nodes: RigNode[] = [];
-  for (let at = 0; at < count; at++) {
-    nodes.push(await startNode(fleet, `node-${at}`));
+  const nodes: TestNode[] = [];
+  for (let index = 0; index < count; index++) {
+    nodes.push(await startNode(fleet, `node-${index}`));
   }
   let closing: Promise<void> | undefined;
   const closeAll = async () => {
@@ -58,7 +58,7 @@
   return { store, fleet, nodes, close };
 }
 
-async function startNode(fleet: LocalFleet, name: string): Promise<RigNode> {
+async function startNode(fleet: LocalFleet, name: string): Promise<TestNode> {
   const node = fleet.start(name);
   await node.sync.ready;
   const server = createServer(node);
@@ -72,7 +72,7 @@
 
 /**
  * @param node A node.
- * @returns A server for it that doesn't listen yet.
+ * @returns An administration server for the node that does not listen yet.
  */
 export function createServer(node: FleetNode): AdminServer {
   return AdminServer.create({
@@ -85,6 +85,6 @@
     peerAddress: () => node.address,
     clock: systemClock,
     log: createSilentLogger(),
-    settleMs: 200,
+    resolveTimeoutMs: 200,
   });
 }
--- a/src/admin/cli.ts
+++ b/src/admin/cli.ts
@@ -1,37 +1,39 @@
-/** Commands of `cicadahitch admin`: the administration API from a shell. */
+/** The commands of `cicadahitch admin`, which call the administration API. */
 import { readFile } from "node:fs/promises";
 import { text } from "node:stream/consumers";
 import { Result } from "true-myth";
 import type { Argv, Options } from "yargs";
 import { AdminClient, type AdminClientFailure } from "./client.ts";
 
-/** Exit statuses. */
+/** Exit statuses of the commands. */
 export const ADMIN_EXIT = {
   Done: 0,
   Refused: 1,
   WrongUsage: 2,
-  /** A write may have taken effect. */
+  /** The outcome is unknown: a write may have taken effect. */
   Unknown: 3,
 } as const;
 /** One of {@link ADMIN_EXIT}. */
 export type AdminExit = (typeof ADMIN_EXIT)[keyof typeof ADMIN_EXIT];
 
-/** What commands need of their process. */
+/** Input, output and environment of the commands. */
 export interface AdminIo {
-  /** Results go here. */
+  /** Writes a result. */
   write(line: string): void;
-  /** Failures go here. */
+  /** Writes a failure. */
   writeError(line: string): void;
-  exitWith(status: AdminExit): void;
+  setExitStatus(status: AdminExit): void;
   /** Reads a file, or standard input for `-`. */
-  read(path: string): Promise<string>;
-  variables: Record<string, string | undefined>;
+  readInput(path: string): Promise<string>;
+  environment: Record<string, string | undefined>;
 }
 
 type Flags = Record<string, unknown>;
-type Outcome = Promise<Result<unknown, AdminClientFailure | UsageFailure>>;
+type CommandResult = Promise<
+  Result<unknown, AdminClientFailure | UsageFailure>
+>;
 
-/** A command line that can't be carried out. */
+/** A command line with missing or invalid arguments. */
 interface UsageFailure {
   kind: "usage";
   message: string;
@@ -41,23 +43,29 @@
   command: string;
   describe: string;
   flags?: Record<string, Options>;
-  run(client: AdminClient, flags: Flags, io: AdminIo): Outcome;
+  run(client: AdminClient, flags: Flags, io: AdminIo): CommandResult;
 }
 
-/** Taken as they stand: a team may be called 007. */
-const POSITIONALS = ["team", "workspace", "path", "value"];
-const VERSION: Options = { type: "number", describe: "Version of the branch" };
-const IF_MATCH: Options = {
+/** Positional arguments not converted to numbers, since 007 is a valid team name. */
+const STRING_POSITIONALS = ["team", "workspace", "path", "value"];
+const VERSION_OPTION: Options = {
+  type: "number",
+  describe: "Version of the branch",
+};
+const IF_MATCH_OPTION: Options = {
   type: "number",
   describe: "The version that is changed, as shown before",
 };
-const NEEDED: Options = { ...IF_MATCH, demandOption: true };
-const FILE: Options = {
+const REQUIRED_IF_MATCH_OPTION: Options = {
+  ...IF_MATCH_OPTION,
+  demandOption: true,
+};
+const FILE_OPTION: Options = {
   type: "string",
   default: "-",
   describe: "File with the branch as JSON; - is standard input",
 };
-const CONNECTION: Record<string, Options> = {
+const CONNECTION_OPTIONS: Record<string, Options> = {
   "admin-url": {
     type: "string",
     describe: "URL of an administration API, or CICADAHITCH_ADMIN_URL",
@@ -81,40 +89,49 @@
   {
     command: "create <team>",
     describe: "Create a team",
-    flags: { file: FILE },
+    flags: { file: FILE_OPTION },
     run: (client, flags, io) =>
-      withBranch(flags, io, (branch) => client.create(team(flags), branch)),
+      withBranchFile(
+        flags,
+        io,
+        (branch) => client.create(teamName(flags), branch),
+      ),
   },
   {
     command: "show <team>",
     describe: "Show a branch, now or at a kept version",
-    flags: { version: VERSION },
-    run: (client, flags) => client.show(team(flags), integer(flags, "version")),
+    flags: { version: VERSION_OPTION },
+    run: (client, flags) =>
+      client.show(teamName(flags), integerFlag(flags, "version")),
   },
   {
     command: "validate <team>",
     describe: "Check a branch without writing it",
-    flags: { file: FILE },
+    flags: { file: FILE_OPTION },
     run: (client, flags, io) =>
-      withBranch(flags, io, (branch) => client.validate(team(flags), branch)),
+      withBranchFile(
+        flags,
+        io,
+        (branch) => client.validate(teamName(flags), branch),
+      ),
   },
   {
     command: "replace <team>",
     describe: "Replace a branch",
-    flags: { file: FILE, "if-match": NEEDED },
+    flags: { file: FILE_OPTION, "if-match": REQUIRED_IF_MATCH_OPTION },
     run: (client, flags, io) =>
-      withBranch(
+      withBranchFile(
         flags,
         io,
         (branch) =>
-          client.replace(team(flags), branch, Number(flags["if-match"])),
+          client.replace(teamName(flags), branch, Number(flags["if-match"])),
       ),
   },
   {
     command: "patch <team> <path> [value]",
     describe: "Set one place of a branch to a JSON value, or remove it",
     flags: {
-      "if-match": IF_MATCH,
+      "if-match": IF_MATCH_OPTION,
       remove: { type: "boolean", describe: "Remove what is there" },
     },
     run: (client, flags) => patch(client, flags),
@@ -122,31 +139,31 @@
   {
     command: "delete <team>",
     describe: "Delete a team",
-    flags: { "if-match": NEEDED },
+    flags: { "if-match": REQUIRED_IF_MATCH_OPTION },
     run: (client, flags) =>
-      client.delete(team(flags), Number(flags["if-match"])),
+      client.delete(teamName(flags), Number(flags["if-match"])),
   },
   {
     command: "history <team>",
     describe: "Show the kept versions",
-    run: (client, flags) => client.history(team(flags)),
+    run: (client, flags) => client.history(teamName(flags)),
   },
   {
     command: "roll-forward <team> <version>",
     describe: "Write the content of an earlier version as a new one",
-    flags: { "if-match": IF_MATCH },
+    flags: { "if-match": IF_MATCH_OPTION },
     run: (client, flags) =>
       client.rollForward(
-        team(flags),
+        teamName(flags),
         Number(flags.version),
-        integer(flags, "if-match"),
+        integerFlag(flags, "if-match"),
       ),
   },
   {
     command: "in-force <team>",
     describe: "Show which entries have a version in force",
     flags: {
-      version: VERSION,
+      version: VERSION_OPTION,
       "wait-ms": {
         type: "number",
         default: 0,
@@ -155,35 +172,38 @@
     },
     run: (client, flags) =>
       client.inForce(
-        team(flags),
+        teamName(flags),
         Number(flags["wait-ms"]),
-        integer(flags, "version"),
+        integerFlag(flags, "version"),
       ),
   },
   {
     command: "new-key <team> <workspace>",
     describe: "Make a caller key; it is shown this once",
     run: (client, flags) =>
-      client.issueKey(team(flags), String(flags.workspace)),
+      client.issueKey(teamName(flags), String(flags.workspace)),
   },
 ];
 
 /**
- * Adds `admin` with its commands.
+ * Adds the `admin` command with its subcommands.
  *
  * @param cli The command line.
- * @param io The process, or a stand-in for it.
+ * @param io Input and output, by default those of the process.
  * @returns The same command line.
  */
-export function addAdminCommands(cli: Argv, io: AdminIo = processIo()): Argv {
+export function addAdminCommands(
+  cli: Argv,
+  io: AdminIo = createProcessIo(),
+): Argv {
   return cli.command("admin", "Change and show teams", (argv) => {
-    argv.options(CONNECTION);
+    argv.options(CONNECTION_OPTIONS);
     for (const { command, describe, flags = {}, run } of COMMANDS) {
       argv.command(
         command,
         describe,
-        (sub) => sub.version(false).options(flags).string(POSITIONALS),
-        (given) => perform(run, given, io),
+        (sub) => sub.version(false).options(flags).string(STRING_POSITIONALS),
+        (parsedFlags) => runCommand(run, parsedFlags, io),
       );
     }
     return argv.demandCommand(1, "Expected a command, such as list")
@@ -191,18 +211,18 @@
   });
 }
 
-async function perform(
+async function runCommand(
   run: AdminCommand["run"],
   flags: Flags,
   io: AdminIo,
 ): Promise<void> {
-  const { variables } = io;
-  const url = flags["admin-url"] ?? variables.CICADAHITCH_ADMIN_URL;
-  const key = flags["admin-key"] ?? variables.CICADAHITCH_ADMIN_KEY;
-  const writer = flags.writer ?? variables.CICADAHITCH_ADMIN_WRITER ??
-    variables.USER ?? "";
+  const { environment } = io;
+  const url = flags["admin-url"] ?? environment.CICADAHITCH_ADMIN_URL;
+  const key = flags["admin-key"] ?? environment.CICADAHITCH_ADMIN_KEY;
+  const writer = flags.writer ?? environment.CICADAHITCH_ADMIN_WRITER ??
+    environment.USER ?? "";
   if (!url || !key || !URL.canParse(String(url))) {
-    return report(io, usage("Expected --admin-url and --admin-key"));
+    return report(io, usageFailure("Expected --admin-url and --admin-key"));
   }
   const client = AdminClient.create({
     url: String(url),
@@ -222,22 +242,22 @@
 ): void {
   if (outcome.isOk) {
     io.write(JSON.stringify(outcome.value, null, 2));
-    return io.exitWith(
-      isRefusal(outcome.value) ? ADMIN_EXIT.Refused : ADMIN_EXIT.Done,
+    return io.setExitStatus(
+      isNegativeResult(outcome.value) ? ADMIN_EXIT.Refused : ADMIN_EXIT.Done,
     );
   }
   io.writeError(JSON.stringify(outcome.error, null, 2));
-  io.exitWith(exitFor(outcome.error));
+  io.setExitStatus(toExitStatus(outcome.error));
 }
 
-/** A validation that found problems, and a wait that ran out, are no success. */
-function isRefusal(value: unknown): boolean {
+/** True if a validation found problems or a version is not in force in every entry. */
+function isNegativeResult(value: unknown): boolean {
   if (typeof value !== "object" || value === null) return false;
   return Reflect.get(value, "valid") === false ||
     Reflect.get(value, "inForceEverywhere") === false;
 }
 
-function exitFor(failure: AdminClientFailure | UsageFailure): AdminExit {
+function toExitStatus(failure: AdminClientFailure | UsageFailure): AdminExit {
   switch (failure.kind) {
     case "refused":
     case "unreachable":
@@ -249,30 +269,30 @@
   }
 }
 
-async function withBranch(
+async function withBranchFile(
   flags: Flags,
   io: AdminIo,
-  body: (branch: unknown) => Outcome,
-): Outcome {
+  body: (branch: unknown) => CommandResult,
+): CommandResult {
   const path = String(flags.file);
   try {
-    return await body(JSON.parse(await io.read(path)));
+    return await body(JSON.parse(await io.readInput(path)));
   } catch (error) {
-    return usage(`Expected a branch as JSON in ${path}: ${error}`);
+    return usageFailure(`Expected a branch as JSON in ${path}: ${error}`);
   }
 }
 
-function patch(client: AdminClient, flags: Flags): Outcome {
+function patch(client: AdminClient, flags: Flags): CommandResult {
   const path = String(flags.path);
-  const ifMatch = integer(flags, "if-match");
+  const ifMatch = integerFlag(flags, "if-match");
   if (flags.remove) {
-    return client.patch(team(flags), { path, remove: true }, ifMatch);
+    return client.patch(teamName(flags), { path, remove: true }, ifMatch);
   }
   const value = parseValue(flags.value);
-  return client.patch(team(flags), { path, value }, ifMatch);
+  return client.patch(teamName(flags), { path, value }, ifMatch);
 }
 
-/** What is no JSON is a string, so that names need no quotes within quotes. */
+/** Parses JSON; other text is taken as a string, so that strings need no nested quotes. */
 function parseValue(value: unknown): unknown {
   if (typeof value !== "string") return value;
   try {
@@ -282,27 +302,28 @@
   }
 }
 
-function team(flags: Flags): string {
+function teamName(flags: Flags): string {
   return String(flags.team);
 }
 
-function integer(flags: Flags, name: string): number | undefined {
+function integerFlag(flags: Flags, name: string): number | undefined {
   const value = flags[name];
   return typeof value === "number" ? value : undefined;
 }
 
-function usage(message: string): Result<never, UsageFailure> {
+function usageFailure(message: string): Result<never, UsageFailure> {
   return Result.err({ kind: "usage", message });
 }
 
-function processIo(): AdminIo {
+function createProcessIo(): AdminIo {
   return {
     write: (line) => void process.stdout.write(`${line}\n`),
     writeError: (line) => void process.stderr.write(`${line}\n`),
-    exitWith: (status) => {
+    setExitStatus: (status) => {
       process.exitCode = status;
     },
-    read: (path) => path === "-" ? text(process.stdin) : readFile(path, "utf8"),
-    variables: process.env,
+    readInput: (path) =>
+      path === "-" ? text(process.stdin) : readFile(path, "utf8"),
+    environment: process.env,
   };
 }
--- a/src/admin/cli_test.ts
+++ b/src/admin/cli_test.ts
@@ -1,28 +1,31 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import yargs from "yargs";
-import { ADMIN_KEY, BRANCH, startRig } from "./_rig.ts";
+import { ADMIN_KEY, BRANCH, startTestCluster } from "./_rig.ts";
 import { addAdminCommands, ADMIN_EXIT, type AdminIo } from "./cli.ts";
 
-/** What a command left behind. */
-interface Ended {
+/** Exit status and output of a command. */
+interface CommandOutcome {
   status: number | undefined;
   output: string;
   problem: string;
 }
 
-async function run(
+async function runCommand(
   url: string,
   args: string[],
   input: unknown = BRANCH,
-): Promise<Ended> {
-  const ended: Ended = { status: undefined, output: "", problem: "" };
+): Promise<CommandOutcome> {
+  const result: CommandOutcome = { status: undefined, output: "", problem: "" };
   const io: AdminIo = {
-    write: (line) => ended.output += line,
-    writeError: (line) => ended.problem += line,
-    exitWith: (status) => ended.status = status,
-    read: () => Promise.resolve(JSON.stringify(input)),
-    variables: { CICADAHITCH_ADMIN_URL: url, CICADAHITCH_ADMIN_KEY: ADMIN_KEY },
+    write: (line) => result.output += line,
+    writeError: (line) => result.problem += line,
+    setExitStatus: (status) => result.status = status,
+    readInput: () => Promise.resolve(JSON.stringify(input)),
+    environment: {
+      CICADAHITCH_ADMIN_URL: url,
+      CICADAHITCH_ADMIN_KEY: ADMIN_KEY,
+    },
   };
   const cli = yargs(["admin", ...args])
     .parserConfiguration({
@@ -32,15 +35,15 @@
     .exitProcess(false)
     .fail(false);
   await addAdminCommands(cli, io).parseAsync();
-  return ended;
+  return result;
 }
 
 test("a team's life from the shell", async (context) => {
-  const rig = await startRig(1);
-  context.after(rig.close);
-  const url = rig.nodes[0]?.url ?? "";
+  const cluster = await startTestCluster(1);
+  context.after(cluster.close);
+  const url = cluster.nodes[0]?.url ?? "";
   const good = async (...args: string[]) => {
-    const { status, output, problem } = await run(url, args);
+    const { status, output, problem } = await runCommand(url, args);
     assert.equal(status, ADMIN_EXIT.Done, problem);
     return JSON.parse(output);
   };
@@ -66,36 +69,38 @@
 });
 
 test("a refusal exits with 1, and says why", async (context) => {
-  const rig = await startRig(1);
-  context.after(rig.close);
-  const url = rig.nodes[0]?.url ?? "";
-  const { status, problem } = await run(url, ["create", "a"], { format: 1 });
+  const cluster = await startTestCluster(1);
+  context.after(cluster.close);
+  const url = cluster.nodes[0]?.url ?? "";
+  const { status, problem } = await runCommand(url, ["create", "a"], {
+    format: 1,
+  });
   assert.equal(status, ADMIN_EXIT.Refused);
   assert.equal(JSON.parse(problem).error.code, "invalid_branch");
-  const checked = await run(url, ["validate", "a"], { format: 1 });
+  const checked = await runCommand(url, ["validate", "a"], { format: 1 });
   assert.equal(checked.status, ADMIN_EXIT.Refused);
-  await rig.close();
-  const gone = await run(url, ["delete", "a", "--if-match", "1"]);
+  await cluster.close();
+  const gone = await runCommand(url, ["delete", "a", "--if-match", "1"]);
   assert.equal(gone.status, ADMIN_EXIT.Refused);
   assert.equal(JSON.parse(gone.problem).kind, "unreachable");
 });
 
 test("wrong usage exits with 2", async () => {
-  const { status } = await run("", ["list"]);
+  const { status } = await runCommand("", ["list"]);
   assert.equal(status, ADMIN_EXIT.WrongUsage);
-  await assert.rejects(run("http://127.0.0.1:1", ["replace", "a"]));
+  await assert.rejects(runCommand("http://127.0.0.1:1", ["replace", "a"]));
 });
 
 test("an unknown outcome exits with 3", async (context) => {
-  const rig = await startRig(1);
-  context.after(rig.close);
-  const node = rig.nodes[0];
+  const cluster = await startTestCluster(1);
+  context.after(cluster.close);
+  const node = cluster.nodes[0];
   assert(node);
   node.store.commit = (...args) => {
-    rig.store.faults.loseNextRequest = true;
-    return rig.store.commit(...args);
+    cluster.store.faults.loseNextRequest = true;
+    return cluster.store.commit(...args);
   };
-  const { status, problem } = await run(node.url, ["create", "a"]);
+  const { status, problem } = await runCommand(node.url, ["create", "a"]);
   assert.equal(status, ADMIN_EXIT.Unknown);
   assert.notEqual(JSON.parse(problem).writeId, "");
 });
--- a/src/admin/client.ts
+++ b/src/admin/client.ts
@@ -1,4 +1,4 @@
-/** Client of the administration API. */
+/** HTTP client of the administration API. */
 import { randomUUID } from "node:crypto";
 import { Result } from "true-myth";
 import { Agent, errors, request } from "undici";
@@ -13,26 +13,26 @@
 
 /** Settings of {@link AdminClient}. */
 export interface AdminClientOptions {
-  /** Such as `http://10.0.1.1:7710`. */
+  /** Base URL, such as `http://10.0.1.1:7710`. */
   url: string;
   /** The administrators' bearer key. */
   key: string;
-  /** Recorded with what this client writes. */
+  /** Name of the writer, recorded with each write. */
   writer: string;
-  /** Without an answer for this long, a request has failed, in ms. */
+  /** Timeout of a request, in ms. */
   timeoutMs?: number;
 }
 
-/** Why a request has no good answer. */
+/** Why a request failed. */
 export type AdminClientFailure =
-  /** The API said no; nothing was changed. */
+  /** The API rejected the request; nothing was changed. */
   | { kind: "refused"; status: number; error: AdminErrorBody["error"] }
   /** No connection could be made; nothing was changed. */
   | { kind: "unreachable"; message: string }
-  /** A write may have taken effect; the history shows whether it has `writeId`. */
+  /** A write may have taken effect; if so, the history contains `writeId`. */
   | { kind: "unknown"; message: string; writeId: string };
 
-/** A write that is kept. */
+/** A write that was accepted. */
 export interface WriteReceipt {
   team: string;
   version: number;
@@ -42,34 +42,35 @@
   writeId: string;
 }
 
-/** A new caller key. */
+/** A new caller key and the write that stored its hash. */
 export interface KeyReceipt extends WriteReceipt {
   id: string;
   key: string;
 }
 
-/** The history of a team. */
+/** Versions in a team's history. */
 export interface TeamHistory {
   team: string;
   versions: HistoryItem[];
 }
 
-type Answer<T> = Promise<Result<T, AdminClientFailure>>;
+type ClientResult<T> = Promise<Result<T, AdminClientFailure>>;
 
-interface Call {
+interface ApiRequest {
   method: "GET" | "POST" | "PUT" | "PATCH" | "DELETE";
   path: string;
   body?: unknown;
   ifMatch?: number;
-  /** Undefined: the call changes nothing, or can't be recognised when repeated. */
+  /** Undefined if the request is read-only, or if the API can't recognise a retry of it. */
   writeId?: string;
 }
 
 const DEFAULT_TIMEOUT_MS = 15_000;
-const TEAMS = "/admin/v1/teams";
-/** Sent again this often when the answer to a recognisable write is lost. */
-const REPEATS = 2;
-const NOTHING_SENT = new Set([
+const TEAMS_PATH = "/admin/v1/teams";
+/** Maximum number of retries of a write whose outcome is unknown. */
+const MAX_RETRIES = 2;
+/** Error codes after which the request was certainly not sent. */
+const NOT_SENT_CODES = new Set([
   "ECONNREFUSED",
   "EHOSTUNREACH",
   "ENETUNREACH",
@@ -93,110 +94,125 @@
   }
 
   /**
-   * @param options Where the API is, and as whom to call it.
-   * @returns A client; close it after use.
+   * @param options The API's URL and the credentials.
+   * @returns A client, which must be closed after use.
    */
   static create(options: AdminClientOptions): AdminClient {
     return new AdminClient({ timeoutMs: DEFAULT_TIMEOUT_MS, ...options });
   }
 
-  /** Closes connections. */
+  /** Closes the connections. */
   close(): Promise<void> {
     return this.#dispatcher.close();
   }
 
-  list(): Answer<TeamList> {
-    return this.#call({ method: "GET", path: TEAMS });
+  list(): ClientResult<TeamList> {
+    return this.#send({ method: "GET", path: TEAMS_PATH });
   }
 
-  show(team: string, version?: number): Answer<TeamView> {
+  show(team: string, version?: number): ClientResult<TeamView> {
     const query = version === undefined ? "" : `?version=${version}`;
-    return this.#call({ method: "GET", path: pathOf(team) + query });
+    return this.#send({ method: "GET", path: teamPath(team) + query });
   }
 
-  history(team: string): Answer<TeamHistory> {
-    return this.#call({ method: "GET", path: `${pathOf(team)}/history` });
+  history(team: string): ClientResult<TeamHistory> {
+    return this.#send({ method: "GET", path: `${teamPath(team)}/history` });
   }
 
-  validate(team: string, branch: unknown): Answer<Validation> {
-    const path = `${pathOf(team)}/validate`;
-    return this.#call({ method: "POST", path, body: branch });
+  validate(team: string, branch: unknown): ClientResult<Validation> {
+    const path = `${teamPath(team)}/validate`;
+    return this.#send({ method: "POST", path, body: branch });
   }
 
-  inForce(team: string, waitMs: number, version?: number): Answer<InForce> {
+  inForce(
+    team: string,
+    waitMs: number,
+    version?: number,
+  ): ClientResult<InForce> {
     const query = new URLSearchParams({ waitMs: String(waitMs) });
     if (version !== undefined) query.set("version", String(version));
-    const path = `${pathOf(team)}/in-force?${query}`;
-    return this.#call({ method: "GET", path });
+    const path = `${teamPath(team)}/in-force?${query}`;
+    return this.#send({ method: "GET", path });
   }
 
-  create(team: string, branch: unknown): Answer<WriteReceipt> {
-    return this.#write({ method: "POST", path: TEAMS, body: { team, branch } });
+  create(team: string, branch: unknown): ClientResult<WriteReceipt> {
+    return this.#sendWrite({
+      method: "POST",
+      path: TEAMS_PATH,
+      body: { team, branch },
+    });
   }
 
   replace(
     team: string,
     branch: unknown,
     ifMatch: number,
-  ): Answer<WriteReceipt> {
-    const path = pathOf(team);
-    return this.#write({ method: "PUT", path, body: branch, ifMatch });
+  ): ClientResult<WriteReceipt> {
+    const path = teamPath(team);
+    return this.#sendWrite({ method: "PUT", path, body: branch, ifMatch });
   }
 
   patch(
     team: string,
     change: { path: string; value: unknown } | { path: string; remove: true },
     ifMatch?: number,
-  ): Answer<WriteReceipt> {
-    const path = pathOf(team);
-    return this.#write({ method: "PATCH", path, body: change, ifMatch });
+  ): ClientResult<WriteReceipt> {
+    const path = teamPath(team);
+    return this.#sendWrite({ method: "PATCH", path, body: change, ifMatch });
   }
 
-  delete(team: string, ifMatch: number): Answer<WriteReceipt> {
-    return this.#write({ method: "DELETE", path: pathOf(team), ifMatch });
+  delete(team: string, ifMatch: number): ClientResult<WriteReceipt> {
+    return this.#sendWrite({ method: "DELETE", path: teamPath(team), ifMatch });
   }
 
   rollForward(
     team: string,
     version: number,
     ifMatch?: number,
-  ): Answer<WriteReceipt> {
-    const path = `${pathOf(team)}/roll-forward`;
-    return this.#write({ method: "POST", path, body: { version }, ifMatch });
+  ): ClientResult<WriteReceipt> {
+    const path = `${teamPath(team)}/roll-forward`;
+    return this.#sendWrite({
+      method: "POST",
+      path,
+      body: { version },
+      ifMatch,
+    });
   }
 
-  issueKey(team: string, workspace: string): Answer<KeyReceipt> {
-    const path = `${pathOf(team)}/workspaces/${escape(workspace)}/keys`;
-    return this.#call({ method: "POST", path });
+  issueKey(team: string, workspace: string): ClientResult<KeyReceipt> {
+    const path = `${teamPath(team)}/workspaces/${
+      encodeSegment(workspace)
+    }/keys`;
+    return this.#send({ method: "POST", path });
   }
 
-  /** Repeats a write whose answer was lost; its id lets the API do it once. */
-  async #write(call: Call): Answer<WriteReceipt> {
+  /** Sends a write and retries it if its outcome is unknown; the API applies a write id only once. */
+  async #sendWrite(call: ApiRequest): ClientResult<WriteReceipt> {
     const recognisable = { ...call, writeId: randomUUID() };
     for (let repeat = 0;; repeat++) {
-      const answer = await this.#call<WriteReceipt>(recognisable);
+      const answer = await this.#send<WriteReceipt>(recognisable);
       const lost = answer.isErr && answer.error.kind === "unknown";
-      if (!lost || repeat === REPEATS) return answer;
+      if (!lost || repeat === MAX_RETRIES) return answer;
     }
   }
 
-  async #call<T>(call: Call): Answer<T> {
+  async #send<T>(call: ApiRequest): ClientResult<T> {
     const { url } = this.#options;
     try {
       const answer = await request(new URL(call.path, url), {
         method: call.method,
-        headers: this.#headers(call),
+        headers: this.#buildHeaders(call),
         body: call.body === undefined ? null : JSON.stringify(call.body),
         dispatcher: this.#dispatcher,
       });
       const text = await answer.body.text();
-      return readAnswer(answer.statusCode, text, call.writeId ?? "");
+      return parseResponse(answer.statusCode, text, call.writeId ?? "");
     } catch (error) {
-      return Result.err(failureOf(error, call));
+      return Result.err(toFailure(error, call));
     }
   }
 
-  #headers(call: Call): Record<string, string> {
+  #buildHeaders(call: ApiRequest): Record<string, string> {
     const { key, writer } = this.#options;
     const headers: Record<string, string> = {
       authorization: `Bearer ${key}`,
@@ -209,7 +225,7 @@
   }
 }
 
-function readAnswer<T>(
+function parseResponse<T>(
   status: number,
   text: string,
   writeId: string,
@@ -221,32 +237,32 @@
     return Result.err({ kind: "refused", status, error });
   }
   const { message } = error;
-  const known = error.writeId ?? writeId;
-  return Result.err({ kind: "unknown", message, writeId: known });
+  const reportedWriteId = error.writeId ?? writeId;
+  return Result.err({ kind: "unknown", message, writeId: reportedWriteId });
 }
 
-function failureOf(error: unknown, call: Call): AdminClientFailure {
-  const code = codeOf(error);
+function toFailure(error: unknown, apiRequest: ApiRequest): AdminClientFailure {
+  const code = getErrorCode(error);
   const message = error instanceof Error && error.message !== ""
     ? error.message
     : code;
-  if (NOTHING_SENT.has(code) || call.method === "GET") {
+  if (NOT_SENT_CODES.has(code) || apiRequest.method === "GET") {
     return { kind: "unreachable", message };
   }
-  return { kind: "unknown", message, writeId: call.writeId ?? "" };
+  return { kind: "unknown", message, writeId: apiRequest.writeId ?? "" };
 }
 
-function codeOf(error: unknown): string {
+function getErrorCode(error: unknown): string {
   if (error instanceof errors.UndiciError) return error.code;
-  if (error instanceof AggregateError) return codeOf(error.errors[0]);
+  if (error instanceof AggregateError) return getErrorCode(error.errors[0]);
   if (!(error instanceof Error) || !("code" in error)) return "";
   return String(error.code);
 }
 
-function pathOf(team: string): string {
-  return `${TEAMS}/${escape(team)}`;
+function teamPath(team: string): string {
+  return `${TEAMS_PATH}/${encodeSegment(team)}`;
 }
 
-function escape(name: string): string {
+function encodeSegment(name: string): string {
   return encodeURIComponent(name);
 }
--- a/src/admin/commands.ts
+++ b/src/admin/commands.ts
@@ -1,4 +1,4 @@
-/** Administration commands: each is one compare-and-swap of one team's branch. */
+/** Administration commands. Each command changes one team's branch by a compare-and-swap. */
 import { createHash, randomBytes, randomUUID } from "node:crypto";
 import { Result } from "true-myth";
 import {
@@ -9,32 +9,32 @@
   TEAM_NAME,
 } from "../config/mod.ts";
 import type { AdminFailure } from "./failures.ts";
-import { type Edit, editAt } from "./json_pointer.ts";
+import { applyEdit, type Edit } from "./json_pointer.ts";
 import {
   type AcceptedWrite,
-  currentOf,
   type TeamSnapshot,
   type TeamStore,
+  toCurrentVersion,
 } from "./team_store.ts";
 
-/** Who writes, and over what. */
+/** The writer of a change and the conditions of the write. */
 export interface WriteContext {
-  /** Recorded with the version. */
+  /** Name of the writer, recorded with the version. */
   writer: string;
-  /** The version that is replaced; undefined: whatever is current. */
+  /** The version to replace; undefined replaces the current version, whichever it is. */
   ifMatch?: bigint;
-  /** Chosen by the caller, so that a repeat of its request is recognised. */
+  /** Id chosen by the caller, by which a retry of the request is recognised. */
   writeId?: string;
 }
 
-/** One change of a branch. */
+/** A change of one value in a branch. */
 export interface BranchEdit {
-  /** JSON pointer. */
+  /** JSON pointer to the value. */
   path: string;
   edit: Edit;
 }
 
-/** A new caller key; the only time that it is shown. */
+/** A new caller key. Only its hash is stored, so the key can't be shown again. */
 export interface IssuedKey {
   accepted: AcceptedWrite;
   id: string;
@@ -48,14 +48,14 @@
   sync: ConfigSync;
 }
 
-type Outcome = Promise<Result<AcceptedWrite, AdminFailure>>;
-/** The new branch, or undefined to delete the team. */
-type Compose = (
+type WriteOutcome = Promise<Result<AcceptedWrite, AdminFailure>>;
+/** Computes the new branch from the current state; undefined deletes the team. */
+type ComposeBranch = (
   snapshot: TeamSnapshot,
 ) => Result<unknown, AdminFailure> | Promise<Result<unknown, AdminFailure>>;
 
-const RACES = 5;
-const SECRET_BYTES = 32;
+const MAX_WRITE_ATTEMPTS = 5;
+const KEY_SECRET_BYTES = 32;
 const KEY_ID_BYTES = 6;
 
 /** Writes team branches. */
@@ -67,119 +67,138 @@
   }
 
   /**
-   * @param options Where teams are kept, and what this process has in force.
+   * @param options The store of the teams, and the branches in force in this process.
    * @returns The commands.
    */
   static create(options: AdminCommandsOptions): AdminCommands {
     return new AdminCommands(options);
   }
 
-  /** Creates a team that doesn't exist. */
-  create(team: string, branch: unknown, context: WriteContext): Outcome {
+  /** Creates a team; fails if it exists. */
+  create(team: string, branch: unknown, context: WriteContext): WriteOutcome {
     if (!TEAM_NAME.safeParse(team).success) {
       const message = "Expected a team name of 1 to 63 of a-z, 0-9, - and _";
-      return refuse({ kind: "invalid_request", message, param: "team" });
+      return reject({ kind: "invalid_request", message, param: "team" });
     }
-    return this.#write(team, context, (snapshot) => {
-      if (snapshot.revision === 0n) return valid(branch);
-      return Result.err({ kind: "conflict", current: currentOf(snapshot) });
+    return this.#writeWithRetries(team, context, (snapshot) => {
+      if (snapshot.revision === 0n) return validate(branch);
+      return Result.err({
+        kind: "conflict",
+        current: toCurrentVersion(snapshot),
+      });
     });
   }
 
-  /** Replaces a team's branch; `ifMatch` must be given. */
-  replace(team: string, branch: unknown, context: WriteContext): Outcome {
-    if (context.ifMatch === undefined) return refuse(PRECONDITION_REQUIRED);
-    return this.#write(
+  /** Replaces a team's branch; requires `ifMatch`. */
+  replace(team: string, branch: unknown, context: WriteContext): WriteOutcome {
+    if (context.ifMatch === undefined) return reject(PRECONDITION_REQUIRED);
+    return this.#writeWithRetries(
       team,
       context,
-      (snapshot) => understood(snapshot).andThen(() => valid(branch)),
+      (snapshot) =>
+        requireKnownFormat(snapshot).andThen(() => validate(branch)),
     );
   }
 
-  /** Changes one place of a branch. */
-  patch(team: string, change: BranchEdit, context: WriteContext): Outcome {
-    return this.#write(team, context, (snapshot) =>
-      understood(snapshot)
-        .andThen((branch) => edited(branch, change))
-        .andThen(valid));
+  /** Sets or removes one value in a branch. */
+  patch(team: string, change: BranchEdit, context: WriteContext): WriteOutcome {
+    return this.#writeWithRetries(
+      team,
+      context,
+      (snapshot) =>
+        requireKnownFormat(snapshot)
+          .andThen((branch) => editBranch(branch, change))
+          .andThen(validate),
+    );
   }
 
-  /** Deletes a team; `ifMatch` must be given. */
-  delete(team: string, context: WriteContext): Outcome {
-    if (context.ifMatch === undefined) return refuse(PRECONDITION_REQUIRED);
-    return this.#write(
+  /** Deletes a team; requires `ifMatch`. */
+  delete(team: string, context: WriteContext): WriteOutcome {
+    if (context.ifMatch === undefined) return reject(PRECONDITION_REQUIRED);
+    return this.#writeWithRetries(
       team,
       context,
-      (snapshot) => existing(snapshot).map(() => undefined),
+      (snapshot) => requireExisting(snapshot).map(() => undefined),
     );
   }
 
-  /** Writes the content of an earlier version as a new one; a deleted team comes back. */
-  rollForward(team: string, version: bigint, context: WriteContext): Outcome {
-    return this.#write(team, context, async (snapshot) => {
+  /** Writes the content of an earlier version as a new version; this restores a deleted team. */
+  rollForward(
+    team: string,
+    version: bigint,
+    context: WriteContext,
+  ): WriteOutcome {
+    return this.#writeWithRetries(team, context, async (snapshot) => {
       if (snapshot.revision > 0n) {
-        const current = understood(snapshot);
+        const current = requireKnownFormat(snapshot);
         if (current.isErr) return current;
       }
       const history = await this.#options.teams.history(team);
       if (history.isErr) return Result.err(history.error);
-      const kept = history.value.find(({ revision }) => revision === version);
-      if (kept?.stored.branch !== undefined) return valid(kept.stored.branch);
+      const old = history.value.find(({ revision }) => revision === version);
+      if (old?.stored.branch !== undefined) return validate(old.stored.branch);
       const wanted = Number(version);
       return Result.err({ kind: "version_not_found", team, version: wanted });
     });
   }
 
-  /** Makes a caller key for a workspace and stores its hash. */
+  /** Creates a caller key for a workspace and stores its hash. */
   async issueKey(
     team: string,
     workspace: string,
     context: WriteContext,
   ): Promise<Result<IssuedKey, AdminFailure>> {
     const id = `k-${randomBytes(KEY_ID_BYTES).toString("hex")}`;
-    const secret = randomBytes(SECRET_BYTES).toString("base64url");
+    const secret = randomBytes(KEY_SECRET_BYTES).toString("base64url");
     const key = `${team}.${workspace}.${secret}`;
     const sha256 = createHash("sha256").update(key).digest("hex");
-    // A repeat would have another key, so it must not be taken for the first request.
-    const once = { ...context, writeId: undefined };
-    const accepted = await this.#write(
+    // A retry generates a different key, so it must not be recognised as the first request.
+    const contextWithoutId = { ...context, writeId: undefined };
+    const accepted = await this.#writeWithRetries(
       team,
-      once,
+      contextWithoutId,
       (snapshot) =>
-        understood(snapshot)
-          .andThen((branch) => withKey({ branch, team, workspace, id, sha256 }))
-          .andThen(valid),
+        requireKnownFormat(snapshot)
+          .andThen((branch) => addKey({ branch, team, workspace, id, sha256 }))
+          .andThen(validate),
     );
     return accepted.map((write) => ({ accepted: write, id, key }));
   }
 
-  /** Reads, composes and writes; without a version to match, tries again when it loses a race. */
-  async #write(
+  /**
+   * Reads the team, computes the new branch and writes it. Retries after a conflict with a
+   * concurrent write unless `ifMatch` is given.
+   */
+  async #writeWithRetries(
     team: string,
     context: WriteContext,
-    compose: Compose,
-  ): Outcome {
+    compose: ComposeBranch,
+  ): WriteOutcome {
     for (let race = 1;; race++) {
       const before = await this.#options.teams.read(team);
       if (before.isErr) return Result.err(before.error);
-      const earlier = await this.#findRepeat(before.value, context);
+      const earlier = await this.#findEarlierWrite(before.value, context);
       if (earlier.isErr) return Result.err(earlier.error);
       if (earlier.value) return Result.ok(earlier.value);
-      const outcome = await this.#writeOver(before.value, compose, context);
+      const outcome = await this.#attemptWrite(before.value, compose, context);
       const lost = outcome.isErr && outcome.error.kind === "conflict";
-      const again = lost && context.ifMatch === undefined && race < RACES;
-      if (!again || isStanding(before.value, outcome)) return outcome;
+      const again = lost && context.ifMatch === undefined &&
+        race < MAX_WRITE_ATTEMPTS;
+      if (!again || isFinalOutcome(before.value, outcome)) return outcome;
     }
   }
 
-  async #writeOver(
+  async #attemptWrite(
     before: TeamSnapshot,
-    compose: Compose,
+    compose: ComposeBranch,
     { writer, writeId, ifMatch }: WriteContext,
-  ): Outcome {
+  ): WriteOutcome {
     const { teams } = this.#options;
     if (ifMatch !== undefined && ifMatch !== before.revision) {
-      return Result.err({ kind: "conflict", current: currentOf(before) });
+      return Result.err({
+        kind: "conflict",
+        current: toCurrentVersion(before),
+      });
     }
     const branch = await compose(before);
     if (branch.isErr) return Result.err(branch.error);
@@ -188,14 +207,14 @@
       branch: branch.value,
       writer,
       writeId: writeId ?? randomUUID(),
-      mayBeRepeat: writeId !== undefined,
+      mayBeRetry: writeId !== undefined,
     });
-    if (accepted.isOk) this.#takeIntoForce(accepted.value);
+    if (accepted.isOk) this.#applyLocally(accepted.value);
     return accepted;
   }
 
-  /** The write of an earlier request with the same write id, if it took effect. */
-  async #findRepeat(
+  /** Finds a committed write of an earlier request with the same write id. */
+  async #findEarlierWrite(
     { team, number, lastWrite }: TeamSnapshot,
     { writeId }: WriteContext,
   ): Promise<Result<AcceptedWrite | undefined, AdminFailure>> {
@@ -208,12 +227,17 @@
       if (!own) return undefined;
       const { revision, stored } = own;
       const { writer, writtenAtMs } = stored;
-      const mark = { writeId, writer, writtenAtMs, number: stored.number };
-      return { team, revision, mark, json: new Uint8Array() };
+      const metadata = {
+        writeId,
+        writer,
+        writtenAtMs,
+        number: stored.number,
+      };
+      return { team, revision, metadata, json: new Uint8Array() };
     });
   }
 
-  #takeIntoForce({ team, revision, json }: AcceptedWrite): void {
+  #applyLocally({ team, revision, json }: AcceptedWrite): void {
     const { branches, sync } = this.#options;
     branches.apply({ team, revision, json: Buffer.from(json) });
     void sync.exchangeNow();
@@ -222,29 +246,33 @@
 
 const PRECONDITION_REQUIRED: AdminFailure = { kind: "precondition_required" };
 
-function refuse(failure: AdminFailure): Outcome {
+function reject(failure: AdminFailure): WriteOutcome {
   return Promise.resolve(Result.err(failure));
 }
 
-/** A conflict found before writing doesn't go away by trying again. */
-function isStanding(
+/** Returns false if a concurrent write caused a conflict; a retry can't resolve any other failure. */
+function isFinalOutcome(
   before: TeamSnapshot,
   outcome: Result<AcceptedWrite, AdminFailure>,
 ): boolean {
   if (outcome.isOk || outcome.error.kind !== "conflict") return true;
-  return outcome.error.current.version === currentOf(before).version;
+  return outcome.error.current.version === toCurrentVersion(before).version;
 }
 
-function existing(snapshot: TeamSnapshot): Result<TeamSnapshot, AdminFailure> {
+function requireExisting(
+  snapshot: TeamSnapshot,
+): Result<TeamSnapshot, AdminFailure> {
   if (snapshot.revision > 0n) return Result.ok(snapshot);
   const { team, headRevision } = snapshot;
-  const current = headRevision > 0n ? currentOf(snapshot) : undefined;
+  const current = headRevision > 0n ? toCurrentVersion(snapshot) : undefined;
   return Result.err({ kind: "team_not_found", team, current });
 }
 
-/** The branch, unless a newer process wrote it in a format of its own. */
-function understood(snapshot: TeamSnapshot): Result<unknown, AdminFailure> {
-  return existing(snapshot).andThen(({ team, stored, revision }) => {
+/** Returns the branch, or an error if a newer process wrote it in a format unknown here. */
+function requireKnownFormat(
+  snapshot: TeamSnapshot,
+): Result<unknown, AdminFailure> {
+  return requireExisting(snapshot).andThen(({ team, stored, revision }) => {
     const branch = stored?.branch;
     if (isKnownFormat(branch)) return Result.ok<unknown, AdminFailure>(branch);
     const version = Number(revision);
@@ -257,25 +285,25 @@
     "format" in branch && branch.format === BRANCH_FORMAT;
 }
 
-/** The branch as it was given, once it is known to be valid. */
-function valid(branch: unknown): Result<unknown, AdminFailure> {
+/** Returns the branch unchanged if it is valid. */
+function validate(branch: unknown): Result<unknown, AdminFailure> {
   return parseBranch(branch)
     .map((): unknown => branch)
     .mapErr((failure): AdminFailure => failure);
 }
 
-function edited(
+function editBranch(
   branch: unknown,
   { path, edit }: BranchEdit,
 ): Result<unknown, AdminFailure> {
-  return editAt(branch, path, edit).mapErr(({ message }) => ({
+  return applyEdit(branch, path, edit).mapErr(({ message }) => ({
     kind: "invalid_request",
     message,
     param: "path",
   }));
 }
 
-/** Where a new key goes. */
+/** A caller key to add to a workspace of a branch. */
 interface NewKey {
   branch: unknown;
   team: string;
@@ -284,16 +312,16 @@
   sha256: string;
 }
 
-function withKey(key: NewKey): Result<unknown, AdminFailure> {
-  const { branch, team, workspace, id, sha256 } = key;
+function addKey(newKey: NewKey): Result<unknown, AdminFailure> {
+  const { branch, team, workspace, id, sha256 } = newKey;
   const parsed = parseBranch(branch);
   if (parsed.isErr) return Result.err(parsed.error);
-  const found = Object.hasOwn(parsed.value.workspaces, workspace);
-  if (!found) {
+  const hasWorkspace = Object.hasOwn(parsed.value.workspaces, workspace);
+  if (!hasWorkspace) {
     return Result.err({ kind: "workspace_not_found", team, workspace });
   }
   const keys = parsed.value.workspaces[workspace]?.keys ?? [];
   const value = [...keys, { id, sha256 }];
   const path = `/workspaces/${workspace}/keys`;
-  return edited(branch, { path, edit: { kind: "set", value } });
+  return editBranch(branch, { path, edit: { kind: "set", value } });
 }
--- a/src/admin/failures.ts
+++ b/src/admin/failures.ts
@@ -1,16 +1,16 @@
-/** Why an administration request failed, and how the caller is told. */
+/** Failures of administration requests and their HTTP responses. */
 import type { BranchProblem } from "../config/mod.ts";
 
-/** A version that stands in the way of a write. */
+/** The current version of a team, with which a write conflicts. */
 export interface CurrentVersion {
-  /** Store revision; 0: the team never existed. */
+  /** Store revision; 0 if the team never existed. */
   version: number;
   writer: string;
   writtenAtMs: number;
   deleted: boolean;
 }
 
-/** All that can go wrong. */
+/** Reasons why an administration request fails. */
 export type AdminFailure =
   | { kind: "unauthorized" }
   | { kind: "route_not_found" }
@@ -21,20 +21,20 @@
   | { kind: "precondition_required" }
   | { kind: "invalid_branch"; problems: BranchProblem[] }
   | { kind: "too_large"; sizeBytes: number; maxBytes: number }
-  /** Somebody else has written in between. */
+  /** The team is not at the version that the write expects. */
   | { kind: "conflict"; current: CurrentVersion }
-  /** A newer process wrote the branch; this one would damage it. */
+  /** A newer process wrote the branch in a format that this process can't change safely. */
   | { kind: "newer_format"; team: string; version: number }
   /** The write did not take effect and never will. */
   | { kind: "store_unavailable" }
-  /** The write may have taken effect, or may still do so. */
+  /** The write may have taken effect, or may still take effect. */
   | { kind: "outcome_unknown"; team: string; writeId: string }
   | { kind: "internal" };
 
 /** Whether a failed request had an effect. */
 export type AdminExecution = "not_run" | "unknown";
 
-/** The body of an error answer. */
+/** Body of an error response. */
 export interface AdminErrorBody {
   error: {
     message: string;
@@ -42,26 +42,26 @@
     code: AdminFailure["kind"];
     param: string | null;
     execution: AdminExecution;
-    /** What is wrong with a branch, all at once. */
+    /** All problems found in an invalid branch. */
     problems?: BranchProblem[];
-    /** The version that won. */
+    /** The current version of the team. */
     current?: CurrentVersion;
-    /** By which the history shows whether an unknown write took effect. */
+    /** Id of a write of unknown outcome; it is in the history if the write took effect. */
     writeId?: string;
   };
 }
 
-/** Status, body and headers of an error answer. */
-export interface AdminErrorAnswer {
+/** Status, body and retry delay of an error response. */
+export interface AdminErrorResponse {
   status: number;
   body: AdminErrorBody;
   retryAfterMs?: number;
 }
 
-/** Told to callers that were refused for want of the store. */
+/** Retry delay sent to callers while the store is unavailable, in ms. */
 export const RETRY_AFTER_MS = 2000;
 
-const STATUSES: Record<AdminFailure["kind"], [number, string]> = {
+const STATUS_AND_TYPE: Record<AdminFailure["kind"], [number, string]> = {
   unauthorized: [401, "authentication_error"],
   route_not_found: [404, "invalid_request_error"],
   team_not_found: [404, "invalid_request_error"],
@@ -79,34 +79,34 @@
 };
 
 /**
- * @param failure What went wrong.
- * @returns What the caller is told.
+ * @param failure Why the request failed.
+ * @returns The error response to send.
  */
-export function errorAnswer(failure: AdminFailure): AdminErrorAnswer {
-  const [status, type] = STATUSES[failure.kind];
-  const answer: AdminErrorAnswer = {
+export function toErrorResponse(failure: AdminFailure): AdminErrorResponse {
+  const [status, type] = STATUS_AND_TYPE[failure.kind];
+  const response: AdminErrorResponse = {
     status,
     body: {
       error: {
-        message: messageOf(failure),
+        message: formatMessage(failure),
         type,
         code: failure.kind,
-        param: paramOf(failure),
-        execution: executionOf(failure),
+        param: getParam(failure),
+        execution: getExecution(failure),
       },
     },
   };
-  const { error } = answer.body;
+  const { error } = response.body;
   if ("problems" in failure) error.problems = failure.problems;
   if ("current" in failure) error.current = failure.current;
   if ("writeId" in failure) error.writeId = failure.writeId;
   if (failure.kind === "store_unavailable") {
-    answer.retryAfterMs = RETRY_AFTER_MS;
+    response.retryAfterMs = RETRY_AFTER_MS;
   }
-  return answer;
+  return response;
 }
 
-function executionOf(failure: AdminFailure): AdminExecution {
+function getExecution(failure: AdminFailure): AdminExecution {
   switch (failure.kind) {
     case "outcome_unknown":
     case "internal":
@@ -116,7 +116,7 @@
   }
 }
 
-function paramOf(failure: AdminFailure): string | null {
+function getParam(failure: AdminFailure): string | null {
   switch (failure.kind) {
     case "invalid_request":
       return failure.param;
@@ -133,7 +133,7 @@
   }
 }
 
-function messageOf(failure: AdminFailure): string {
+function formatMessage(failure: AdminFailure): string {
   switch (failure.kind) {
     case "unauthorized":
       return "The bearer key is missing or wrong";
@@ -181,6 +181,6 @@
   { version, writer, deleted }: CurrentVersion,
 ): string {
   if (version === 0) return "There is no such team";
-  const what = deleted ? "was deleted" : "is at another version";
-  return `The team ${what}: version ${version}, written by ${writer}`;
+  const state = deleted ? "was deleted" : "is at another version";
+  return `The team ${state}: version ${version}, written by ${writer}`;
 }
--- a/src/admin/fuzz_test.ts
+++ b/src/admin/fuzz_test.ts
@@ -3,7 +3,7 @@
 import fc from "fast-check";
 import { systemClock } from "../base/mod.ts";
 import { TEAMS_PREFIX } from "../config/mod.ts";
-import { AGENT, FuzzWorld, NODES, TEAMS } from "./_fuzz_world.ts";
+import { AGENT, FuzzHarness, NODES, TEAMS } from "./_fuzz_world.ts";
 
 const SEED = Number(process.env.CICADAHITCH_FUZZ_SEED ?? 20_260);
 const RUNS = Number(process.env.CICADAHITCH_FUZZ_RUNS ?? 60);
@@ -17,7 +17,7 @@
 
 type Model = Record<string, never>;
 
-const WRITES = [
+const WRITE_KINDS = [
   "create",
   "create",
   "replace",
@@ -27,38 +27,40 @@
   "delete",
   "roll_forward",
 ] as const;
-const ADMIN = fc.constantFrom("n0", "n1");
-const NODE = fc.constantFrom(...NODES);
-const TEAM = fc.constantFrom(...TEAMS);
-const BRIEF = fc.integer({ min: 1, max: 60 });
-const CUT = fc.record({ at: NODE, ms: BRIEF });
+const ADMIN_ADDRESS = fc.constantFrom("n0", "n1");
+const NODE_ADDRESS = fc.constantFrom(...NODES);
+const TEAM_NAME = fc.constantFrom(...TEAMS);
+const SHORT_DELAY_MS = fc.integer({ min: 1, max: 60 });
+const DISCONNECTION = fc.record({ at: NODE_ADDRESS, ms: SHORT_DELAY_MS });
 const WRITE = fc.record({
-  at: ADMIN,
-  team: TEAM,
-  kind: fc.constantFrom(...WRITES),
+  at: ADMIN_ADDRESS,
+  team: TEAM_NAME,
+  kind: fc.constantFrom(...WRITE_KINDS),
   deadlineMs: fc.integer({ min: 1, max: 1000 }),
-  /** Sends the same request to the other server as well. */
+  /** Whether the same request is sent to both servers. */
   twice: fc.boolean(),
 });
 type WriteStep = typeof WRITE extends fc.Arbitrary<infer T> ? T : never;
 
-async function write(world: FuzzWorld, step: WriteStep): Promise<void> {
-  const writeId = world.nextWriteId();
-  const held = world.node(step.at).branches.revisionOf(step.team);
-  const matching = ["replace", "delete", "patch_matching"].includes(step.kind);
-  const ifMatch = matching ? held : undefined;
+async function write(harness: FuzzHarness, step: WriteStep): Promise<void> {
+  const writeId = harness.nextWriteId();
+  const heldRevision = harness.node(step.at).branches.revisionOf(step.team);
+  const needsIfMatch = ["replace", "delete", "patch_matching"].includes(
+    step.kind,
+  );
+  const ifMatch = needsIfMatch ? heldRevision : undefined;
   const targets = step.twice ? ["n0", "n1"] : [step.at];
   const outcomes = await Promise.all(
-    targets.map((at) => send(world, at, step, { writeId, ifMatch })),
+    targets.map((at) => send(harness, at, step, { writeId, ifMatch })),
   );
   const accepted = outcomes.find(({ isOk }) => isOk);
   const isUnknown = outcomes.some((outcome) =>
     outcome.isErr && outcome.error.kind === "outcome_unknown"
   );
   for (const { isErr } of outcomes) {
-    // Of a request that was sent twice, one may be accepted and the other refused for its fault.
+    // If the request was sent twice, one copy may be accepted and the other rejected.
     if (isErr && (accepted || isUnknown)) continue;
-    world.told.push({
+    harness.reportedWrites.push({
       writeId,
       team: step.team,
       ifMatch,
@@ -69,16 +71,22 @@
   if (!isUnknown || accepted) return;
   const { team } = step;
   const outcome = "unknown" as const;
-  world.told.push({ writeId, team, ifMatch, outcome, revision: 0n });
+  harness.reportedWrites.push({
+    writeId,
+    team,
+    ifMatch,
+    outcome,
+    revision: 0n,
+  });
 }
 
 function send(
-  world: FuzzWorld,
+  harness: FuzzHarness,
   at: string,
   { kind, team, deadlineMs }: WriteStep,
   { writeId, ifMatch }: { writeId: string; ifMatch: bigint | undefined },
 ) {
-  const commands = world.commands(at);
+  const commands = harness.commands(at);
   const context = { writer: at, writeId, ifMatch };
   const path = "/classes/desk/deadlineMs";
   const edit = { kind: "set" as const, value: deadlineMs };
@@ -93,7 +101,7 @@
     case "delete":
       return commands.delete(team, context);
     case "roll_forward": {
-      const earlier = world.taken.find((taken) => taken.team === team);
+      const earlier = harness.commits.find((taken) => taken.team === team);
       const version = earlier?.revision ?? 1n;
       return commands.rollForward(team, version, context);
     }
@@ -103,24 +111,24 @@
 function step<T>(
   name: string,
   arbitrary: fc.Arbitrary<T>,
-  body: (world: FuzzWorld, value: T) => Promise<void> | void,
-): fc.Arbitrary<fc.AsyncCommand<Model, FuzzWorld>> {
+  body: (harness: FuzzHarness, value: T) => Promise<void> | void,
+): fc.Arbitrary<fc.AsyncCommand<Model, FuzzHarness>> {
   return arbitrary.map((value) => ({
     check: () => true,
-    run: async (_model, world) => await body(world, value),
+    run: async (_model, harness) => await body(harness, value),
     toString: () => `${name}(${JSON.stringify(value)})`,
   }));
 }
 
-const NONE = fc.constant(null);
-/** Steps of a linear congruential generator modulo 2^32. */
-const MULTIPLIER = 1_664_525;
-const INCREMENT = 1_013_904_223;
+const NO_VALUE = fc.constant(null);
+/** Parameters of a linear congruential generator modulo 2^32. */
+const LCG_MULTIPLIER = 1_664_525;
+const LCG_INCREMENT = 1_013_904_223;
 
 function seededRandom(seed: number): () => number {
   let state = seed >>> 0;
   return () => {
-    state = (Math.imul(state, MULTIPLIER) + INCREMENT) >>> 0;
+    state = (Math.imul(state, LCG_MULTIPLIER) + LCG_INCREMENT) >>> 0;
     return state / 2 ** 32;
   };
 }
@@ -133,59 +141,59 @@
   step(
     "race",
     fc.array(WRITE, { minLength: 2, maxLength: 3 }),
-    (world, all) => {
-      for (const one of all) world.beside(write(world, one));
+    (harness, all) => {
+      for (const one of all) harness.runInBackground(write(harness, one));
     },
   ),
-  step("loseAnswer", NONE, ({ store }) => {
+  step("loseAnswer", NO_VALUE, ({ store }) => {
     store.faults.loseNextAnswer = true;
   }),
-  step("loseRequest", NONE, ({ store }) => {
+  step("loseRequest", NO_VALUE, ({ store }) => {
     store.faults.loseNextRequest = true;
   }),
-  step("lateEffect", BRIEF, ({ store }, lateMs) => {
+  step("lateEffect", SHORT_DELAY_MS, ({ store }, lateMs) => {
     store.faults.lateNextEffectMs = lateMs;
   }),
-  step("outage", BRIEF, (world, ms) => {
-    world.store.faults.down = true;
-    world.beside(
+  step("outage", SHORT_DELAY_MS, (harness, ms) => {
+    harness.store.faults.down = true;
+    harness.runInBackground(
       systemClock.sleep(ms).then(() => {
-        world.store.faults.down = false;
+        harness.store.faults.down = false;
       }),
     );
   }),
   step("slow", fc.constantFrom(0, 1, 5), ({ store }, slowMs) => {
     store.faults.slowMs = slowMs;
   }),
-  step("cutPeer", CUT, (world, { at, ms }) => {
-    const { fleet } = world;
+  step("cutPeer", DISCONNECTION, (harness, { at, ms }) => {
+    const { fleet } = harness;
     fleet.cutOff.add(at);
-    world.beside(
+    harness.runInBackground(
       systemClock.sleep(ms).then(() => void fleet.cutOff.delete(at)),
     );
   }),
-  step("cutStore", CUT, (world, { at, ms }) => {
-    const { store } = world.node(at);
+  step("cutStore", DISCONNECTION, (harness, { at, ms }) => {
+    const { store } = harness.node(at);
     store.open = false;
-    world.beside(
+    harness.runInBackground(
       systemClock.sleep(ms).then(() => {
         store.open = true;
       }),
     );
   }),
-  step("restart", NODE, (world, address) => world.restart(address)),
-  step("push", NODE, async (world, address) => {
-    await world.node(address).sync.pushTo(AGENT, [...TEAMS]);
+  step("restart", NODE_ADDRESS, (harness, address) => harness.restart(address)),
+  step("push", NODE_ADDRESS, async (harness, address) => {
+    await harness.node(address).sync.pushTo(AGENT, [...TEAMS]);
   }),
-  step("fetch", NODE, async (world, address) => {
-    await world.node(address).sync.fetchFrom(AGENT);
+  step("fetch", NODE_ADDRESS, async (harness, address) => {
+    await harness.node(address).sync.fetchFrom(AGENT);
   }),
-  step("compact", NONE, ({ store }) => {
+  step("compact", NO_VALUE, ({ store }) => {
     store.table.compact(store.table.revision);
   }),
-  step("lagging", NODE, async (world, address) => {
-    const old = await world.store.list(TEAMS_PREFIX);
-    const { store } = world.node(address);
+  step("lagging", NODE_ADDRESS, async (harness, address) => {
+    const old = await harness.store.list(TEAMS_PREFIX);
+    const { store } = harness.node(address);
     const list = store.list.bind(store);
     store.list = (prefix) => {
       store.list = list;
@@ -203,14 +211,14 @@
     fc.integer(),
     fc.commands(STEPS, { maxCommands: MAX_COMMANDS, size: "max" }),
     async (seed, commands) => {
-      const world = FuzzWorld.create(seededRandom(seed));
+      const harness = FuzzHarness.create(seededRandom(seed));
       try {
-        await fc.asyncModelRun(() => ({ model: {}, real: world }), commands);
-        await world.settle();
+        await fc.asyncModelRun(() => ({ model: {}, real: harness }), commands);
+        await harness.convergeAndVerify();
       } finally {
-        await world.close();
+        await harness.close();
       }
-      for (const { outcome } of world.told) counts[outcome]++;
+      for (const { outcome } of harness.reportedWrites) counts[outcome]++;
     },
   );
   await fc.assert(property, { seed: SEED, numRuns: RUNS, endOnFailure: true });
--- a/src/admin/json_pointer.ts
+++ b/src/admin/json_pointer.ts
@@ -1,13 +1,13 @@
-/** Changing one place in a JSON document, named by a JSON pointer (RFC 6901). */
+/** Edits one value in a JSON document, addressed by a JSON pointer (RFC 6901). */
 import { Result } from "true-myth";
 
-/** What to do at the place. */
+/** A change of the value at a pointer. */
 export type Edit =
   | { kind: "set"; value: unknown }
   | { kind: "remove" };
 
-/** A pointer that names no place in the document. */
-export interface BadPointer {
+/** A pointer that is malformed or does not resolve in the document. */
+export interface InvalidPointer {
   kind: "bad_pointer";
   message: string;
 }
@@ -17,47 +17,53 @@
 const ARRAY_INDEX = /^(0|[1-9]\d*)$/;
 
 /**
- * @param document The document; it stays as it is.
+ * @param document The document, which is not modified.
  * @param pointer Such as `/models/small/pool`, with `~1` for `/` and `~0` for `~`.
- * @param edit What to do there; `-` as last step appends to an array.
- * @returns The changed copy, or what is wrong with the pointer.
+ * @param edit The change; `-` as the last token appends to an array.
+ * @returns A changed copy, or why the pointer is invalid.
  */
-export function editAt(
+export function applyEdit(
   document: unknown,
   pointer: string,
   edit: Edit,
-): Result<unknown, BadPointer> {
+): Result<unknown, InvalidPointer> {
   if (!pointer.startsWith("/")) {
-    return bad(`Expected a JSON pointer that starts with /, found ${pointer}`);
+    return fail(
+      `Expected a JSON pointer that starts with /, found ${pointer}`,
+    );
   }
-  const steps = pointer.slice(1).split("/").map(unescape);
-  const last = steps.pop() ?? "";
+  const tokens = pointer.slice(1).split("/").map(unescapeToken);
+  const lastToken = tokens.pop() ?? "";
   const copy = structuredClone(document);
-  let at: unknown = copy;
-  for (const step of steps) {
-    if (!isContainer(at) || !Object.hasOwn(at, step)) {
-      return bad(`There is nothing at step ${step} of ${pointer}`);
+  let parent: unknown = copy;
+  for (const token of tokens) {
+    if (!isContainer(parent) || !Object.hasOwn(parent, token)) {
+      return fail(`There is nothing at step ${token} of ${pointer}`);
     }
-    at = Reflect.get(at, step);
+    parent = Reflect.get(parent, token);
   }
-  if (!isContainer(at)) return bad(`Nothing can be put below ${pointer}`);
+  if (!isContainer(parent)) return fail(`Nothing can be put below ${pointer}`);
   const changed = edit.kind === "set"
-    ? setMember(at, last, edit.value)
-    : removeMember(at, last);
-  return changed ? Result.ok(copy) : bad(`There is nothing at ${pointer}`);
+    ? setMember(parent, lastToken, edit.value)
+    : removeMember(parent, lastToken);
+  return changed ? Result.ok(copy) : fail(`There is nothing at ${pointer}`);
 }
 
-function setMember(at: Container, step: string, value: unknown): boolean {
-  if (!Array.isArray(at)) return define(at, step, value);
-  if (step === "-") return at.push(value) > 0;
-  if (!ARRAY_INDEX.test(step) || Number(step) >= at.length) return false;
-  at[Number(step)] = value;
+function setMember(
+  parent: Container,
+  token: string,
+  value: unknown,
+): boolean {
+  if (!Array.isArray(parent)) return defineMember(parent, token, value);
+  if (token === "-") return parent.push(value) > 0;
+  if (!ARRAY_INDEX.test(token) || Number(token) >= parent.length) return false;
+  parent[Number(token)] = value;
   return true;
 }
 
-// Plain assignment would change the prototype for the name __proto__.
-function define(at: object, step: string, value: unknown): boolean {
-  return Reflect.defineProperty(at, step, {
+/** Defines the property, since an assignment to `__proto__` would change the prototype. */
+function defineMember(target: object, name: string, value: unknown): boolean {
+  return Reflect.defineProperty(target, name, {
     value,
     writable: true,
     enumerable: true,
@@ -65,21 +71,21 @@
   });
 }
 
-function removeMember(at: Container, step: string): boolean {
-  if (!Object.hasOwn(at, step)) return false;
-  if (!Array.isArray(at)) return Reflect.deleteProperty(at, step);
-  if (!ARRAY_INDEX.test(step)) return false;
-  return at.splice(Number(step), 1).length === 1;
+function removeMember(parent: Container, token: string): boolean {
+  if (!Object.hasOwn(parent, token)) return false;
+  if (!Array.isArray(parent)) return Reflect.deleteProperty(parent, token);
+  if (!ARRAY_INDEX.test(token)) return false;
+  return parent.splice(Number(token), 1).length === 1;
 }
 
 function isContainer(value: unknown): value is Container {
   return typeof value === "object" && value !== null;
 }
 
-function unescape(step: string): string {
-  return step.replaceAll("~1", "/").replaceAll("~0", "~");
+function unescapeToken(token: string): string {
+  return token.replaceAll("~1", "/").replaceAll("~0", "~");
 }
 
-function bad<T>(message: string): Result<T, BadPointer> {
+function fail<T>(message: string): Result<T, InvalidPointer> {
   return Result.err({ kind: "bad_pointer", message });
 }
--- a/src/admin/json_pointer_test.ts
+++ b/src/admin/json_pointer_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { type Edit, editAt } from "./json_pointer.ts";
+import { applyEdit, type Edit } from "./json_pointer.ts";
 
 const set = (value: unknown): Edit => ({ kind: "set", value });
 const REMOVE: Edit = { kind: "remove" };
@@ -16,7 +16,7 @@
     ["/list", REMOVE, { "a/b": { "c~d": 1 } }],
   ];
   for (const [pointer, edit, expected] of cases) {
-    const edited = editAt(DOCUMENT, pointer, edit);
+    const edited = applyEdit(DOCUMENT, pointer, edit);
     assert.deepEqual(edited.unwrapOr(undefined), expected, pointer);
   }
   assert.deepEqual(DOCUMENT.list, [1, 2]);
@@ -26,16 +26,16 @@
   for (
     const pointer of ["", "list", "/none/x", "/list/2", "/list/01", "/list/0/x"]
   ) {
-    assert(editAt(DOCUMENT, pointer, set(1)).isErr, pointer);
+    assert(applyEdit(DOCUMENT, pointer, set(1)).isErr, pointer);
   }
-  assert(editAt(DOCUMENT, "/none", REMOVE).isErr);
-  assert(editAt(DOCUMENT, "/list/length", REMOVE).isErr);
+  assert(applyEdit(DOCUMENT, "/none", REMOVE).isErr);
+  assert(applyEdit(DOCUMENT, "/list/length", REMOVE).isErr);
 });
 
 test("the prototype is out of reach", () => {
-  const edited = editAt({}, "/__proto__", set({ polluted: true }));
+  const edited = applyEdit({}, "/__proto__", set({ polluted: true }));
   assert.equal(Reflect.get({}, "polluted"), undefined);
   const document = edited.unwrapOr({});
   assert.equal(Object.getPrototypeOf(document), Object.prototype);
-  assert(editAt({}, "/__proto__/polluted", set(true)).isErr);
+  assert(applyEdit({}, "/__proto__/polluted", set(true)).isErr);
 });
--- a/src/admin/mod.ts
+++ b/src/admin/mod.ts
@@ -1,4 +1,4 @@
-/** The administration API, its client and its commands. */
+/** The administration API, its client and its command line. */
 export {
   addAdminCommands,
   ADMIN_EXIT,
--- a/src/admin/openapi.ts
+++ b/src/admin/openapi.ts
@@ -1,7 +1,7 @@
-/** OpenAPI document of the administration API; a test checks it against the routes. */
+/** OpenAPI document of the administration API; a test compares it with the routes. */
 import { OPENAPI_SCHEMAS } from "./openapi_schemas.ts";
 
-/** One parameter, as OpenAPI has it. */
+/** OpenAPI Parameter Object. */
 export interface OpenapiParameter {
   name: string;
   in: "path" | "query" | "header";
@@ -10,7 +10,7 @@
   schema: { type: string };
 }
 
-/** One operation, as OpenAPI has it. */
+/** OpenAPI Operation Object. */
 export interface OpenapiOperation {
   operationId: string;
   summary: string;
@@ -19,28 +19,28 @@
   responses: Record<string, unknown>;
 }
 
-const TEAM: OpenapiParameter = {
+const TEAM_PARAMETER: OpenapiParameter = {
   name: "team",
   in: "path",
   required: true,
   description: "Name of the team",
   schema: { type: "string" },
 };
-const WORKSPACE: OpenapiParameter = {
+const WORKSPACE_PARAMETER: OpenapiParameter = {
   name: "workspace",
   in: "path",
   required: true,
   description: "Name of the workspace",
   schema: { type: "string" },
 };
-const WRITER: OpenapiParameter = {
+const WRITER_PARAMETER: OpenapiParameter = {
   name: "X-Writer",
   in: "header",
   required: false,
   description: "Who writes; kept with the version",
   schema: { type: "string" },
 };
-const WRITE_ID: OpenapiParameter = {
+const WRITE_ID_PARAMETER: OpenapiParameter = {
   name: "X-Write-Id",
   in: "header",
   required: false,
@@ -48,9 +48,9 @@
     "Unique id of the write; a request repeated with it is done once",
   schema: { type: "string" },
 };
-const WRITE_HEADERS = [WRITER, WRITE_ID];
+const WRITE_HEADERS = [WRITER_PARAMETER, WRITE_ID_PARAMETER];
 
-/** The document. */
+/** The OpenAPI document. */
 export const OPENAPI_DOCUMENT = {
   openapi: "3.1.0",
   info: {
@@ -61,100 +61,111 @@
   security: [{ administrator: [] }],
   paths: {
     "/admin/v1/openapi.json": {
-      get: operation({
+      get: withErrorResponse({
         operationId: "getOpenapi",
         summary: "This document",
         parameters: [],
-        responses: { 200: json("The document", "Document") },
+        responses: { 200: jsonResponse("The document", "Document") },
       }),
     },
     "/admin/v1/teams": {
-      get: operation({
+      get: withErrorResponse({
         operationId: "listTeams",
         summary: "All teams, as this process holds them, with the age of that",
         parameters: [],
-        responses: { 200: json("The teams", "TeamList") },
+        responses: { 200: jsonResponse("The teams", "TeamList") },
       }),
-      post: operation({
+      post: withErrorResponse({
         operationId: "createTeam",
         summary: "Create a team that doesn't exist",
         parameters: WRITE_HEADERS,
-        requestBody: body("Creation"),
-        responses: { 201: json("It is kept", "AcceptedWrite") },
+        requestBody: jsonRequestBody("Creation"),
+        responses: { 201: jsonResponse("It is kept", "AcceptedWrite") },
       }),
     },
     "/admin/v1/teams/{team}": {
-      get: operation({
+      get: withErrorResponse({
         operationId: "showTeam",
         summary: "A branch, now or at a kept version",
-        parameters: [TEAM, query("version", "A kept version")],
-        responses: { 200: json("The branch", "TeamView") },
+        parameters: [
+          TEAM_PARAMETER,
+          queryParameter("version", "A kept version"),
+        ],
+        responses: { 200: jsonResponse("The branch", "TeamView") },
       }),
-      put: operation({
+      put: withErrorResponse({
         operationId: "replaceTeam",
         summary: "Replace a branch",
-        parameters: [TEAM, ifMatch(true), ...WRITE_HEADERS],
-        requestBody: body("Branch"),
-        responses: { 200: json("It is kept", "AcceptedWrite") },
+        parameters: [TEAM_PARAMETER, ifMatchParameter(true), ...WRITE_HEADERS],
+        requestBody: jsonRequestBody("Branch"),
+        responses: { 200: jsonResponse("It is kept", "AcceptedWrite") },
       }),
-      patch: operation({
+      patch: withErrorResponse({
         operationId: "patchTeam",
         summary: "Change one place of a branch",
-        parameters: [TEAM, ifMatch(false), ...WRITE_HEADERS],
-        requestBody: body("Change"),
-        responses: { 200: json("It is kept", "AcceptedWrite") },
+        parameters: [TEAM_PARAMETER, ifMatchParameter(false), ...WRITE_HEADERS],
+        requestBody: jsonRequestBody("Change"),
+        responses: { 200: jsonResponse("It is kept", "AcceptedWrite") },
       }),
-      delete: operation({
+      delete: withErrorResponse({
         operationId: "deleteTeam",
         summary: "Delete a team; its history stays",
-        parameters: [TEAM, ifMatch(true), ...WRITE_HEADERS],
-        responses: { 200: json("It is deleted", "AcceptedWrite") },
+        parameters: [TEAM_PARAMETER, ifMatchParameter(true), ...WRITE_HEADERS],
+        responses: { 200: jsonResponse("It is deleted", "AcceptedWrite") },
       }),
     },
     "/admin/v1/teams/{team}/validate": {
-      post: operation({
+      post: withErrorResponse({
         operationId: "validateTeam",
         summary: "Check a branch without writing it",
-        parameters: [TEAM],
-        requestBody: body("Branch"),
-        responses: { 200: json("All problems found", "Validation") },
+        parameters: [TEAM_PARAMETER],
+        requestBody: jsonRequestBody("Branch"),
+        responses: { 200: jsonResponse("All problems found", "Validation") },
       }),
     },
     "/admin/v1/teams/{team}/history": {
-      get: operation({
+      get: withErrorResponse({
         operationId: "showHistory",
         summary: "The kept versions, latest first",
-        parameters: [TEAM],
-        responses: { 200: json("The versions", "History") },
+        parameters: [TEAM_PARAMETER],
+        responses: { 200: jsonResponse("The versions", "History") },
       }),
     },
     "/admin/v1/teams/{team}/roll-forward": {
-      post: operation({
+      post: withErrorResponse({
         operationId: "rollForward",
         summary: "Write the content of an earlier version as a new one",
-        parameters: [TEAM, ifMatch(false), ...WRITE_HEADERS],
-        requestBody: body("RollForward"),
-        responses: { 200: json("It is kept", "AcceptedWrite") },
+        parameters: [TEAM_PARAMETER, ifMatchParameter(false), ...WRITE_HEADERS],
+        requestBody: jsonRequestBody("RollForward"),
+        responses: { 200: jsonResponse("It is kept", "AcceptedWrite") },
       }),
     },
     "/admin/v1/teams/{team}/in-force": {
-      get: operation({
+      get: withErrorResponse({
         operationId: "showInForce",
         summary: "Which entries have a version, or a newer one, in force",
         parameters: [
-          TEAM,
-          query("version", "The version; else the one held here"),
-          query("waitMs", "How long to wait until all have it, up to 60000"),
+          TEAM_PARAMETER,
+          queryParameter("version", "The version; else the one held here"),
+          queryParameter(
+            "waitMs",
+            "How long to wait until all have it, up to 60000",
+          ),
         ],
-        responses: { 200: json("The entries", "InForce") },
+        responses: { 200: jsonResponse("The entries", "InForce") },
       }),
     },
     "/admin/v1/teams/{team}/workspaces/{workspace}/keys": {
-      post: operation({
+      post: withErrorResponse({
         operationId: "issueKey",
         summary: "Make a caller key; it is shown this once, and kept as a hash",
-        parameters: [TEAM, WORKSPACE, ifMatch(false), WRITER],
-        responses: { 201: json("The key", "IssuedKey") },
+        parameters: [
+          TEAM_PARAMETER,
+          WORKSPACE_PARAMETER,
+          ifMatchParameter(false),
+          WRITER_PARAMETER,
+        ],
+        responses: { 201: jsonResponse("The key", "IssuedKey") },
       }),
     },
   },
@@ -166,28 +177,28 @@
   },
 };
 
-function operation(described: OpenapiOperation): OpenapiOperation {
+function withErrorResponse(base: OpenapiOperation): OpenapiOperation {
   const responses = {
-    ...described.responses,
-    default: json("Refused, or unknown as `execution` says", "Error"),
+    ...base.responses,
+    default: jsonResponse("Refused, or unknown as `execution` says", "Error"),
   };
-  return { ...described, responses };
+  return { ...base, responses };
 }
 
-function json(description: string, schema: string) {
-  return { description, ...content(schema) };
+function jsonResponse(description: string, schema: string) {
+  return { description, ...jsonContent(schema) };
 }
 
-function body(schema: string) {
-  return { required: true, ...content(schema) };
+function jsonRequestBody(schema: string) {
+  return { required: true, ...jsonContent(schema) };
 }
 
-function content(schema: string) {
+function jsonContent(schema: string) {
   const $ref = `#/components/schemas/${schema}`;
   return { content: { "application/json": { schema: { $ref } } } };
 }
 
-function query(name: string, description: string): OpenapiParameter {
+function queryParameter(name: string, description: string): OpenapiParameter {
   return {
     name,
     in: "query",
@@ -197,7 +208,7 @@
   };
 }
 
-function ifMatch(required: boolean): OpenapiParameter {
+function ifMatchParameter(required: boolean): OpenapiParameter {
   return {
     name: "If-Match",
     in: "header",
--- a/src/admin/openapi_schemas.ts
+++ b/src/admin/openapi_schemas.ts
@@ -6,7 +6,7 @@
 const INTEGER = { type: "integer" };
 const BOOLEAN = { type: "boolean" };
 
-const MARK = {
+const WRITE_METADATA = {
   version: INTEGER,
   number: INTEGER,
   writer: STRING,
@@ -14,20 +14,20 @@
   writeId: STRING,
 };
 
-const PROBLEMS = list(object({
+const PROBLEMS = arrayOf(objectOf({
   path: STRING,
   message: STRING,
   value: STRING,
 }));
 
-const CURRENT = object({
+const CURRENT = objectOf({
   version: INTEGER,
   writer: STRING,
   writtenAtMs: INTEGER,
   deleted: BOOLEAN,
 });
 
-const ERROR = object({
+const ERROR = objectOf({
   message: STRING,
   type: STRING,
   code: STRING,
@@ -37,60 +37,67 @@
   current: CURRENT,
   writeId: STRING,
 });
-const ERROR_ALWAYS = ["message", "type", "code", "param", "execution"];
+const REQUIRED_ERROR_FIELDS = ["message", "type", "code", "param", "execution"];
 
-/** Schemas by name. */
+/** Schemas by name, referenced from the OpenAPI document. */
 export const OPENAPI_SCHEMAS = {
   Document: { type: "object" },
   Branch: z.toJSONSchema(TEAM_BRANCH, { io: "input" }),
-  Creation: object({ team: STRING, branch: ref("Branch") }),
+  Creation: objectOf({ team: STRING, branch: schemaRef("Branch") }),
   Change: {
     oneOf: [
-      object({ path: STRING, value: {} }),
-      object({ path: STRING, remove: { const: true } }),
+      objectOf({ path: STRING, value: {} }),
+      objectOf({ path: STRING, remove: { const: true } }),
     ],
   },
-  RollForward: object({ version: INTEGER }),
-  AcceptedWrite: object({ team: STRING, ...MARK }),
-  IssuedKey: object({ team: STRING, ...MARK, id: STRING, key: STRING }),
-  TeamList: object({
-    teams: list(object({ team: STRING, ...MARK, inForceHere: BOOLEAN })),
+  RollForward: objectOf({ version: INTEGER }),
+  AcceptedWrite: objectOf({ team: STRING, ...WRITE_METADATA }),
+  IssuedKey: objectOf({
+    team: STRING,
+    ...WRITE_METADATA,
+    id: STRING,
+    key: STRING,
+  }),
+  TeamList: objectOf({
+    teams: arrayOf(
+      objectOf({ team: STRING, ...WRITE_METADATA, inForceHere: BOOLEAN }),
+    ),
     ageMs: INTEGER,
     complete: BOOLEAN,
   }),
-  TeamView: object({
+  TeamView: objectOf({
     team: STRING,
-    ...MARK,
+    ...WRITE_METADATA,
     branch: {},
     ageMs: INTEGER,
     source: { enum: ["store", "memory"] },
   }),
-  Validation: object({ valid: BOOLEAN, problems: PROBLEMS }),
-  History: object({
+  Validation: objectOf({ valid: BOOLEAN, problems: PROBLEMS }),
+  History: objectOf({
     team: STRING,
-    versions: list(object({ ...MARK, deleted: BOOLEAN })),
+    versions: arrayOf(objectOf({ ...WRITE_METADATA, deleted: BOOLEAN })),
   }),
-  InForce: object({
+  InForce: objectOf({
     team: STRING,
     version: INTEGER,
     inForceEverywhere: BOOLEAN,
-    processes: list(object({
+    processes: arrayOf(objectOf({
       processId: STRING,
       address: STRING,
       inForce: { enum: ["yes", "no", "unknown"] },
     })),
   }),
-  Error: object({ error: { ...ERROR, required: ERROR_ALWAYS } }),
+  Error: objectOf({ error: { ...ERROR, required: REQUIRED_ERROR_FIELDS } }),
 };
 
-function object(properties: Record<string, unknown>) {
+function objectOf(properties: Record<string, unknown>) {
   return { type: "object", properties, required: Object.keys(properties) };
 }
 
-function list(items: unknown) {
+function arrayOf(items: unknown) {
   return { type: "array", items };
 }
 
-function ref(schema: string) {
+function schemaRef(schema: string) {
   return { $ref: `#/components/schemas/${schema}` };
 }
--- a/src/admin/queries.ts
+++ b/src/admin/queries.ts
@@ -1,4 +1,4 @@
-/** Administration queries: they change nothing. */
+/** Administration queries, which are read-only. */
 import { Result } from "true-myth";
 import type { Clock } from "../base/mod.ts";
 import {
@@ -11,57 +11,57 @@
   type StoredBranch,
 } from "../config/mod.ts";
 import type { AdminFailure } from "./failures.ts";
-import { currentOf, type TeamStore } from "./team_store.ts";
+import { type TeamStore, toCurrentVersion } from "./team_store.ts";
 
-/** Who wrote a version, and when. */
+/** Metadata of a version. */
 export interface VersionSummary {
-  /** Store revision of the write. */
+  /** Store revision of the write that created the version. */
   version: number;
-  /** Counts the writes to the team. */
+  /** Sequence number of the write to the team. */
   number: number;
   writer: string;
   writtenAtMs: number;
   writeId: string;
 }
 
-/** A team in the list. */
+/** A team in a {@link TeamList}. */
 export interface TeamSummary extends VersionSummary {
   team: string;
-  /** False: a newer process wrote it, and an earlier version stays in force here. */
+  /** False if this process can't read the version; an earlier version then stays in force here. */
   inForceHere: boolean;
 }
 
-/** Teams that this process knows. */
+/** The teams known to this process. */
 export interface TeamList {
   teams: TeamSummary[];
-  /** Time since the store confirmed the list. */
+  /** Time since the store confirmed the list, in ms. */
   ageMs: number;
-  /** False: there may be teams that this process hasn't heard of yet. */
+  /** False if teams may exist that this process does not know. */
   complete: boolean;
 }
 
-/** A branch with its version. */
+/** A team's branch with the metadata of its version. */
 export interface TeamView extends VersionSummary {
   team: string;
   branch: unknown;
-  /** Time since the store confirmed it; 0: it was just read there. */
+  /** Time since the store confirmed the branch, in ms; 0 if read from the store now. */
   ageMs: number;
-  /** `store`: just read; `memory`: what this process holds. */
+  /** `store`: read from the store now; `memory`: held by this process. */
   source: "store" | "memory";
 }
 
-/** A version in the history. */
+/** A version in a team's history. */
 export interface HistoryItem extends VersionSummary {
   deleted: boolean;
 }
 
-/** Whether a branch would be accepted. */
+/** Result of validating a branch. */
 export interface Validation {
   valid: boolean;
   problems: BranchProblem[];
 }
 
-/** An entry, and whether it has a version in force. */
+/** Whether an entry has a version in force. */
 export interface ProcessInForce {
   processId: string;
   address: string;
@@ -76,11 +76,11 @@
   processes: ProcessInForce[];
 }
 
-/** What {@link AdminQueries.inForce} is asked. */
-export interface InForceQuestion {
-  /** Undefined: the one held here. */
+/** Arguments of {@link AdminQueries.inForce}. */
+export interface InForceQuery {
+  /** The version to look for; undefined means the version held by this process. */
   version: bigint | undefined;
-  /** How long to wait until all have it. */
+  /** How long to wait until all entries have the version in force. */
   waitMs: number;
 }
 
@@ -90,17 +90,17 @@
   branches: BranchSet;
   sync: ConfigSync;
   clock: Clock;
-  /** Name of this process in answers. */
+  /** Name of this process in responses. */
   processId: string;
-  /** Own peer address. */
+  /** Returns the peer address of this process. */
   address: () => string;
 }
 
-const ASKED_AT_ONCE = 32;
-const ROUND_PAUSE_MS = 50;
+const MAX_CONCURRENT_EXCHANGES = 32;
+const POLL_INTERVAL_MS = 50;
 const FROM_STORE = { ageMs: 0, source: "store" } as const;
 
-/** Reads team branches and their spread. */
+/** Reads team branches and finds out which entries have them in force. */
 export class AdminQueries {
   readonly #options: AdminQueriesOptions;
 
@@ -109,71 +109,73 @@
   }
 
   /**
-   * @param options Where to read.
+   * @param options The sources to read from.
    * @returns The queries.
    */
   static create(options: AdminQueriesOptions): AdminQueries {
     return new AdminQueries(options);
   }
 
-  /** @returns The teams held here; no call to the store. */
+  /** @returns The teams held by this process, without a call to the store. */
   list(): TeamList {
     const { branches, sync } = this.#options;
     const teams: TeamSummary[] = [];
-    for (const held of branches.all()) {
-      if (held.json.length > 0) teams.push(summaryOf(held));
+    for (const record of branches.all()) {
+      if (record.json.length > 0) teams.push(toTeamSummary(record));
     }
     teams.sort((one, other) => one.team < other.team ? -1 : 1);
     const ageMs = sync.confirmedAgeMs;
     return { teams, ageMs, complete: sync.knowsAllTeams };
   }
 
-  /** @returns A branch from the store, or as held here while the store can't be reached. */
+  /** @returns A branch from the store, or the one in memory if the store is unreachable or stale. */
   async show(team: string): Promise<Result<TeamView, AdminFailure>> {
     const { teams, branches } = this.#options;
     const snapshot = await teams.read(team);
-    if (snapshot.isErr) return this.#showHeld(team);
+    if (snapshot.isErr) return this.#showLocal(team);
     const { revision, headRevision, stored } = snapshot.value;
-    const held = branches.revisionOf(team);
-    // A store that lags knows less than this process.
-    if (revision < held && headRevision < held) return this.#showHeld(team);
+    const local = branches.revisionOf(team);
+    // A stale read from the store returns an older state than this process holds.
+    if (revision < local && headRevision < local) return this.#showLocal(team);
     if (revision === 0n) {
-      const current = headRevision > 0n ? currentOf(snapshot.value) : undefined;
+      const current = headRevision > 0n
+        ? toCurrentVersion(snapshot.value)
+        : undefined;
       return Result.err({ kind: "team_not_found", team, current });
     }
-    if (!stored) return this.#showHeld(team);
-    return Result.ok(viewOf({ team, revision, stored, ...FROM_STORE }));
+    if (!stored) return this.#showLocal(team);
+    return Result.ok(toTeamView({ team, revision, stored, ...FROM_STORE }));
   }
 
-  /** @returns A branch as it was at a kept version. */
+  /** @returns The branch at a version in the team's history. */
   async showAt(
     team: string,
     version: bigint,
   ): Promise<Result<TeamView, AdminFailure>> {
     const history = await this.#options.teams.history(team);
     if (history.isErr) return Result.err(history.error);
-    const kept = history.value.find(({ revision }) => revision === version);
-    if (!kept || kept.stored.branch === undefined) {
+    const found = history.value.find(({ revision }) => revision === version);
+    if (!found || found.stored.branch === undefined) {
       const wanted = Number(version);
       return Result.err({ kind: "version_not_found", team, version: wanted });
     }
-    const { revision, stored } = kept;
-    return Result.ok(viewOf({ team, revision, stored, ...FROM_STORE }));
+    const { revision, stored } = found;
+    return Result.ok(toTeamView({ team, revision, stored, ...FROM_STORE }));
   }
 
-  /** @returns The kept versions, latest first. */
+  /** @returns The versions in the team's history, latest first. */
   async history(team: string): Promise<Result<HistoryItem[], AdminFailure>> {
     const history = await this.#options.teams.history(team);
-    if (history.isOk && history.value.length === 0) return missing(team, true);
+    if (history.isOk && history.value.length === 0) return notFound(team, true);
     return history.map((versions) =>
       versions.map(({ revision, stored }) => ({
-        ...versionOf(revision, stored),
+        ...toVersionSummary(revision, stored),
         deleted: stored.branch === undefined,
       }))
     );
   }
 
-  /** @returns All that is wrong with a branch. */
+  /** @returns Whether the branch is valid, with all problems found. */
   validate(branch: unknown): Validation {
     const parsed = parseBranch(branch);
     if (parsed.isOk) return { valid: true, problems: [] };
@@ -181,39 +183,40 @@
   }
 
   /**
-   * Finds out which entries have a version in force, asking those of which it isn't known.
+   * Finds out which entries have a version in force. Exchanges digests with each entry that isn't
+   * known to have it, until all have it or the wait time has passed.
    *
    * @param team The team's name.
-   * @param question Which version, and how long to wait for it.
-   * @returns Each entry, and whether it has that version or a newer one.
+   * @param inForceQuery The version and the maximum wait time.
+   * @returns For each entry, whether it has this version or a newer one in force.
    */
-  async inForce(team: string, question: InForceQuestion): Promise<InForce> {
+  async inForce(team: string, inForceQuery: InForceQuery): Promise<InForce> {
     const { clock, branches, sync } = this.#options;
-    const wanted = question.version ?? branches.revisionOf(team);
-    const untilMs = clock.nowMs() + question.waitMs;
+    const wanted = inForceQuery.version ?? branches.revisionOf(team);
+    const timeoutAtMs = clock.nowMs() + inForceQuery.waitMs;
     for (;;) {
-      await this.#askLacking(team, wanted);
-      const processes = this.#processes(team, wanted);
+      await this.#exchangeWithLaggingPeers(team, wanted);
+      const processes = this.#listProcesses(team, wanted);
       const inForceEverywhere = processes.every(({ inForce }) =>
         inForce === "yes"
       );
-      if (inForceEverywhere || clock.nowMs() >= untilMs) {
+      if (inForceEverywhere || clock.nowMs() >= timeoutAtMs) {
         return { team, version: Number(wanted), inForceEverywhere, processes };
       }
-      await clock.sleep(ROUND_PAUSE_MS);
-      if (!this.#hasHere(team, wanted)) await sync.exchangeNow();
+      await clock.sleep(POLL_INTERVAL_MS);
+      if (!this.#isInForceHere(team, wanted)) await sync.exchangeNow();
     }
   }
 
-  #showHeld(team: string): Result<TeamView, AdminFailure> {
+  #showLocal(team: string): Result<TeamView, AdminFailure> {
     const { branches, sync } = this.#options;
     const held = branches.held(team);
     if (!held || held.json.length === 0) {
-      return missing(team, held !== undefined || sync.knowsAllTeams);
+      return notFound(team, held !== undefined || sync.knowsAllTeams);
     }
     const stored = decodeStored(held.json);
-    if (stored.isErr) return missing(team, true);
-    return Result.ok(viewOf({
+    if (stored.isErr) return notFound(team, true);
+    return Result.ok(toTeamView({
       team,
       revision: held.revision,
       stored: stored.value,
@@ -222,39 +225,46 @@
     }));
   }
 
-  async #askLacking(team: string, version: bigint): Promise<void> {
+  async #exchangeWithLaggingPeers(
+    team: string,
+    version: bigint,
+  ): Promise<void> {
     const { sync } = this.#options;
     const lacking = sync.peerAddresses.filter((address) =>
-      this.#peerHas(address, team, version) !== "yes"
+      this.#peerStatus(address, team, version) !== "yes"
     );
-    for (let from = 0; from < lacking.length; from += ASKED_AT_ONCE) {
-      const batch = lacking.slice(from, from + ASKED_AT_ONCE);
+    for (
+      let from = 0;
+      from < lacking.length;
+      from += MAX_CONCURRENT_EXCHANGES
+    ) {
+      const batch = lacking.slice(from, from + MAX_CONCURRENT_EXCHANGES);
       await Promise.all(batch.map((address) => sync.exchangeWith(address)));
     }
   }
 
-  #processes(team: string, version: bigint): ProcessInForce[] {
+  #listProcesses(team: string, version: bigint): ProcessInForce[] {
     const { sync, processId, address } = this.#options;
     const here: ProcessInForce = {
       processId,
       address: address(),
-      inForce: this.#hasHere(team, version) ? "yes" : "no",
+      inForce: this.#isInForceHere(team, version) ? "yes" : "no",
     };
     const peers = sync.peerAddresses.map((peer) => ({
       processId: sync.book.get(peer)?.processId ?? "",
       address: peer,
-      inForce: this.#peerHas(peer, team, version),
+      inForce: this.#peerStatus(peer, team, version),
     }));
     return [here, ...peers];
   }
 
-  #hasHere(team: string, version: bigint): boolean {
+  #isInForceHere(team: string, version: bigint): boolean {
     const { branches } = this.#options;
     if (branches.held(team)?.unread) return false;
     return branches.knownTo(team) >= version;
   }
 
-  #peerHas(
+  #peerStatus(
     address: string,
     team: string,
     version: bigint,
@@ -263,23 +273,28 @@
     const record = book.get(address);
     if (!record) return "unknown";
     if (!book.has(record, team, version)) return "no";
-    // It holds the version, but some branch that it holds it can't read.
+    // The peer holds the version, but it can't read some branch, which may be this one.
     return record.unreadCount > 0 ? "unknown" : "yes";
   }
 }
 
-function summaryOf(held: BranchInForce): TeamSummary {
-  const { team, revision, json, unread } = held;
+function toTeamSummary(record: BranchInForce): TeamSummary {
+  const { team, revision, json, unread } = record;
   const inForceHere = unread === undefined;
   const stored = decodeStored(json);
   if (stored.isOk) {
-    return { team, ...versionOf(revision, stored.value), inForceHere };
+    return { team, ...toVersionSummary(revision, stored.value), inForceHere };
   }
-  const none = { writeId: "", writer: "", writtenAtMs: 0, number: 0 };
-  return { team, ...versionOf(revision, none), inForceHere };
+  const unknownMetadata = {
+    writeId: "",
+    writer: "",
+    writtenAtMs: 0,
+    number: 0,
+  };
+  return { team, ...toVersionSummary(revision, unknownMetadata), inForceHere };
 }
 
-function versionOf(
+function toVersionSummary(
   revision: bigint,
   { number, writer, writtenAtMs, writeId }: StoredBranch,
 ): VersionSummary {
@@ -287,18 +302,25 @@
   return { version, number, writer, writtenAtMs, writeId };
 }
 
-/** What a view is made from. */
+/** Input of {@link toTeamView}. */
 interface ViewSource extends Pick<TeamView, "team" | "ageMs" | "source"> {
   revision: bigint;
   stored: StoredBranch;
 }
 
-function viewOf({ revision, stored, ...source }: ViewSource): TeamView {
-  return { ...source, ...versionOf(revision, stored), branch: stored.branch };
+function toTeamView({ revision, stored, ...source }: ViewSource): TeamView {
+  return {
+    ...source,
+    ...toVersionSummary(revision, stored),
+    branch: stored.branch,
+  };
 }
 
-/** A team is only said not to exist by who knows all teams. */
-function missing<T>(team: string, known: boolean): Result<T, AdminFailure> {
-  if (known) return Result.err({ kind: "team_not_found", team });
+/** Reports that a team does not exist, or that this is unknown because not all teams are known. */
+function notFound<T>(
+  team: string,
+  isCertain: boolean,
+): Result<T, AdminFailure> {
+  if (isCertain) return Result.err({ kind: "team_not_found", team });
   return Result.err({ kind: "store_unavailable" });
 }
--- a/src/admin/routes.ts
+++ b/src/admin/routes.ts
@@ -1,81 +1,85 @@
-/** Routes of the administration API: what each takes, and the command or query behind it. */
+/** Routes of the administration API, each of which calls one command or query. */
 import { Result } from "true-myth";
 import type { AdminCommands, WriteContext } from "./commands.ts";
 import type { AdminFailure } from "./failures.ts";
 import type { AdminQueries } from "./queries.ts";
-import { readChange, readCreation, readInteger } from "./requests.ts";
+import {
+  parseBranchEdit,
+  parseInteger,
+  parseTeamCreation,
+} from "./requests.ts";
 import { OPENAPI_DOCUMENT } from "./openapi.ts";
 import type { AcceptedWrite } from "./team_store.ts";
 
-/** A request, as routes see it. */
+/** A parsed request. */
 export interface AdminRequest {
   team: string;
   workspace: string;
   query: URLSearchParams;
-  /** Parsed JSON; undefined: none. */
+  /** Parsed JSON; undefined if the route takes no body. */
   body: unknown;
   context: WriteContext;
 }
 
-/** A good answer. */
-export interface AdminAnswer {
+/** A successful response. */
+export interface AdminResponse {
   status: number;
   body: unknown;
-  /** Becomes the ETag. */
+  /** Sent as the ETag. */
   version?: number;
 }
 
-/** What routes call. */
-export interface AdminHandlers {
+/** Commands and queries that the routes call. */
+export interface AdminServices {
   commands: AdminCommands;
   queries: AdminQueries;
 }
 
-/** One route. */
+/** A route with its handler. */
 export interface AdminRoute {
   method: "GET" | "POST" | "PUT" | "PATCH" | "DELETE";
-  /** With `:name` for parameters. */
+  /** Path pattern with `:name` for parameters. */
   path: string;
-  /** True: the body must be JSON. */
+  /** True if the request must have a JSON body. */
   takesBody?: boolean;
   handle: (
-    handlers: AdminHandlers,
+    services: AdminServices,
     request: AdminRequest,
-  ) => Promise<Result<AdminAnswer, AdminFailure>>;
+  ) => Promise<Result<AdminResponse, AdminFailure>>;
 }
 
-const TEAMS = "/admin/v1/teams";
-const TEAM = `${TEAMS}/:team`;
+const TEAMS_PATH = "/admin/v1/teams";
+const TEAM_PATH = `${TEAMS_PATH}/:team`;
 const MAX_WAIT_MS = 60_000;
 
-/** All routes. */
+/** All routes of the administration API. */
 export const ADMIN_ROUTES: readonly AdminRoute[] = [
   {
     method: "GET",
     path: "/admin/v1/openapi.json",
-    handle: () => answer(OPENAPI_DOCUMENT),
+    handle: () => respond(OPENAPI_DOCUMENT),
   },
   {
     method: "GET",
-    path: TEAMS,
-    handle: ({ queries }) => answer(queries.list()),
+    path: TEAMS_PATH,
+    handle: ({ queries }) => respond(queries.list()),
   },
   {
     method: "POST",
-    path: TEAMS,
+    path: TEAMS_PATH,
     takesBody: true,
     handle: async ({ commands }, { body, context }) => {
-      const creation = readCreation(body);
+      const creation = parseTeamCreation(body);
       if (creation.isErr) return Result.err(creation.error);
       const { team, branch } = creation.value;
-      return written(await commands.create(team, branch, context), 201);
+      return toWriteResponse(await commands.create(team, branch, context), 201);
     },
   },
   {
     method: "GET",
-    path: TEAM,
+    path: TEAM_PATH,
     handle: async ({ queries }, { team, query }) => {
-      const version = readInteger(query, "version");
+      const version = parseInteger(query, "version");
       if (version.isErr) return Result.err(version.error);
       const view = version.value === undefined
         ? await queries.show(team)
@@ -85,36 +89,36 @@
   },
   {
     method: "POST",
-    path: `${TEAM}/validate`,
+    path: `${TEAM_PATH}/validate`,
     takesBody: true,
-    handle: ({ queries }, { body }) => answer(queries.validate(body)),
+    handle: ({ queries }, { body }) => respond(queries.validate(body)),
   },
   {
     method: "PUT",
-    path: TEAM,
+    path: TEAM_PATH,
     takesBody: true,
     handle: async ({ commands }, { team, body, context }) =>
-      written(await commands.replace(team, body, context)),
+      toWriteResponse(await commands.replace(team, body, context)),
   },
   {
     method: "PATCH",
-    path: TEAM,
+    path: TEAM_PATH,
     takesBody: true,
     handle: async ({ commands }, { team, body, context }) => {
-      const change = readChange(body);
+      const change = parseBranchEdit(body);
       if (change.isErr) return Result.err(change.error);
-      return written(await commands.patch(team, change.value, context));
+      return toWriteResponse(await commands.patch(team, change.value, context));
     },
   },
   {
     method: "DELETE",
-    path: TEAM,
+    path: TEAM_PATH,
     handle: async ({ commands }, { team, context }) =>
-      written(await commands.delete(team, context)),
+      toWriteResponse(await commands.delete(team, context)),
   },
   {
     method: "GET",
-    path: `${TEAM}/history`,
+    path: `${TEAM_PATH}/history`,
     handle: async ({ queries }, { team }) => {
       const versions = await queries.history(team);
       return versions.map((found) => ({
@@ -125,25 +129,27 @@
   },
   {
     method: "POST",
-    path: `${TEAM}/roll-forward`,
+    path: `${TEAM_PATH}/roll-forward`,
     takesBody: true,
     handle: async ({ commands }, { team, body, context }) => {
-      const version = readInteger(body, "version");
+      const version = parseInteger(body, "version");
       if (version.isErr) return Result.err(version.error);
       if (version.value === undefined) return missingVersion();
       const earlier = BigInt(version.value);
-      return written(await commands.rollForward(team, earlier, context));
+      return toWriteResponse(
+        await commands.rollForward(team, earlier, context),
+      );
     },
   },
   {
     method: "GET",
-    path: `${TEAM}/in-force`,
+    path: `${TEAM_PATH}/in-force`,
     handle: async ({ queries }, { team, query }) => {
-      const version = readInteger(query, "version");
+      const version = parseInteger(query, "version");
       if (version.isErr) return Result.err(version.error);
-      const wait = readInteger(query, "waitMs");
+      const wait = parseInteger(query, "waitMs");
       if (wait.isErr) return Result.err(wait.error);
-      return answer(
+      return respond(
         await queries.inForce(team, {
           version: version.value === undefined
             ? undefined
@@ -155,40 +161,40 @@
   },
   {
     method: "POST",
-    path: `${TEAM}/workspaces/:workspace/keys`,
+    path: `${TEAM_PATH}/workspaces/:workspace/keys`,
     handle: async ({ commands }, { team, workspace, context }) => {
       const issued = await commands.issueKey(team, workspace, context);
       return issued.map(({ accepted, id, key }) => ({
         status: 201,
-        body: { ...describeWrite(accepted), id, key },
+        body: { ...toWriteReceipt(accepted), id, key },
         version: Number(accepted.revision),
       }));
     },
   },
 ];
 
-function answer(body: unknown): Promise<Result<AdminAnswer, AdminFailure>> {
+function respond(body: unknown): Promise<Result<AdminResponse, AdminFailure>> {
   return Promise.resolve(Result.ok({ status: 200, body }));
 }
 
-function written(
+function toWriteResponse(
   outcome: Result<AcceptedWrite, AdminFailure>,
   status = 200,
-): Result<AdminAnswer, AdminFailure> {
+): Result<AdminResponse, AdminFailure> {
   return outcome.map((accepted) => ({
     status,
-    body: describeWrite(accepted),
+    body: toWriteReceipt(accepted),
     version: Number(accepted.revision),
   }));
 }
 
-function describeWrite({ team, revision, mark }: AcceptedWrite) {
-  const { writeId, writer, writtenAtMs, number } = mark;
+function toWriteReceipt({ team, revision, metadata }: AcceptedWrite) {
+  const { writeId, writer, writtenAtMs, number } = metadata;
   const version = Number(revision);
   return { team, version, number, writer, writtenAtMs, writeId };
 }
 
-function missingVersion(): Result<AdminAnswer, AdminFailure> {
+function missingVersion(): Result<AdminResponse, AdminFailure> {
   const message = "Expected the version whose content is wanted";
   return Result.err({ kind: "invalid_request", message, param: "version" });
 }
--- a/src/admin/server.ts
+++ b/src/admin/server.ts
@@ -1,4 +1,4 @@
-/** The administration API: HTTP with JSON, on a listener and with a bearer key of its own. */
+/** HTTP server of the administration API. It has its own listener and its own bearer key. */
 import { createHash, timingSafeEqual } from "node:crypto";
 import { createServer, type Server } from "node:http";
 import type { AddressInfo } from "node:net";
@@ -9,41 +9,41 @@
 import type { KeyValueStore } from "../store/store.ts";
 import type { ListenFailure } from "../wire/mod.ts";
 import { AdminCommands, type WriteContext } from "./commands.ts";
-import { type AdminFailure, errorAnswer } from "./failures.ts";
+import { type AdminFailure, toErrorResponse } from "./failures.ts";
 import { AdminQueries } from "./queries.ts";
-import { readIfMatch, readWriteId, readWriter } from "./requests.ts";
+import { parseIfMatch, parseWriteId, parseWriter } from "./requests.ts";
 import {
   ADMIN_ROUTES,
-  type AdminAnswer,
-  type AdminHandlers,
   type AdminRequest,
+  type AdminResponse,
   type AdminRoute,
+  type AdminServices,
 } from "./routes.ts";
 import { TeamStore } from "./team_store.ts";
 
 /** Settings of {@link AdminServer}. */
 export interface AdminServerOptions {
-  /** `ip:port`; port 0: any free one. */
+  /** `ip:port`; port 0 picks a free port. */
   address: string;
-  /** SHA-256 in hex of the administrators' bearer key. */
+  /** Hex-encoded SHA-256 of the administrators' bearer key. */
   keySha256: string;
   store: KeyValueStore;
   branches: BranchSet;
   sync: ConfigSync;
-  /** Name of this process in answers. */
+  /** Name of this process in responses. */
   processId: string;
-  /** Own peer address. */
+  /** Returns the peer address of this process. */
   peerAddress: () => string;
   clock: Clock;
   log: Logger;
-  /** How long a lost answer of the store is looked for, in ms. */
-  settleMs?: number;
+  /** How long to retry a commit to the store whose outcome is unknown, in ms. */
+  resolveTimeoutMs?: number;
 }
 
-/** Largest body read; a branch is smaller. */
+/** Maximum size of a request body; a branch is smaller. */
 const MAX_BODY_BYTES = 1_048_576;
 
-/** Serves the administration API. */
+/** Serves the administration API over HTTP. */
 export class AdminServer implements Owned {
   readonly name = "admin-server";
   readonly commands: AdminCommands;
@@ -54,8 +54,19 @@
   #address: string;
 
   private constructor(options: AdminServerOptions) {
-    const { store, branches, sync, clock, processId, settleMs } = options;
-    const teams = TeamStore.create({ store, clock, settleMs });
+    const {
+      store,
+      branches,
+      sync,
+      clock,
+      processId,
+      resolveTimeoutMs: settleMs,
+    } = options;
+    const teams = TeamStore.create({
+      store,
+      clock,
+      resolveTimeoutMs: settleMs,
+    });
     this.#options = options;
     this.#address = options.address;
     this.#keyHash = Buffer.from(options.keySha256, "hex");
@@ -68,33 +79,33 @@
       processId,
       address: options.peerAddress,
     });
-    this.#server = createServer(toNodeHandler(this.#app()));
+    this.#server = createServer(toNodeHandler(this.#createApp()));
   }
 
   /**
-   * @param options Where to listen, and what to serve.
-   * @returns A server that is not open yet.
+   * @param options The listen address, the credentials and the data to serve.
+   * @returns A server that does not listen yet.
    */
   static create(options: AdminServerOptions): AdminServer {
     return new AdminServer(options);
   }
 
-  /** `ip:port`; after {@link start} with the port that was chosen. */
+  /** `ip:port` to listen on; the actual port after {@link start}. */
   get address(): string {
     return this.#address;
   }
 
-  /** @returns The address listened on, or why it could not be opened. */
+  /** @returns The address that the server listens on, or why it failed to listen. */
   start(): Promise<Result<string, ListenFailure>> {
     const address = this.#address;
-    const at = address.lastIndexOf(":");
-    const host = address.slice(0, at);
+    const colonIndex = address.lastIndexOf(":");
+    const host = address.slice(0, colonIndex);
     const server = this.#server;
     return new Promise((resolve) => {
       server.once("error", ({ message }) => {
         resolve(Result.err({ kind: "listen_failed", address, message }));
       });
-      server.listen(Number(address.slice(at + 1)), host, () => {
+      server.listen(Number(address.slice(colonIndex + 1)), host, () => {
         const { port } = server.address() as AddressInfo;
         this.#address = `${host}:${port}`;
         resolve(Result.ok(this.#address));
@@ -102,7 +113,7 @@
     });
   }
 
-  /** Refuses new connections, lets running requests end, and closes. */
+  /** Stops accepting connections and waits for the requests in flight. */
   close(): Promise<void> {
     return new Promise((resolve) => {
       this.#server.close(() => resolve());
@@ -110,34 +121,34 @@
     });
   }
 
-  #app(): H3 {
+  #createApp(): H3 {
     const handlers = { commands: this.commands, queries: this.queries };
     const app = new H3({ silent: true });
     for (const route of ADMIN_ROUTES) {
       app.on(
         route.method,
         route.path,
-        (event) => this.#answer(event, route, handlers),
+        (event) => this.#handleRequest(event, route, handlers),
       );
     }
     app.all(
       "/**",
       (event) =>
-        this.#isAdministrator(event)
+        this.#isAuthorized(event)
           ? failed({ kind: "route_not_found" })
           : failed({ kind: "unauthorized" }),
     );
     return app;
   }
 
-  async #answer(
+  async #handleRequest(
     event: H3Event,
     route: AdminRoute,
-    handlers: AdminHandlers,
+    handlers: AdminServices,
   ): Promise<Response> {
-    if (!this.#isAdministrator(event)) return failed({ kind: "unauthorized" });
+    if (!this.#isAuthorized(event)) return failed({ kind: "unauthorized" });
     try {
-      const request = await readRequest(event, route);
+      const request = await parseRequest(event, route);
       if (request.isErr) return failed(request.error);
       const outcome = await route.handle(handlers, request.value);
       return outcome.isOk ? succeeded(outcome.value) : failed(outcome.error);
@@ -148,7 +159,7 @@
     }
   }
 
-  #isAdministrator(event: H3Event): boolean {
+  #isAuthorized(event: H3Event): boolean {
     const header = event.req.headers.get("authorization") ?? "";
     const key = header.startsWith("Bearer ") ? header.slice(7) : "";
     const hash = createHash("sha256").update(key).digest();
@@ -157,11 +168,11 @@
   }
 }
 
-async function readRequest(
+async function parseRequest(
   event: H3Event,
   route: AdminRoute,
 ): Promise<Result<AdminRequest, AdminFailure>> {
-  const context = readContext(event.req.headers);
+  const context = parseContext(event.req.headers);
   if (context.isErr) return Result.err(context.error);
   const body = route.takesBody ? await readBody(event) : Result.ok(undefined);
   if (body.isErr) return Result.err(body.error);
@@ -175,12 +186,12 @@
   });
 }
 
-function readContext(headers: Headers): Result<WriteContext, AdminFailure> {
-  const ifMatch = readIfMatch(headers.get("if-match"));
+function parseContext(headers: Headers): Result<WriteContext, AdminFailure> {
+  const ifMatch = parseIfMatch(headers.get("if-match"));
   if (ifMatch.isErr) return Result.err(ifMatch.error);
-  const writeId = readWriteId(headers.get("x-write-id"));
+  const writeId = parseWriteId(headers.get("x-write-id"));
   return writeId.map((id) => ({
-    writer: readWriter(headers.get("x-writer")),
+    writer: parseWriter(headers.get("x-writer")),
     ifMatch: ifMatch.value,
     writeId: id,
   }));
@@ -207,14 +218,14 @@
   }
 }
 
-function succeeded({ status, body, version }: AdminAnswer): Response {
+function succeeded({ status, body, version }: AdminResponse): Response {
   const headers: Record<string, string> = {};
   if (version !== undefined) headers.etag = `"${version}"`;
   return Response.json(body, { status, headers });
 }
 
 function failed(failure: AdminFailure): Response {
-  const { status, body, retryAfterMs } = errorAnswer(failure);
+  const { status, body, retryAfterMs } = toErrorResponse(failure);
   const headers: Record<string, string> = {};
   if (retryAfterMs !== undefined) {
     headers["retry-after"] = String(Math.ceil(retryAfterMs / 1000));
--- a/src/admin/server_test.ts
+++ b/src/admin/server_test.ts
@@ -4,27 +4,32 @@
 import type { Result } from "true-myth";
 import { historyPrefix, teamKey } from "../config/mod.ts";
 import { prefixRange } from "../store/revision_table.ts";
-import { ADMIN_KEY, BRANCH, type Rig, startRig } from "./_rig.ts";
+import {
+  ADMIN_KEY,
+  BRANCH,
+  startTestCluster,
+  type TestCluster,
+} from "./_rig.ts";
 import type { AdminClientFailure } from "./client.ts";
 
-async function withRig(
+async function withTestCluster(
   count: number,
-  body: (rig: Rig) => Promise<void>,
+  body: (cluster: TestCluster) => Promise<void>,
 ): Promise<void> {
-  const rig = await startRig(count);
+  const cluster = await startTestCluster(count);
   try {
-    await body(rig);
+    await body(cluster);
   } finally {
-    await rig.close();
+    await cluster.close();
   }
 }
 
-function value<T>(result: Result<T, AdminClientFailure>): T {
+function unwrapValue<T>(result: Result<T, AdminClientFailure>): T {
   assert(result.isOk, JSON.stringify(result));
   return result.value;
 }
 
-function refusal<T>(result: Result<T, AdminClientFailure>) {
+function unwrapRefusal<T>(result: Result<T, AdminClientFailure>) {
   assert(result.isErr && result.error.kind === "refused", String(result));
   return result.error;
 }
@@ -35,29 +40,29 @@
 });
 
 test("create, show, replace, delete, create again", () =>
-  withRig(1, async ({ nodes: [node] }) => {
+  withTestCluster(1, async ({ nodes: [node] }) => {
     assert(node);
     const { client } = node;
-    const created = value(await client.create("a", BRANCH));
-    const shown = value(await client.show("a"));
+    const created = unwrapValue(await client.create("a", BRANCH));
+    const shown = unwrapValue(await client.show("a"));
     assert.deepEqual(shown.branch, BRANCH);
     assert.equal(shown.version, created.version);
     assert.equal(shown.writer, "node-0");
-    const again = refusal(await client.create("a", BRANCH));
+    const again = unwrapRefusal(await client.create("a", BRANCH));
     assert.equal(again.status, 409);
-    const second = value(
+    const second = unwrapValue(
       await client.replace("a", withDeadline(1), created.version),
     );
-    const gone = value(await client.delete("a", second.version));
-    assert.equal(refusal(await client.show("a")).status, 404);
-    const back = value(await client.create("a", BRANCH));
+    const gone = unwrapValue(await client.delete("a", second.version));
+    assert.equal(unwrapRefusal(await client.show("a")).status, 404);
+    const back = unwrapValue(await client.create("a", BRANCH));
     assert(back.version > gone.version);
     assert.equal(back.number, 4);
     assert.equal(node.branches.get("a")?.revision, BigInt(back.version));
   }));
 
 test("no key, no answer", () =>
-  withRig(1, async ({ nodes: [node] }) => {
+  withTestCluster(1, async ({ nodes: [node] }) => {
     const url = `${node?.url}/admin/v1/teams`;
     for (const key of ["", "Bearer ", "Bearer wrong", ADMIN_KEY]) {
       const answer = await fetch(url, { headers: { authorization: key } });
@@ -70,7 +75,7 @@
   }));
 
 test("an unknown path is refused by name", () =>
-  withRig(1, async ({ nodes: [node] }) => {
+  withTestCluster(1, async ({ nodes: [node] }) => {
     const answer = await fetch(`${node?.url}/admin/v1/team`, {
       headers: { authorization: `Bearer ${ADMIN_KEY}` },
     });
@@ -80,43 +85,45 @@
   }));
 
 test("all problems come at once", () =>
-  withRig(1, async ({ nodes: [node] }) => {
+  withTestCluster(1, async ({ nodes: [node] }) => {
     assert(node);
     const wrong = {
       ...BRANCH,
       colour: "red",
       classes: { desk: { priority: "first", deadlineMs: 0 } },
     };
-    const { status, error } = refusal(await node.client.create("a", wrong));
+    const { status, error } = unwrapRefusal(
+      await node.client.create("a", wrong),
+    );
     assert.equal(status, 422);
     assert.equal(error.problems?.length, 3);
-    const checked = value(await node.client.validate("a", wrong));
+    const checked = unwrapValue(await node.client.validate("a", wrong));
     assert.deepEqual(checked.problems, error.problems);
-    assert.equal(refusal(await node.client.show("a")).status, 404);
+    assert.equal(unwrapRefusal(await node.client.show("a")).status, 404);
   }));
 
 test("a race is lost with the version that won", () =>
-  withRig(2, async ({ nodes: [one, two] }) => {
+  withTestCluster(2, async ({ nodes: [one, two] }) => {
     assert(one && two);
-    const { version } = value(await one.client.create("a", BRANCH));
+    const { version } = unwrapValue(await one.client.create("a", BRANCH));
     const outcomes = await Promise.all([
       one.client.replace("a", withDeadline(1), version),
       two.client.replace("a", withDeadline(2), version),
     ]);
     const won = outcomes.filter(({ isOk }) => isOk);
     assert.equal(won.length, 1);
-    const receipt = won.map(value)[0];
+    const receipt = won.map(unwrapValue)[0];
     const lost = outcomes.find(({ isErr }) => isErr);
-    const { status, error } = refusal(lost ?? outcomes[0]);
+    const { status, error } = unwrapRefusal(lost ?? outcomes[0]);
     assert.equal(status, 409);
     assert.equal(error.current?.version, receipt?.version);
     assert.equal(error.current?.writer, receipt?.writer);
   }));
 
 test("replace and delete need the version", () =>
-  withRig(1, async ({ nodes: [node] }) => {
+  withTestCluster(1, async ({ nodes: [node] }) => {
     assert(node);
-    value(await node.client.create("a", BRANCH));
+    unwrapValue(await node.client.create("a", BRANCH));
     const answer = await fetch(`${node.url}/admin/v1/teams/a`, {
       method: "DELETE",
       headers: { authorization: `Bearer ${ADMIN_KEY}` },
@@ -126,29 +133,31 @@
   }));
 
 test("a patch changes one place, racing patches both count", () =>
-  withRig(2, async ({ nodes: [one, two] }) => {
+  withTestCluster(2, async ({ nodes: [one, two] }) => {
     assert(one && two);
-    value(await one.client.create("a", BRANCH));
+    unwrapValue(await one.client.create("a", BRANCH));
     const outcomes = await Promise.all([
       one.client.patch("a", { path: "/limits", value: { maxInFlight: 5 } }),
       two.client.patch("a", { path: "/classes/desk/deadlineMs", value: 7 }),
     ]);
-    outcomes.forEach(value);
-    const { branch } = value(await one.client.show("a"));
+    outcomes.forEach(unwrapValue);
+    const { branch } = unwrapValue(await one.client.show("a"));
     const expected = { ...withDeadline(7), limits: { maxInFlight: 5 } };
     assert.deepEqual(branch, expected);
     const path = "/nothing/here";
-    const wrong = refusal(await one.client.patch("a", { path, value: 1 }));
+    const wrong = unwrapRefusal(
+      await one.client.patch("a", { path, value: 1 }),
+    );
     assert.equal(wrong.error.param, "path");
   }));
 
 test("a lost answer is settled as accepted", () =>
-  withRig(1, async ({ nodes: [node], store }) => {
+  withTestCluster(1, async ({ nodes: [node], store }) => {
     assert(node);
     store.faults.loseNextAnswer = true;
-    const created = value(await node.client.create("a", BRANCH));
+    const created = unwrapValue(await node.client.create("a", BRANCH));
     store.faults.loseNextRequest = true;
-    const second = value(
+    const second = unwrapValue(
       await node.client.replace("a", withDeadline(1), created.version),
     );
     assert.equal(second.number, 2);
@@ -159,9 +168,9 @@
   }));
 
 test("a lost answer under a later write is found in the history", () =>
-  withRig(2, async ({ nodes: [one, two], store }) => {
+  withTestCluster(2, async ({ nodes: [one, two], store }) => {
     assert(one && two);
-    const { version } = value(await one.client.create("a", BRANCH));
+    const { version } = unwrapValue(await one.client.create("a", BRANCH));
     const commit = one.store.commit.bind(one.store);
     let intruded = false;
     one.store.commit = async (...args) => {
@@ -169,22 +178,22 @@
       intruded = true;
       store.faults.loseNextAnswer = true;
       const outcome = await commit(...args);
-      value(await two.client.patch("a", { path: "/limits", value: {} }));
+      unwrapValue(await two.client.patch("a", { path: "/limits", value: {} }));
       return outcome;
     };
-    const first = value(
+    const first = unwrapValue(
       await one.client.replace("a", withDeadline(1), version),
     );
-    const history = value(await one.client.history("a"));
+    const history = unwrapValue(await one.client.history("a"));
     const [top, below] = history.versions;
     assert.equal(below?.version, first.version);
     assert.equal(top?.writer, "node-1");
   }));
 
 test("a write that can't be settled is unknown, with its id", () =>
-  withRig(1, async ({ nodes: [node], store }) => {
+  withTestCluster(1, async ({ nodes: [node], store }) => {
     assert(node);
-    const { version } = value(await node.client.create("a", BRANCH));
+    const { version } = unwrapValue(await node.client.create("a", BRANCH));
     const commit = store.commit.bind(store);
     store.commit = async (...args) => {
       store.commit = commit;
@@ -206,12 +215,12 @@
     assert.equal(answer.status, 503);
     assert.equal(error.execution, "unknown");
     store.faults.down = false;
-    const { versions } = value(await node.client.history("a"));
+    const { versions } = unwrapValue(await node.client.history("a"));
     assert.equal(versions[0]?.writeId, error.writeId);
   }));
 
 test("a repeated request is done once", () =>
-  withRig(1, async ({ nodes: [node] }) => {
+  withTestCluster(1, async ({ nodes: [node] }) => {
     assert(node);
     const headers = {
       authorization: `Bearer ${ADMIN_KEY}`,
@@ -226,48 +235,50 @@
   }));
 
 test("in an outage writes are refused, reads have an age", () =>
-  withRig(1, async ({ nodes: [node], store }) => {
+  withTestCluster(1, async ({ nodes: [node], store }) => {
     assert(node);
-    const { version } = value(await node.client.create("a", BRANCH));
+    const { version } = unwrapValue(await node.client.create("a", BRANCH));
     store.faults.down = true;
-    const refused = refusal(await node.client.create("b", BRANCH));
+    const refused = unwrapRefusal(await node.client.create("b", BRANCH));
     assert.equal(refused.status, 503);
     assert.equal(refused.error.execution, "not_run");
-    const shown = value(await node.client.show("a"));
+    const shown = unwrapValue(await node.client.show("a"));
     assert.equal(shown.version, version);
     assert.equal(shown.source, "memory");
-    const listed = value(await node.client.list());
+    const listed = unwrapValue(await node.client.list());
     assert(listed.complete && listed.ageMs < 0xffff_ffff);
     assert.deepEqual(listed.teams.map(({ team }) => team), ["a"]);
   }));
 
 test("history is bounded, an earlier version rolls forward", () =>
-  withRig(1, async ({ nodes: [node], store }) => {
+  withTestCluster(1, async ({ nodes: [node], store }) => {
     assert(node);
-    let { version } = value(await node.client.create("a", BRANCH));
+    let { version } = unwrapValue(await node.client.create("a", BRANCH));
     for (let deadlineMs = 1; deadlineMs <= 24; deadlineMs++) {
       const branch = withDeadline(deadlineMs);
-      ({ version } = value(await node.client.replace("a", branch, version)));
+      ({ version } = unwrapValue(
+        await node.client.replace("a", branch, version),
+      ));
     }
-    const { versions } = value(await node.client.history("a"));
+    const { versions } = unwrapValue(await node.client.history("a"));
     assert.equal(versions.length, 20);
     const kept = store.table.list(prefixRange(historyPrefix("a")));
     assert.equal(kept.length, 21);
     const earlier = versions[4]?.version ?? 0;
-    const forward = value(await node.client.rollForward("a", earlier));
+    const forward = unwrapValue(await node.client.rollForward("a", earlier));
     assert(forward.version > version);
-    const shown = value(await node.client.show("a"));
+    const shown = unwrapValue(await node.client.show("a"));
     assert.deepEqual(shown.branch, withDeadline(20));
-    const old = value(await node.client.show("a", earlier));
+    const old = unwrapValue(await node.client.show("a", earlier));
     assert.deepEqual(old.branch, withDeadline(20));
-    const lost = refusal(await node.client.rollForward("a", 1));
+    const lost = unwrapRefusal(await node.client.rollForward("a", 1));
     assert.equal(lost.error.code, "version_not_found");
   }));
 
 test("a branch in a newer format is not damaged", () =>
-  withRig(1, async ({ nodes: [node], store }) => {
+  withTestCluster(1, async ({ nodes: [node], store }) => {
     assert(node);
-    const { version } = value(await node.client.create("a", BRANCH));
+    const { version } = unwrapValue(await node.client.create("a", BRANCH));
     const stored = {
       writeId: "newer",
       writer: "newer",
@@ -279,11 +290,11 @@
     const key = teamKey("a");
     const bytes = Buffer.from(JSON.stringify(stored));
     store.table.commit([], [{ kind: "put", key, value: bytes }]);
-    const listed = async () => value(await node.client.list()).teams[0];
+    const listed = async () => unwrapValue(await node.client.list()).teams[0];
     while ((await listed())?.version === version);
     assert.equal((await listed())?.inForceHere, false);
     assert.equal(node.branches.get("a")?.branch?.format, 1);
-    const newer = value(await node.client.show("a")).version;
+    const newer = unwrapValue(await node.client.show("a")).version;
     for (
       const refused of [
         await node.client.replace("a", BRANCH, newer),
@@ -291,36 +302,36 @@
         await node.client.rollForward("a", version),
       ]
     ) {
-      assert.equal(refusal(refused).error.code, "newer_format");
+      assert.equal(unwrapRefusal(refused).error.code, "newer_format");
     }
     assert.deepEqual(Buffer.from(store.table.get(key)?.value ?? []), bytes);
   }));
 
 test("a change of one team changes no other", () =>
-  withRig(2, async ({ nodes: [one, two], store }) => {
+  withTestCluster(2, async ({ nodes: [one, two], store }) => {
     assert(one && two);
-    value(await one.client.create("a", BRANCH));
-    value(await one.client.create("b", BRANCH));
-    const { version } = value(await one.client.create("c", BRANCH));
-    value(await two.client.inForce("c", 60_000, version));
+    unwrapValue(await one.client.create("a", BRANCH));
+    unwrapValue(await one.client.create("b", BRANCH));
+    const { version } = unwrapValue(await one.client.create("c", BRANCH));
+    unwrapValue(await two.client.inForce("c", 60_000, version));
     const before = store.table.get(teamKey("b"));
     const held = two.branches.get("b");
     const changed: string[] = [];
     two.branches.onChange(({ team }) => changed.push(team));
-    value(await one.client.patch("a", { path: "/limits", value: {} }));
-    value(await one.client.issueKey("a", "salon"));
-    const gone = value(await one.client.delete("c", version));
-    value(await two.client.inForce("c", 60_000, gone.version));
+    unwrapValue(await one.client.patch("a", { path: "/limits", value: {} }));
+    unwrapValue(await one.client.issueKey("a", "salon"));
+    const gone = unwrapValue(await one.client.delete("c", version));
+    unwrapValue(await two.client.inForce("c", 60_000, gone.version));
     assert.deepEqual(store.table.get(teamKey("b")), before);
     assert.equal(two.branches.get("b"), held);
     assert(!changed.includes("b"));
   }));
 
 test("a new key is shown once and kept as a hash", () =>
-  withRig(1, async ({ nodes: [node], store }) => {
+  withTestCluster(1, async ({ nodes: [node], store }) => {
     assert(node);
-    value(await node.client.create("a", BRANCH));
-    const { id, key } = value(await node.client.issueKey("a", "salon"));
+    unwrapValue(await node.client.create("a", BRANCH));
+    const { id, key } = unwrapValue(await node.client.issueKey("a", "salon"));
     assert.match(key, /^a\.salon\.[A-Za-z0-9_-]{43}$/);
     const sha256 = createHash("sha256").update(key).digest("hex");
     const branch = node.branches.get("a")?.branch;
@@ -328,23 +339,23 @@
     const all = store.table.list({ from: "/", to: undefined });
     const text = all.map(({ value }) => Buffer.from(value).toString()).join();
     assert(!text.includes(key));
-    const wrong = refusal(await node.client.issueKey("a", "none"));
+    const wrong = unwrapRefusal(await node.client.issueKey("a", "none"));
     assert.equal(wrong.error.code, "workspace_not_found");
   }));
 
 test("in-force waits for every entry, and names who lacks it", () =>
-  withRig(3, async ({ nodes: [one, two, three], fleet }) => {
+  withTestCluster(3, async ({ nodes: [one, two, three], fleet }) => {
     assert(one && two && three);
     three.store.open = false;
     fleet.cutOff.add(three.address);
-    const { version } = value(await one.client.create("a", BRANCH));
-    const partly = value(await one.client.inForce("a", 0, version));
+    const { version } = unwrapValue(await one.client.create("a", BRANCH));
+    const partly = unwrapValue(await one.client.inForce("a", 0, version));
     assert.equal(partly.inForceEverywhere, false);
     const last = partly.processes.at(-1);
     assert.equal(last?.address, three.address);
     assert.notEqual(last?.inForce, "yes");
     fleet.cutOff.delete(three.address);
-    const all = value(await one.client.inForce("a", 60_000, version));
+    const all = unwrapValue(await one.client.inForce("a", 60_000, version));
     assert(all.inForceEverywhere);
     assert.equal(three.branches.get("a")?.revision, BigInt(version));
   }));
--- a/src/admin/team_store.ts
+++ b/src/admin/team_store.ts
@@ -1,8 +1,8 @@
 /**
- * Reads and writes of one team in the key-value service. A write is one commit: the branch, its
- * place in the history and the history's head, on condition that neither branch nor head have
- * changed since they were read. The head outlives the team, so a commit that was delayed can't
- * take effect after the team was deleted and created again.
+ * Reads and writes the branch and the history of a team in the key-value service. Each write is one
+ * commit of three keys: the branch, a new history entry and the head of the history. The commit is
+ * conditional on the branch and the head being unchanged since they were read. The head survives the
+ * deletion of the team, so a delayed commit can't take effect after the team was created again.
  */
 import { Result } from "true-myth";
 import { type Clock, systemClock } from "../base/mod.ts";
@@ -27,43 +27,45 @@
 } from "../store/store.ts";
 import type { AdminFailure, CurrentVersion } from "./failures.ts";
 
-/** A team as the store has it. */
+/** State of a team in the store. */
 export interface TeamSnapshot {
   team: string;
-  /** Revision of the branch; 0: there is none. */
+  /** Store revision of the branch; 0: the team does not exist. */
   revision: bigint;
+  /** Store revision of the history's head, which every write changes; 0: never written. */
   headRevision: bigint;
-  /** Number of the last write; 0: none. */
+  /** Sequence number of the last write to the team; 0: never written. */
   number: number;
-  /** Who wrote last, deletes included. */
+  /** Metadata of the last write, deletions included. */
   lastWrite: WriteMark | undefined;
-  /** The envelope; undefined also where it can't be read. */
+  /** Decoded branch value; undefined if there is none or it can't be decoded. */
   stored: StoredBranch | undefined;
 }
 
-/** A kept version of a team. */
-export interface KeptVersion {
+/** A version in a team's history. */
+export interface HistoryVersion {
   revision: bigint;
   stored: StoredBranch;
 }
 
-/** What to write. */
+/** A write to a team. */
 export interface TeamChange {
+  /** Snapshot that the write is conditional on. */
   before: TeamSnapshot;
-  /** Undefined: delete the team. */
+  /** The new branch; undefined deletes the team. */
   branch: unknown;
   writer: string;
   writeId: string;
-  /** True: another request may have sent the same write. */
-  mayBeRepeat: boolean;
+  /** True if an earlier request may have sent a write with the same id. */
+  mayBeRetry: boolean;
 }
 
-/** A write that is known to have taken effect. */
+/** A write that was committed. */
 export interface AcceptedWrite {
   team: string;
   revision: bigint;
-  mark: WriteMark;
-  /** The stored value; empty for a delete. */
+  metadata: WriteMark;
+  /** The stored value; empty for a deletion. */
   json: Uint8Array;
 }
 
@@ -71,102 +73,105 @@
 export interface TeamStoreOptions {
   store: KeyValueStore;
   clock?: Clock;
-  /** A read without an answer for this long has failed, in ms. */
+  /** Timeout of a read, in ms. */
   readTimeoutMs?: number;
-  /** How long a lost answer is looked for, in ms. */
-  settleMs?: number;
+  /** How long to retry a commit whose outcome is unknown, in ms. */
+  resolveTimeoutMs?: number;
 }
 
-/** Versions kept of a team, as far as they fit {@link MAX_HISTORY_BYTES}. */
-export const MAX_KEPT_VERSIONS = 20;
-/** Bound of a team's history, counted by its latest size. */
+/** Maximum number of versions in a team's history; {@link MAX_HISTORY_BYTES} may allow fewer. */
+export const MAX_HISTORY_VERSIONS = 20;
+/** Maximum size of a team's history, estimated as if each version had the size of the latest. */
 export const MAX_HISTORY_BYTES = 4_000_000;
 
 const DEFAULT_READ_TIMEOUT_MS = 1000;
-const DEFAULT_SETTLE_MS = 5000;
-/** Times a lost answer is looked for, at most. */
-const SETTLE_TRIES = 50;
-const NOTHING = new Uint8Array();
+const DEFAULT_RESOLVE_TIMEOUT_MS = 5000;
+/** Maximum number of retries of a commit whose outcome is unknown. */
+const MAX_RESOLVE_ATTEMPTS = 50;
+const EMPTY_JSON = new Uint8Array();
 
-/** Reads and writes teams. */
+/** Reads and writes teams in the key-value service. */
 export class TeamStore {
   readonly #store: KeyValueStore;
   readonly #clock: Clock;
   readonly #readTimeoutMs: number;
-  readonly #settleMs: number;
+  readonly #resolveTimeoutMs: number;
 
   private constructor(options: TeamStoreOptions) {
     this.#store = options.store;
     this.#clock = options.clock ?? systemClock;
     this.#readTimeoutMs = options.readTimeoutMs ?? DEFAULT_READ_TIMEOUT_MS;
-    this.#settleMs = options.settleMs ?? DEFAULT_SETTLE_MS;
+    this.#resolveTimeoutMs = options.resolveTimeoutMs ??
+      DEFAULT_RESOLVE_TIMEOUT_MS;
   }
 
   /**
-   * @param options The store and its deadlines.
-   * @returns Access to teams in it.
+   * @param options The store and its timeouts.
+   * @returns A team store that uses it.
    */
   static create(options: TeamStoreOptions): TeamStore {
     return new TeamStore(options);
   }
 
-  /** @returns The team as the store has it now. */
+  /** @returns The team's current state in the store. */
   async read(team: string): Promise<Result<TeamSnapshot, AdminFailure>> {
     const [branch, head] = await Promise.all([
-      this.#inTime(this.#store.get(teamKey(team))),
-      this.#inTime(this.#store.get(headKey(team))),
+      this.#withTimeout(this.#store.get(teamKey(team))),
+      this.#withTimeout(this.#store.get(headKey(team))),
     ]);
-    if (branch.isErr || head.isErr) return unavailable();
-    return Result.ok(snapshotOf(team, branch.value, head.value));
+    if (branch.isErr || head.isErr) return storeUnavailable();
+    return Result.ok(createSnapshot(team, branch.value, head.value));
   }
 
-  /** @returns The kept versions, latest first. */
-  async history(team: string): Promise<Result<KeptVersion[], AdminFailure>> {
-    const listing = await this.#inTime(this.#store.list(historyPrefix(team)));
-    if (listing.isErr) return unavailable();
-    const versions: KeptVersion[] = [];
+  /** @returns The versions in the team's history, latest first. */
+  async history(team: string): Promise<Result<HistoryVersion[], AdminFailure>> {
+    const listing = await this.#withTimeout(
+      this.#store.list(historyPrefix(team)),
+    );
+    if (listing.isErr) return storeUnavailable();
+    const versions: HistoryVersion[] = [];
     for (const { key, value, modRevision } of listing.value.entries) {
-      const stored = isHeadKey(key) ? undefined : readStored(value);
+      const stored = isHeadKey(key) ? undefined : decodeOrUndefined(value);
       if (stored) versions.push({ revision: modRevision, stored });
     }
     return Result.ok(versions.reverse());
   }
 
   /**
-   * Writes a change. When the answer is lost, the same commit is sent again until its fate is
-   * known: the condition lets it take effect at most once.
+   * Commits a change. If the outcome is unknown, sends the same commit again until the outcome is
+   * known or a timeout expires. The commit's conditions let it take effect at most once.
    *
-   * @param change What to write, and what it replaces.
-   * @returns The write, if and only if it is known to have taken effect.
+   * @param change The new branch and the snapshot that it replaces.
+   * @returns The write if it is known to have been committed, otherwise a failure.
    */
   async write(
     change: TeamChange,
   ): Promise<Result<AcceptedWrite, AdminFailure>> {
-    const prepared = prepare(change, this.#clock.wallMs());
+    const prepared = prepareCommit(change, this.#clock.wallMs());
     if (prepared.isErr) return Result.err(prepared.error);
     const commit = prepared.value;
-    const first = await this.#commit(commit);
-    if (first.isErr) {
-      if (first.error.kind !== "effect_unknown") return unavailable();
-      return await this.#settle(commit);
+    const attempt = await this.#commit(commit);
+    if (attempt.isErr) {
+      if (attempt.error.kind !== "effect_unknown") return storeUnavailable();
+      return await this.#resolve(commit);
     }
-    if (first.value.kind === "committed") {
-      return Result.ok(acceptedAt(commit, first.value.revision));
+    if (attempt.value.kind === "committed") {
+      return Result.ok(toAcceptedWrite(commit, attempt.value.revision));
     }
-    if (change.mayBeRepeat) return await this.#settle(commit);
-    const now = currentSnapshot(commit, first.value.current);
-    return Result.err({ kind: "conflict", current: currentOf(now) });
+    if (change.mayBeRetry) return await this.#resolve(commit);
+    const state = createConflictSnapshot(commit, attempt.value.current);
+    return Result.err({ kind: "conflict", current: toCurrentVersion(state) });
   }
 
-  async #settle(commit: Commit): Promise<Result<AcceptedWrite, AdminFailure>> {
-    const untilMs = this.#clock.nowMs() + this.#settleMs;
+  async #resolve(commit: Commit): Promise<Result<AcceptedWrite, AdminFailure>> {
+    const untilMs = this.#clock.nowMs() + this.#resolveTimeoutMs;
     while (this.#clock.nowMs() < untilMs) {
-      const again = await this.#commit(commit);
-      const fate = again.isOk && await this.#fateOf(commit, again.value);
-      if (fate) return fate;
-      await this.#clock.sleep(this.#settleMs / SETTLE_TRIES);
+      const retry = await this.#commit(commit);
+      const result = retry.isOk && await this.#classify(commit, retry.value);
+      if (result) return result;
+      await this.#clock.sleep(this.#resolveTimeoutMs / MAX_RESOLVE_ATTEMPTS);
     }
-    return unknown(commit);
+    return unresolved(commit);
   }
 
   #commit(commit: Commit): Promise<Result<CommitOutcome, StoreFailure>> {
@@ -177,158 +182,166 @@
     ], commit.writes);
   }
 
-  /** Tells apart who won: another writer, or an earlier copy of this commit. */
-  async #fateOf(
+  /**
+   * Decides whether the commit took effect. After a conflict, the current value was written either
+   * by an earlier attempt of this commit or by another writer.
+   */
+  async #classify(
     commit: Commit,
     outcome: CommitOutcome,
   ): Promise<Result<AcceptedWrite, AdminFailure> | undefined> {
     if (outcome.kind === "committed") {
-      return Result.ok(acceptedAt(commit, outcome.revision));
+      return Result.ok(toAcceptedWrite(commit, outcome.revision));
     }
-    const now = currentSnapshot(commit, outcome.current);
-    if (now.lastWrite?.writeId === commit.mark.writeId) {
-      return Result.ok(acceptedAt(commit, now.headRevision));
+    const current = createConflictSnapshot(commit, outcome.current);
+    if (current.lastWrite?.writeId === commit.metadata.writeId) {
+      return Result.ok(toAcceptedWrite(commit, current.headRevision));
     }
-    const lost: Result<AcceptedWrite, AdminFailure> = Result.err({
+    const conflict: Result<AcceptedWrite, AdminFailure> = Result.err({
       kind: "conflict",
-      current: currentOf(now),
+      current: toCurrentVersion(current),
     });
-    if (now.number <= commit.mark.number) return lost;
-    const below = await this.#findInHistory(commit);
-    return below && (below.kind === "own" ? Result.ok(below.accepted) : lost);
+    if (current.number <= commit.metadata.number) return conflict;
+    const entry = await this.#findInHistory(commit);
+    return entry &&
+      (entry.kind === "own" ? Result.ok(entry.accepted) : conflict);
   }
 
-  /** More writes are on top; whose had this number? Undefined: can't be told now. */
+  /** Finds who made the write with the commit's number; undefined if the entry can't be read. */
   async #findInHistory(commit: Commit): Promise<
     { kind: "own"; accepted: AcceptedWrite } | { kind: "other" } | undefined
   > {
-    const key = historyKey(commit.before.team, commit.mark.number);
-    const found = await this.#inTime(this.#store.get(key));
+    const key = historyKey(commit.before.team, commit.metadata.number);
+    const found = await this.#withTimeout(this.#store.get(key));
     if (found.isErr || !found.value) return undefined;
     const { value, modRevision } = found.value;
-    if (readStored(value)?.writeId !== commit.mark.writeId) {
+    if (decodeOrUndefined(value)?.writeId !== commit.metadata.writeId) {
       return { kind: "other" };
     }
-    return { kind: "own", accepted: acceptedAt(commit, modRevision) };
+    return { kind: "own", accepted: toAcceptedWrite(commit, modRevision) };
   }
 
-  async #inTime<T>(
+  async #withTimeout<T>(
     call: Promise<Result<T, StoreFailure>>,
   ): Promise<Result<T, StoreFailure>> {
     const stop = new AbortController();
     const late = this.#clock.sleep(this.#readTimeoutMs, stop.signal).then(() =>
-      Result.err<T, StoreFailure>({ kind: "unavailable", message: "Too late" })
+      Result.err<T, StoreFailure>({ kind: "unavailable", message: "Timed out" })
     );
-    const answer = await Promise.race([call, late]);
+    const result = await Promise.race([call, late]);
     stop.abort();
-    return answer;
+    return result;
   }
 }
 
 /**
- * @param snapshot A team.
- * @returns What a caller whose write lost is told.
+ * @param snapshot State of a team.
+ * @returns The current version, as reported to the caller of a write that conflicts with it.
  */
-export function currentOf(snapshot: TeamSnapshot): CurrentVersion {
-  const deleted = snapshot.revision === 0n;
-  const revision = deleted ? snapshot.headRevision : snapshot.revision;
+export function toCurrentVersion(snapshot: TeamSnapshot): CurrentVersion {
+  const isDeleted = snapshot.revision === 0n;
+  const revision = isDeleted ? snapshot.headRevision : snapshot.revision;
   return {
     version: Number(revision),
     writer: snapshot.lastWrite?.writer ?? "",
     writtenAtMs: snapshot.lastWrite?.writtenAtMs ?? 0,
-    deleted: deleted && revision > 0n,
+    deleted: isDeleted && revision > 0n,
   };
 }
 
-/** A commit that can be sent more than once. */
+/** A commit that can be sent repeatedly and takes effect at most once. */
 interface Commit {
   before: TeamSnapshot;
-  mark: WriteMark;
+  metadata: WriteMark;
   json: Uint8Array;
   writes: Write[];
 }
 
-function prepare(
+function prepareCommit(
   change: TeamChange,
   writtenAtMs: number,
 ): Result<Commit, AdminFailure> {
   const { before, branch, writer, writeId } = change;
   const { team } = before;
-  const mark = { writeId, writer, writtenAtMs, number: before.number + 1 };
-  const version = encodeStored({ ...mark, branch });
+  const metadata = { writeId, writer, writtenAtMs, number: before.number + 1 };
+  const version = encodeStored({ ...metadata, branch });
   const sizeBytes = version.length;
   if (sizeBytes > MAX_STORED_BYTES) {
     const maxBytes = MAX_STORED_BYTES;
     return Result.err({ kind: "too_large", sizeBytes, maxBytes });
   }
   const key = teamKey(team);
-  const head = encodeStored(mark);
+  const head = encodeStored(metadata);
   const writes: Write[] = [
     branch === undefined
       ? { kind: "delete", key }
       : { kind: "put", key, value: version },
     {
       kind: "put",
-      key: historyKey(team, mark.number),
+      key: historyKey(team, metadata.number),
       value: version,
     },
     { kind: "put", key: headKey(team), value: head },
-    ...pruning(team, mark.number, sizeBytes),
+    ...pruneWrites(team, metadata.number, sizeBytes),
   ];
-  const json = branch === undefined ? NOTHING : version;
-  return Result.ok({ before, mark, json, writes });
+  const json = branch === undefined ? EMPTY_JSON : version;
+  return Result.ok({ before, metadata, json, writes });
 }
 
-/** Deletes versions beyond those that are kept. */
-function pruning(team: string, number: number, sizeBytes: number): Write[] {
-  const fitting = Math.floor(MAX_HISTORY_BYTES / sizeBytes);
-  const kept = Math.min(MAX_KEPT_VERSIONS, fitting);
-  const oldest = number - kept + 1;
+/** Returns the writes that delete versions beyond the limits of the history. */
+function pruneWrites(team: string, number: number, sizeBytes: number): Write[] {
+  const maxFitting = Math.floor(MAX_HISTORY_BYTES / sizeBytes);
+  const retained = Math.min(MAX_HISTORY_VERSIONS, maxFitting);
+  const oldest = number - retained + 1;
   if (oldest <= 1) return [];
   const from = historyKey(team, 0);
   return [{ kind: "delete_range", from, to: historyKey(team, oldest) }];
 }
 
-function snapshotOf(
+function createSnapshot(
   team: string,
   branch: KeyValueEntry | undefined,
   head: KeyValueEntry | undefined,
 ): TeamSnapshot {
-  const stored = branch && readStored(branch.value);
-  const headMark = head && readStored(head.value);
-  const lastWrite = headMark ?? stored;
+  const stored = branch && decodeOrUndefined(branch.value);
+  const headMetadata = head && decodeOrUndefined(head.value);
+  const lastWrite = headMetadata ?? stored;
   return {
     team,
     revision: branch?.modRevision ?? 0n,
     headRevision: head?.modRevision ?? 0n,
-    number: Math.max(headMark?.number ?? 0, stored?.number ?? 0),
+    number: Math.max(headMetadata?.number ?? 0, stored?.number ?? 0),
     lastWrite,
     stored,
   };
 }
 
-function currentSnapshot(
+function createConflictSnapshot(
   { before: { team } }: Commit,
   current: KeyValueEntry[],
 ): TeamSnapshot {
   const find = (key: string) => current.find((entry) => entry.key === key);
-  return snapshotOf(team, find(teamKey(team)), find(headKey(team)));
+  return createSnapshot(team, find(teamKey(team)), find(headKey(team)));
 }
 
-function readStored(value: Uint8Array): StoredBranch | undefined {
+function decodeOrUndefined(value: Uint8Array): StoredBranch | undefined {
   return decodeStored(value).unwrapOr(undefined as StoredBranch | undefined);
 }
 
-function acceptedAt(commit: Commit, revision: bigint): AcceptedWrite {
-  const { before, mark, json } = commit;
-  return { team: before.team, revision, mark, json };
+function toAcceptedWrite(commit: Commit, revision: bigint): AcceptedWrite {
+  const { before, metadata, json } = commit;
+  return { team: before.team, revision, metadata, json };
 }
 
-function unavailable<T>(): Result<T, AdminFailure> {
+function storeUnavailable<T>(): Result<T, AdminFailure> {
   return Result.err({ kind: "store_unavailable" });
 }
 
-function unknown<T>({ before, mark }: Commit): Result<T, AdminFailure> {
+function unresolved<T>({ before, metadata }: Commit): Result<T, AdminFailure> {
   const { team } = before;
-  return Result.err({ kind: "outcome_unknown", team, writeId: mark.writeId });
+  return Result.err({
+    kind: "outcome_unknown",
+    team,
+    writeId: metadata.writeId,
+  });
 }
