--- a/src/admin/cli_test.ts
+++ b/src/admin/cli_test.ts
@@ -38,7 +38,7 @@
   return result;
 }
 
-test("a team's life from the shell", async (context) => {
+test("the commands create, change, show and delete a team", async (context) => {
   const cluster = await startTestCluster(1);
   context.after(cluster.close);
   const url = cluster.nodes[0]?.url ?? "";
@@ -68,7 +68,7 @@
   await good("delete", "007", "--if-match", `${replaced.version}`);
 });
 
-test("a refusal exits with 1, and says why", async (context) => {
+test("a rejected request exits with 1 and prints the reason", async (context) => {
   const cluster = await startTestCluster(1);
   context.after(cluster.close);
   const url = cluster.nodes[0]?.url ?? "";
@@ -85,7 +85,7 @@
   assert.equal(JSON.parse(gone.problem).kind, "unreachable");
 });
 
-test("wrong usage exits with 2", async () => {
+test("invalid usage exits with 2", async () => {
   const { status } = await runCommand("", ["list"]);
   assert.equal(status, ADMIN_EXIT.WrongUsage);
   await assert.rejects(runCommand("http://127.0.0.1:1", ["replace", "a"]));
--- a/src/admin/client.ts
+++ b/src/admin/client.ts
@@ -186,27 +186,27 @@
     return this.#send({ method: "POST", path });
   }
 
-  /** Sends a write and retries it if its outcome is unknown; the API applies a write id only once. */
+  /** Sends a write, with retries while its outcome is unknown; the API applies a write id once. */
   async #sendWrite(call: ApiRequest): ClientResult<WriteReceipt> {
-    const recognisable = { ...call, writeId: randomUUID() };
-    for (let repeat = 0;; repeat++) {
-      const answer = await this.#send<WriteReceipt>(recognisable);
-      const lost = answer.isErr && answer.error.kind === "unknown";
-      if (!lost || repeat === MAX_RETRIES) return answer;
+    const requestWithId = { ...call, writeId: randomUUID() };
+    for (let retry = 0;; retry++) {
+      const response = await this.#send<WriteReceipt>(requestWithId);
+      const isUnknown = response.isErr && response.error.kind === "unknown";
+      if (!isUnknown || retry === MAX_RETRIES) return response;
     }
   }
 
   async #send<T>(call: ApiRequest): ClientResult<T> {
     const { url } = this.#options;
     try {
-      const answer = await request(new URL(call.path, url), {
+      const response = await request(new URL(call.path, url), {
         method: call.method,
         headers: this.#buildHeaders(call),
         body: call.body === undefined ? null : JSON.stringify(call.body),
         dispatcher: this.#dispatcher,
       });
-      const text = await answer.body.text();
-      return parseResponse(answer.statusCode, text, call.writeId ?? "");
+      const text = await response.body.text();
+      return parseResponse(response.statusCode, text, call.writeId ?? "");
     } catch (error) {
       return Result.err(toFailure(error, call));
     }
@@ -241,15 +241,15 @@
   return Result.err({ kind: "unknown", message, writeId: reportedWriteId });
 }
 
-function toFailure(error: unknown, apiRequest: ApiRequest): AdminClientFailure {
+function toFailure(error: unknown, call: ApiRequest): AdminClientFailure {
   const code = getErrorCode(error);
   const message = error instanceof Error && error.message !== ""
     ? error.message
     : code;
-  if (NOT_SENT_CODES.has(code) || apiRequest.method === "GET") {
+  if (NOT_SENT_CODES.has(code) || call.method === "GET") {
     return { kind: "unreachable", message };
   }
-  return { kind: "unknown", message, writeId: apiRequest.writeId ?? "" };
+  return { kind: "unknown", message, writeId: call.writeId ?? "" };
 }
 
 function getErrorCode(error: unknown): string {
--- a/src/admin/commands.ts
+++ b/src/admin/commands.ts
@@ -174,17 +174,17 @@
     context: WriteContext,
     compose: ComposeBranch,
   ): WriteOutcome {
-    for (let race = 1;; race++) {
+    for (let attempt = 1;; attempt++) {
       const before = await this.#options.teams.read(team);
       if (before.isErr) return Result.err(before.error);
       const earlier = await this.#findEarlierWrite(before.value, context);
       if (earlier.isErr) return Result.err(earlier.error);
       if (earlier.value) return Result.ok(earlier.value);
       const outcome = await this.#attemptWrite(before.value, compose, context);
-      const lost = outcome.isErr && outcome.error.kind === "conflict";
-      const again = lost && context.ifMatch === undefined &&
-        race < MAX_WRITE_ATTEMPTS;
-      if (!again || isFinalOutcome(before.value, outcome)) return outcome;
+      const isConflict = outcome.isErr && outcome.error.kind === "conflict";
+      const mayRetry = isConflict && context.ifMatch === undefined &&
+        attempt < MAX_WRITE_ATTEMPTS;
+      if (!mayRetry || isFinalOutcome(before.value, outcome)) return outcome;
     }
   }
 
@@ -250,7 +250,7 @@
   return Promise.resolve(Result.err(failure));
 }
 
-/** Returns false if a concurrent write caused a conflict; a retry can't resolve any other failure. */
+/** False if a concurrent write caused a conflict; a retry does not help in any other case. */
 function isFinalOutcome(
   before: TeamSnapshot,
   outcome: Result<AcceptedWrite, AdminFailure>,
--- a/src/admin/fuzz_test.ts
+++ b/src/admin/fuzz_test.ts
@@ -101,7 +101,7 @@
     case "delete":
       return commands.delete(team, context);
     case "roll_forward": {
-      const earlier = harness.commits.find((taken) => taken.team === team);
+      const earlier = harness.commits.find((commit) => commit.team === team);
       const version = earlier?.revision ?? 1n;
       return commands.rollForward(team, version, context);
     }
@@ -200,12 +200,12 @@
       return prefix === TEAMS_PREFIX ? Promise.resolve(old) : list(prefix);
     };
   }),
-  step("wait", fc.integer({ min: 1, max: 30 }), async (_world, ms) => {
+  step("wait", fc.integer({ min: 1, max: 30 }), async (_harness, ms) => {
     await systemClock.sleep(ms);
   }),
 ];
 
-test("accepted is kept, refused never was, nothing reverts", async () => {
+test("accepted writes persist, refused writes have no effect, and no branch reverts", async () => {
   const counts = { accepted: 0, refused: 0, unknown: 0 };
   const property = fc.asyncProperty(
     fc.integer(),
--- a/src/admin/json_pointer_test.ts
+++ b/src/admin/json_pointer_test.ts
@@ -6,7 +6,7 @@
 const REMOVE: Edit = { kind: "remove" };
 const DOCUMENT = { "a/b": { "c~d": 1 }, list: [1, 2] };
 
-test("a place is set, appended, removed", () => {
+test("a value is set, appended or removed", () => {
   const cases: [string, Edit, unknown][] = [
     ["/a~1b/c~0d", set(2), { ...DOCUMENT, "a/b": { "c~d": 2 } }],
     ["/new", set({}), { ...DOCUMENT, new: {} }],
@@ -22,7 +22,7 @@
   assert.deepEqual(DOCUMENT.list, [1, 2]);
 });
 
-test("a pointer to nowhere is refused", () => {
+test("a pointer that does not resolve is rejected", () => {
   for (
     const pointer of ["", "list", "/none/x", "/list/2", "/list/01", "/list/0/x"]
   ) {
@@ -32,7 +32,7 @@
   assert(applyEdit(DOCUMENT, "/list/length", REMOVE).isErr);
 });
 
-test("the prototype is out of reach", () => {
+test("an edit of __proto__ does not change the prototype", () => {
   const edited = applyEdit({}, "/__proto__", set({ polluted: true }));
   assert.equal(Reflect.get({}, "polluted"), undefined);
   const document = edited.unwrapOr({});
--- a/src/admin/openapi_test.ts
+++ b/src/admin/openapi_test.ts
@@ -3,7 +3,7 @@
 import { OPENAPI_DOCUMENT } from "./openapi.ts";
 import { ADMIN_ROUTES } from "./routes.ts";
 
-test("the document has the routes, and no others", () => {
+test("the document describes exactly the served routes", () => {
   const documented = Object.entries(OPENAPI_DOCUMENT.paths).flatMap(
     ([path, item]) =>
       Object.keys(item).map((method) => `${method.toUpperCase()} ${path}`),
@@ -34,7 +34,7 @@
   }
 });
 
-test("every reference leads somewhere", () => {
+test("every schema reference resolves", () => {
   const text = JSON.stringify(OPENAPI_DOCUMENT);
   for (const [, name] of text.matchAll(/#\/components\/schemas\/(\w+)/g)) {
     assert(name && name in OPENAPI_DOCUMENT.components.schemas, name);
--- a/src/admin/queries.ts
+++ b/src/admin/queries.ts
@@ -27,7 +27,7 @@
 /** A team in a {@link TeamList}. */
 export interface TeamSummary extends VersionSummary {
   team: string;
-  /** False if this process can't read the version; an earlier version then stays in force here. */
+  /** False if a newer process wrote it in an unknown format; an earlier version stays in force. */
   inForceHere: boolean;
 }
 
@@ -128,7 +128,7 @@
     return { teams, ageMs, complete: sync.knowsAllTeams };
   }
 
-  /** @returns A branch from the store, or the one in memory if the store is unreachable or stale. */
+  /** @returns The branch from the store, or from memory if the store is unreachable or stale. */
   async show(team: string): Promise<Result<TeamView, AdminFailure>> {
     const { teams, branches } = this.#options;
     const snapshot = await teams.read(team);
@@ -230,15 +230,15 @@
     version: bigint,
   ): Promise<void> {
     const { sync } = this.#options;
-    const lacking = sync.peerAddresses.filter((address) =>
+    const laggingPeers = sync.peerAddresses.filter((address) =>
       this.#peerStatus(address, team, version) !== "yes"
     );
     for (
       let from = 0;
-      from < lacking.length;
+      from < laggingPeers.length;
       from += MAX_CONCURRENT_EXCHANGES
     ) {
-      const batch = lacking.slice(from, from + MAX_CONCURRENT_EXCHANGES);
+      const batch = laggingPeers.slice(from, from + MAX_CONCURRENT_EXCHANGES);
       await Promise.all(batch.map((address) => sync.exchangeWith(address)));
     }
   }
--- a/src/admin/server_test.ts
+++ b/src/admin/server_test.ts
@@ -39,7 +39,7 @@
   classes: { desk: { ...BRANCH.classes.desk, deadlineMs } },
 });
 
-test("create, show, replace, delete, create again", () =>
+test("a team is created, shown, replaced, deleted and created again", () =>
   withTestCluster(1, async ({ nodes: [node] }) => {
     assert(node);
     const { client } = node;
@@ -61,7 +61,7 @@
     assert.equal(node.branches.get("a")?.revision, BigInt(back.version));
   }));
 
-test("no key, no answer", () =>
+test("requests without a valid key are rejected with 401", () =>
   withTestCluster(1, async ({ nodes: [node] }) => {
     const url = `${node?.url}/admin/v1/teams`;
     for (const key of ["", "Bearer ", "Bearer wrong", ADMIN_KEY]) {
@@ -74,7 +74,7 @@
     await unknown.body?.cancel();
   }));
 
-test("an unknown path is refused by name", () =>
+test("an unknown path is rejected with route_not_found", () =>
   withTestCluster(1, async ({ nodes: [node] }) => {
     const answer = await fetch(`${node?.url}/admin/v1/team`, {
       headers: { authorization: `Bearer ${ADMIN_KEY}` },
@@ -84,7 +84,7 @@
     assert.equal(error.code, "route_not_found");
   }));
 
-test("all problems come at once", () =>
+test("all problems of an invalid branch are reported together", () =>
   withTestCluster(1, async ({ nodes: [node] }) => {
     assert(node);
     const wrong = {
@@ -102,7 +102,7 @@
     assert.equal(unwrapRefusal(await node.client.show("a")).status, 404);
   }));
 
-test("a race is lost with the version that won", () =>
+test("a conflicting write is rejected with the current version", () =>
   withTestCluster(2, async ({ nodes: [one, two] }) => {
     assert(one && two);
     const { version } = unwrapValue(await one.client.create("a", BRANCH));
@@ -120,7 +120,7 @@
     assert.equal(error.current?.writer, receipt?.writer);
   }));
 
-test("replace and delete need the version", () =>
+test("a delete without If-Match is rejected", () =>
   withTestCluster(1, async ({ nodes: [node] }) => {
     assert(node);
     unwrapValue(await node.client.create("a", BRANCH));
@@ -132,7 +132,7 @@
     await answer.body?.cancel();
   }));
 
-test("a patch changes one place, racing patches both count", () =>
+test("a patch changes one value, and concurrent patches both take effect", () =>
   withTestCluster(2, async ({ nodes: [one, two] }) => {
     assert(one && two);
     unwrapValue(await one.client.create("a", BRANCH));
@@ -151,7 +151,7 @@
     assert.equal(wrong.error.param, "path");
   }));
 
-test("a lost answer is settled as accepted", () =>
+test("a write whose response or request was lost is retried and accepted", () =>
   withTestCluster(1, async ({ nodes: [node], store }) => {
     assert(node);
     store.faults.loseNextAnswer = true;
@@ -167,7 +167,7 @@
     );
   }));
 
-test("a lost answer under a later write is found in the history", () =>
+test("a write whose response was lost before a later write is found in the history", () =>
   withTestCluster(2, async ({ nodes: [one, two], store }) => {
     assert(one && two);
     const { version } = unwrapValue(await one.client.create("a", BRANCH));
@@ -190,7 +190,7 @@
     assert.equal(top?.writer, "node-1");
   }));
 
-test("a write that can't be settled is unknown, with its id", () =>
+test("a write whose outcome can't be determined is reported as unknown with its id", () =>
   withTestCluster(1, async ({ nodes: [node], store }) => {
     assert(node);
     const { version } = unwrapValue(await node.client.create("a", BRANCH));
@@ -219,7 +219,7 @@
     assert.equal(versions[0]?.writeId, error.writeId);
   }));
 
-test("a repeated request is done once", () =>
+test("a repeated request takes effect once", () =>
   withTestCluster(1, async ({ nodes: [node] }) => {
     assert(node);
     const headers = {
@@ -234,7 +234,7 @@
     assert.equal(second.version, first.version);
   }));
 
-test("in an outage writes are refused, reads have an age", () =>
+test("during a store outage writes are rejected and reads are served from memory", () =>
   withTestCluster(1, async ({ nodes: [node], store }) => {
     assert(node);
     const { version } = unwrapValue(await node.client.create("a", BRANCH));
@@ -250,7 +250,7 @@
     assert.deepEqual(listed.teams.map(({ team }) => team), ["a"]);
   }));
 
-test("history is bounded, an earlier version rolls forward", () =>
+test("the history is bounded, and an earlier version can be rolled forward", () =>
   withTestCluster(1, async ({ nodes: [node], store }) => {
     assert(node);
     let { version } = unwrapValue(await node.client.create("a", BRANCH));
@@ -275,7 +275,7 @@
     assert.equal(lost.error.code, "version_not_found");
   }));
 
-test("a branch in a newer format is not damaged", () =>
+test("a branch in a newer format is not overwritten", () =>
   withTestCluster(1, async ({ nodes: [node], store }) => {
     assert(node);
     const { version } = unwrapValue(await node.client.create("a", BRANCH));
@@ -307,7 +307,7 @@
     assert.deepEqual(Buffer.from(store.table.get(key)?.value ?? []), bytes);
   }));
 
-test("a change of one team changes no other", () =>
+test("a change of one team does not affect other teams", () =>
   withTestCluster(2, async ({ nodes: [one, two], store }) => {
     assert(one && two);
     unwrapValue(await one.client.create("a", BRANCH));
@@ -327,7 +327,7 @@
     assert(!changed.includes("b"));
   }));
 
-test("a new key is shown once and kept as a hash", () =>
+test("a new key is returned once and stored as a hash", () =>
   withTestCluster(1, async ({ nodes: [node], store }) => {
     assert(node);
     unwrapValue(await node.client.create("a", BRANCH));
@@ -343,7 +343,7 @@
     assert.equal(wrong.error.code, "workspace_not_found");
   }));
 
-test("in-force waits for every entry, and names who lacks it", () =>
+test("in-force waits for all entries and reports those without the version", () =>
   withTestCluster(3, async ({ nodes: [one, two, three], fleet }) => {
     assert(one && two && three);
     three.store.open = false;
--- a/src/admin/team_store.ts
+++ b/src/admin/team_store.ts
@@ -1,8 +1,8 @@
 /**
  * Reads and writes the branch and the history of a team in the key-value service. Each write is one
  * commit of three keys: the branch, a new history entry and the head of the history. The commit is
- * conditional on the branch and the head being unchanged since they were read. The head survives the
- * deletion of the team, so a delayed commit can't take effect after the team was created again.
+ * conditional on the branch and the head being unchanged since they were read. The head survives
+ * the deletion of the team, so a delayed commit can't take effect after the team was created again.
  */
 import { Result } from "true-myth";
 import { type Clock, systemClock } from "../base/mod.ts";
