--- a/src/e2e/_child.ts
+++ b/src/e2e/_child.ts
@@ -1,39 +1,40 @@
-/** Programs of this package as processes of their own, for tests and benchmarks. */
+/** Runs programs of this package as child processes, for tests and benchmarks. */
 import { type ChildProcess, spawn } from "node:child_process";
 import { once } from "node:events";
 import { readFileSync } from "node:fs";
 import { createInterface } from "node:readline";
 import { fileURLToPath } from "node:url";
 
-const START_MS = 30_000;
-const STOP_MS = 30_000;
+const START_TIMEOUT_MS = 30_000;
+const STOP_TIMEOUT_MS = 30_000;
 const MAX_LOG_LINES = 200;
 const CLOCK_TICKS_PER_SECOND = 100;
 const USER_TICKS_FIELD = 11;
 const SYSTEM_TICKS_FIELD = 12;
 
-/** What to start. */
+/** Options of a child process. */
 export interface ProgramOptions {
-  /** File below `src` without its ending, such as `cli/main`. */
+  /** File below `src` without its extension, such as `cli/main`. */
   program: string;
   args: string[];
+  /** Additional environment variables. */
   variables?: Record<string, string>;
 }
 
-/** How a process ended. */
-export interface Ending {
+/** Exit status of a process. */
+export interface ExitStatus {
   code: number | null;
   signal: NodeJS.Signals | null;
 }
 
-/** A process that did not do what it should. */
+/** A child process failed to start or to respond. */
 export class ChildError extends Error {}
 
 /** A program that runs as a child process. */
 export class Child {
   readonly #process: ChildProcess;
   readonly #log: string[] = [];
-  readonly exited: Promise<Ending>;
+  readonly exited: Promise<ExitStatus>;
   #firstLine: Promise<string>;
 
   private constructor(child: ChildProcess) {
@@ -52,8 +53,8 @@
   }
 
   /**
-   * @param options What to start; from TypeScript or the build, as this file itself runs.
-   * @returns The process, not waited for.
+   * @param options Program to start; runs from TypeScript if this file does, else from the build.
+   * @returns The process, which may not be ready yet.
    */
   static create(options: ProgramOptions): Child {
     const env = { ...process.env, ...options.variables };
@@ -65,7 +66,7 @@
     );
   }
 
-  /** The last lines of its standard error. */
+  /** Last lines of standard error. */
   get log(): string {
     return this.#log.join("\n");
   }
@@ -75,36 +76,41 @@
     return this.#process.pid!;
   }
 
-  /** @returns The JSON of its first line on standard output. */
+  /** @returns Parsed JSON of the first line on standard output, which a program prints once ready. */
   async started<T>(): Promise<T> {
-    const gone = this.exited.then(({ code }) => {
-      throw new ChildError(`Ended on start with ${code}: ${this.log}`);
+    const exit = this.exited.then(({ code }) => {
+      throw new ChildError(
+        `Process exited during startup with code ${code}: ${this.log}`,
+      );
     });
-    const late = rejectAfter(START_MS, () => `No start: ${this.log}`);
-    const line = await Promise.race([this.#firstLine, gone, late.promise])
-      .finally(late.cancel);
+    const timeout = rejectAfter(
+      START_TIMEOUT_MS,
+      () => `Process did not start in time: ${this.log}`,
+    );
+    const line = await Promise.race([this.#firstLine, exit, timeout.promise])
+      .finally(timeout.cancel);
     return JSON.parse(line);
   }
 
-  /** @param signal Sent to this process alone. */
+  /** @param signal Signal that is sent to this process only, not to its children. */
   kill(signal: NodeJS.Signals): void {
     this.#process.kill(signal);
   }
 
-  /** @returns How it ended after SIGTERM; killed where it takes too long. */
-  async stop(): Promise<Ending> {
+  /** @returns Exit status after SIGTERM, or after SIGKILL if the process does not stop in time. */
+  async stop(): Promise<ExitStatus> {
     this.kill("SIGTERM");
-    const timer = setTimeout(() => this.kill("SIGKILL"), STOP_MS);
+    const timer = setTimeout(() => this.kill("SIGKILL"), STOP_TIMEOUT_MS);
     return await this.exited.finally(() => clearTimeout(timer));
   }
 
-  /** Ends it at once, if it still runs. */
+  /** Kills the process, if it still runs, and waits for its exit. */
   async close(): Promise<void> {
     this.kill("SIGKILL");
     await this.exited;
   }
 
-  /** @returns Processor time so far, in seconds. */
+  /** @returns User and system CPU time so far, in seconds. */
   cpuSeconds(): number {
     const stat = readFileSync(`/proc/${this.pid}/stat`, "utf8");
     const fields = stat.slice(stat.lastIndexOf(")") + 2).split(" ");
@@ -122,8 +128,8 @@
 
 function programArgs(program: string): string[] {
   const isBuilt = import.meta.url.endsWith(".js");
-  const ending = isBuilt ? "js" : "ts";
-  const url = new URL(`../${program}.${ending}`, import.meta.url);
+  const extension = isBuilt ? "js" : "ts";
+  const url = new URL(`../${program}.${extension}`, import.meta.url);
   const path = fileURLToPath(url);
   return isBuilt ? [path] : ["--import", "tsx", path];
 }
--- a/src/e2e/_client.ts
+++ b/src/e2e/_client.ts
@@ -1,4 +1,4 @@
-/** A caller: chat requests whose whole answer is known beforehand. */
+/** Client for chat requests, whose expected answers are known in advance. */
 import { SAMPLE_MODEL } from "../cli/sample_team.ts";
 import { expectedAnswerTo } from "../standin/mod.ts";
 import type { Fleet, RunningEntry } from "./_fleet.ts";
@@ -6,20 +6,21 @@
 const DATA = "data: ";
 const DONE = "[DONE]";
 
-/** A chat request's body. */
+/** Body of a chat completion request. */
 export interface ChatBody extends Record<string, unknown> {
   model: string;
   messages: { role: "user"; content: string }[];
   max_tokens: number;
 }
 
-/** What a stream gave. */
-export interface Reading {
+/** Outcome of a streamed call. */
+export interface StreamResult {
   text: string;
-  /** True: it ended with `[DONE]`. */
+  /** True if the stream ended with `[DONE]`. */
   isDone: boolean;
+  /** Number of events received, including `[DONE]`. */
   events: number;
-  /** The error event, or why the connection broke. */
+  /** Error event, or the error that ended the connection. */
   error: unknown;
 }
 
@@ -35,20 +36,20 @@
 
 /**
  * @param content The prompt.
- * @param maxTokens Length of the answer.
- * @returns The body.
+ * @param maxTokens Length of the answer in tokens.
+ * @returns Body of a chat completion request.
  */
 export function chatBody(content: string, maxTokens = 16): ChatBody {
   const messages = [{ role: "user" as const, content }];
   return { model: SAMPLE_MODEL, messages, max_tokens: maxTokens };
 }
 
-/** @returns The exact text that the stand-in engine answers. */
+/** @returns The exact text with which the stand-in engine answers. */
 export function answerTo(body: ChatBody): string {
   return expectedAnswerTo("chat", body);
 }
 
-/** Callers of one fleet. */
+/** Client of one fleet. */
 export class Client {
   readonly #fleet: Fleet;
 
@@ -56,12 +57,12 @@
     this.#fleet = fleet;
   }
 
-  /** @param fleet Whose caller key is used. */
+  /** @param fleet Fleet whose caller key is used. */
   static create(fleet: Fleet): Client {
     return new Client(fleet);
   }
 
-  /** @returns The answer's text and usage. */
+  /** @returns Text and token usage of a non-streaming answer. */
   async whole(
     entry: RunningEntry,
     body: ChatBody,
@@ -76,19 +77,19 @@
   /**
    * Reads a streamed answer.
    *
-   * @param entry Where to.
-   * @param body The request.
-   * @param onEvent Called after each event with its number, from 1.
-   * @returns What came.
+   * @param entry Entry that is called.
+   * @param body Request body; `stream` is added.
+   * @param onEvent Called after each event with its number, starting at 1.
+   * @returns Outcome of the call.
    */
   async stream(
     entry: RunningEntry,
     body: ChatBody,
     { onEvent }: { onEvent?: (number: number) => void } = {},
-  ): Promise<Reading> {
+  ): Promise<StreamResult> {
     const response = await this.post(entry, { ...body, stream: true });
     if (response.status !== 200) throw new Error(await response.text());
-    const reading: Reading = {
+    const result: StreamResult = {
       text: "",
       isDone: false,
       events: 0,
@@ -96,17 +97,17 @@
     };
     try {
       for await (const data of readEvents(response)) {
-        reading.events += 1;
-        takeEvent(reading, data);
-        onEvent?.(reading.events);
+        result.events += 1;
+        applyEvent(result, data);
+        onEvent?.(result.events);
       }
     } catch (error) {
-      reading.error ??= error;
+      result.error ??= error;
     }
-    return reading;
+    return result;
   }
 
-  /** @returns The response, unread. */
+  /** @returns Response whose body has not been read. */
   async post(
     entry: RunningEntry,
     body: Record<string, unknown>,
@@ -119,25 +120,25 @@
   }
 }
 
-function takeEvent(reading: Reading, data: string): void {
+function applyEvent(result: StreamResult, data: string): void {
   if (data === DONE) {
-    reading.isDone = true;
+    result.isDone = true;
     return;
   }
   const event: ChatEvent = JSON.parse(data);
-  reading.error ??= event.error;
+  result.error ??= event.error;
   for (const { delta } of event.choices ?? []) {
-    reading.text += delta?.content ?? "";
+    result.text += delta?.content ?? "";
   }
 }
 
 async function* readEvents(response: Response): AsyncGenerator<string> {
-  let rest = "";
+  let buffered = "";
   const decoder = new TextDecoder();
   for await (const chunk of response.body!) {
-    rest += decoder.decode(chunk, { stream: true });
-    const events = rest.split("\n\n");
-    rest = events.pop() ?? "";
+    buffered += decoder.decode(chunk, { stream: true });
+    const events = buffered.split("\n\n");
+    buffered = events.pop() ?? "";
     for (const line of events.flatMap((event) => event.split("\n"))) {
       if (line.startsWith(DATA)) yield line.slice(DATA.length);
     }
--- a/src/e2e/_fleet.ts
+++ b/src/e2e/_fleet.ts
@@ -1,4 +1,4 @@
-/** A small fleet, each process its own, on free loopback ports. */
+/** Fleet of separate processes on free loopback ports. */
 import { credentials } from "@grpc/grpc-js";
 import {
   SAMPLE_ADMIN_KEY,
@@ -13,21 +13,21 @@
 import { EtcdStore } from "../store/mod.ts";
 import { Child, ChildError } from "./_child.ts";
 
-const READY_MS = 20_000;
+const READY_TIMEOUT_MS = 20_000;
 const POLL_MS = 50;
 const LOOPBACK = "127.0.0.1:0";
 
-/** Shape of a fleet. */
+/** Options of a {@link Fleet}. */
 export interface FleetOptions {
   engines?: number;
-  /** Flags for each stand-in engine. */
+  /** Command-line flags of each stand-in engine. */
   engineArgs?: string[];
-  /** More flags for each entry and agent. */
+  /** Additional command-line flags of each entry and agent. */
   daemonArgs?: string[];
 }
 
-/** An agent and the backend server beside it. */
-export interface Seat {
+/** Backend server and its agent. */
+export interface AgentSlot {
   id: string;
   agent: Child;
   agentAddress: string;
@@ -36,21 +36,22 @@
   serverUrl: string;
 }
 
-/** An entry that serves. */
+/** Entry that serves. */
 export interface RunningEntry {
   child: Child;
-  /** Base URL for callers. */
+  /** Base URL for client requests. */
   url: string;
+  /** Base URL of the admin API. */
   adminUrl: string;
   peerAddress: string;
 }
 
-/** Stand-ins, agents and entries. */
+/** Fleet of stand-ins, agents and entries. */
 export class Fleet {
   readonly #options: FleetOptions;
   readonly #children: Child[] = [];
   readonly #instances: Instance[] = [];
-  readonly seats: Seat[] = [];
+  readonly seats: AgentSlot[] = [];
   kvAddress = "";
   kvControlUrl = "";
   listUrl = "";
@@ -61,8 +62,8 @@
   }
 
   /**
-   * @param options How many engines and with which flags.
-   * @returns Stand-ins, engines with agents, and a plain service with its agent; no entry yet.
+   * @param options Number of engines and flags of the processes.
+   * @returns Fleet with engines and one plain service, each with an agent, and without entries.
    */
   static async create(options: FleetOptions = {}): Promise<Fleet> {
     const fleet = new Fleet(options);
@@ -70,9 +71,9 @@
       await fleet.#startPlatform();
       const engines = options.engines ?? 2;
       for (let index = 0; index < engines; index++) {
-        await fleet.#startSeat("engine", `engine-${index + 1}`);
+        await fleet.#startAgentSlot("engine", `engine-${index + 1}`);
       }
-      await fleet.#startSeat("service", "service-1");
+      await fleet.#startAgentSlot("service", "service-1");
       return fleet;
     } catch (error) {
       await fleet.close();
@@ -80,12 +81,12 @@
     }
   }
 
-  /** Headers of a caller. */
+  /** Request headers that authenticate the sample caller. */
   get headers(): Record<string, string> {
     return { authorization: `Bearer ${SAMPLE_CALLER_KEY}` };
   }
 
-  /** @returns An entry that answers `/readyz`, and lists the sample model. */
+  /** @returns Entry that answers `/readyz` with 200 and lists the sample model. */
   async startEntry(): Promise<RunningEntry> {
     this.#entryCount += 1;
     const id = `entry-${this.#entryCount}`;
@@ -101,24 +102,24 @@
       ...["--unready-ms", "100"],
       ...(this.#options.daemonArgs ?? []),
     ]);
-    const { listening } = await child.started<DaemonLine>();
+    const { listening } = await child.started<DaemonStartLine>();
     const entry = {
       child,
       url: `http://${listening["http"]}`,
       adminUrl: `http://${listening["admin"]}`,
       peerAddress: listening["peer"] ?? "",
     };
-    await this.#list({ id, role: "entry", address: entry.peerAddress });
+    await this.#listInstance({ id, role: "entry", address: entry.peerAddress });
     await waitFor(`${entry.url}/readyz`, child);
     return entry;
   }
 
-  /** @param faults Faults of the stand-in key-value service. */
+  /** @param faults Faults that the stand-in key-value service injects. */
   async setKvFaults(faults: Record<string, unknown>): Promise<void> {
     await postJson(`${this.kvControlUrl}/control/faults`, faults);
   }
 
-  /** Ends every process that is left. */
+  /** Kills all processes that still run. */
   async close(): Promise<void> {
     await Promise.all(this.#children.map((child) => child.close()));
   }
@@ -127,17 +128,19 @@
     const args = ["--listen", LOOPBACK, "--control", LOOPBACK];
     const kv = this.#start("standin/main", ["kv", ...args]);
     const list = this.#start("standin/main", ["instances"]);
-    const { listening, control } = await kv.started<StandinLine>();
+    const { listening, control } = await kv.started<StandinStartLine>();
     this.kvAddress = listening;
     this.kvControlUrl = `http://${control}`;
-    this.listUrl = `http://${(await list.started<StandinLine>()).listening}`;
+    this.listUrl = `http://${
+      (await list.started<StandinStartLine>()).listening
+    }`;
     await writeSampleBranch(this.kvAddress);
   }
 
-  async #startSeat(kind: "engine" | "service", id: string): Promise<void> {
-    const extra = kind === "engine" ? this.#options.engineArgs ?? [] : [];
-    const server = this.#start("standin/main", [kind, ...extra]);
-    const line = await server.started<StandinLine>();
+  async #startAgentSlot(kind: "engine" | "service", id: string): Promise<void> {
+    const extraArgs = kind === "engine" ? this.#options.engineArgs ?? [] : [];
+    const server = this.#start("standin/main", [kind, ...extraArgs]);
+    const line = await server.started<StandinStartLine>();
     const serverUrl = `http://${line.listening}`;
     const pool = kind === "engine"
       ? SAMPLE_POOLS.engines
@@ -149,13 +152,18 @@
       ...["--store-address", this.kvAddress],
       ...(this.#options.daemonArgs ?? []),
     ]);
-    const { listening } = await agent.started<DaemonLine>();
+    const { listening } = await agent.started<DaemonStartLine>();
     const agentAddress = listening["agent"] ?? "";
     this.seats.push({ id, agent, agentAddress, server, serverUrl });
-    await this.#list({ id, role: "agent", address: agentAddress, pool });
+    await this.#listInstance({
+      id,
+      role: "agent",
+      address: agentAddress,
+      pool,
+    });
   }
 
-  async #list(
+  async #listInstance(
     row: Pick<Instance, "id" | "role" | "address"> & { pool?: string },
   ): Promise<void> {
     this.#instances.push({ zone: "a", pool: "", state: "live", ...row });
@@ -171,28 +179,30 @@
   }
 }
 
-interface StandinLine {
+interface StandinStartLine {
   listening: string;
   control?: string;
 }
 
-interface DaemonLine {
+interface DaemonStartLine {
   listening: Record<string, string>;
 }
 
 /**
- * @param url Asked until it answers 200.
- * @param child Whose log explains a failure.
+ * Polls a URL until it answers 200.
+ *
+ * @param url URL to poll.
+ * @param child Process whose log is added to the error on a timeout.
  */
 export async function waitFor(url: string, child: Child): Promise<void> {
-  const untilMs = performance.now() + READY_MS;
+  const untilMs = performance.now() + READY_TIMEOUT_MS;
   while (performance.now() < untilMs) {
     const response = await fetch(url).catch(() => undefined);
     await response?.body?.cancel();
     if (response?.status === 200) return;
     await new Promise((resolve) => setTimeout(resolve, POLL_MS));
   }
-  throw new ChildError(`${url} did not answer 200. ${child.log}`);
+  throw new ChildError(`${url} did not answer 200 in time: ${child.log}`);
 }
 
 async function writeSampleBranch(address: string): Promise<void> {
@@ -213,5 +223,5 @@
     body: JSON.stringify(body),
   });
   await response.body?.cancel();
-  if (!response.ok) throw new ChildError(`${url}: ${response.status}`);
+  if (!response.ok) throw new ChildError(`${url} answered ${response.status}`);
 }
--- a/src/e2e/admin_test.ts
+++ b/src/e2e/admin_test.ts
@@ -5,7 +5,7 @@
 import { Child } from "./_child.ts";
 import { Fleet } from "./_fleet.ts";
 
-test("a change through admin is in force at every entry", async (context) => {
+test("a change through the admin API takes effect at every entry", async (context) => {
   const fleet = await Fleet.create({ engines: 1 });
   context.after(() => fleet.close());
   const client = Client.create(fleet);
@@ -22,8 +22,8 @@
       variables,
     };
     const child = Child.create(program);
-    const ending = await child.exited;
-    assert.equal(ending.code, 0, child.log);
+    const status = await child.exited;
+    assert.equal(status.code, 0, child.log);
   };
   await admin("patch", SAMPLE_TEAM, "/workspaces/notes/keys", "[]");
   await admin("in-force", SAMPLE_TEAM, "--wait-ms", "5000");
--- a/src/e2e/command_test.ts
+++ b/src/e2e/command_test.ts
@@ -1,16 +1,16 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { Child, type Ending } from "./_child.ts";
+import { Child, type ExitStatus } from "./_child.ts";
 
 async function run(
   ...args: string[]
-): Promise<{ ending: Ending; log: string }> {
+): Promise<{ ending: ExitStatus; log: string }> {
   const child = Child.create({ program: "cli/main", args });
   const ending = await child.exited;
   return { ending, log: child.log };
 }
 
-test("wrong settings end with status 2 and are all named", async () => {
+test("invalid settings exit with status 2 and are all reported", async () => {
   const { ending, log } = await run(
     "entry",
     ...["--http-address", "localhost:1", "--drain-ms", "soon", "--typo", "x"],
@@ -21,7 +21,7 @@
   assert.match(log, /"soon".*Expected a whole number of ms/);
 });
 
-test("an unknown command ends with status 2", async () => {
+test("an unknown command exits with status 2", async () => {
   for (const args of [["router"], ["admin", "router"], ["admin"], []]) {
     const { ending, log } = await run(...args);
     assert.equal(ending.code, 2, args.join(" "));
@@ -29,7 +29,7 @@
   }
 });
 
-test("a taken address ends with status 1", async () => {
+test("an address in use exits with status 1", async () => {
   const args = ["--instance-id", "a", "--zone", "a", "--pool", "p"];
   const engine = ["--engine-url", "http://127.0.0.1:1"];
   const listen = ["--listen-address", "127.0.0.1:1"];
--- a/src/e2e/outage_test.ts
+++ b/src/e2e/outage_test.ts
@@ -14,11 +14,11 @@
     await client.whole(first, chatBody("Before the outage"));
     await fleet.setKvFaults(fault);
     assert.deepEqual(await first.child.stop(), { code: 0, signal: null });
-    const again = await fleet.startEntry();
+    const restarted = await fleet.startEntry();
     const body = chatBody("During the outage", 32);
-    assert.equal((await client.whole(again, body)).text, answerTo(body));
-    const reading = await client.stream(again, body);
-    assert.equal(reading.text, answerTo(body));
-    assert.ok(reading.isDone);
+    assert.equal((await client.whole(restarted, body)).text, answerTo(body));
+    const result = await client.stream(restarted, body);
+    assert.equal(result.text, answerTo(body));
+    assert.ok(result.isDone);
   });
 }
--- a/src/e2e/path_test.ts
+++ b/src/e2e/path_test.ts
@@ -23,7 +23,7 @@
   return new OpenAI({ baseURL, apiKey: SAMPLE_CALLER_KEY, maxRetries: 0 });
 }
 
-test("whole answers across processes are exact", async () => {
+test("non-streaming answers across processes are exact", async () => {
   for (let index = 0; index < 10; index++) {
     const body = chatBody(`Whole ${index}`, 8 + index);
     const answer = await client.whole(entry, body);
@@ -34,22 +34,22 @@
   }
 });
 
-test("streams side by side are exact and each its own", async () => {
+test("concurrent streams are exact and not mixed up", async () => {
   const bodies = Array.from(
     { length: 40 },
     (_, index) => chatBody(`Stream ${index} ${"coat ".repeat(300)}`, 32),
   );
-  const readings = await Promise.all(
+  const results = await Promise.all(
     bodies.map((body) => client.stream(entry, body)),
   );
-  readings.forEach((reading, index) => {
-    assert.equal(reading.error, undefined);
-    assert.equal(reading.text, answerTo(bodies[index]!));
-    assert.ok(reading.isDone);
+  results.forEach((result, index) => {
+    assert.equal(result.error, undefined);
+    assert.equal(result.text, answerTo(bodies[index]!));
+    assert.ok(result.isDone);
   });
 });
 
-test("a plain call passes body and status", async () => {
+test("a plain call passes body and status through", async () => {
   const response = await fetch(`${entry.url}/services/bookings/bookings`, {
     method: "POST",
     headers: { ...fleet.headers, "idempotency-key": "path-1" },
@@ -70,7 +70,7 @@
   assert.equal(await second.text(), await first.text());
 });
 
-test("openai client reads a whole answer", async () => {
+test("openai client reads a non-streaming answer", async () => {
   const body = chatBody("Official client", 20);
   const answer = await openai().chat.completions.create(body);
   assert.equal(answer.choices[0]?.message.content, answerTo(body));
@@ -94,7 +94,7 @@
   assert.equal(completionTokens, 24);
 });
 
-test("a stream has a usage event only where asked", async () => {
+test("a stream has a usage event only when requested", async () => {
   const body = { ...chatBody("No usage wanted"), stream: true as const };
   const stream = await openai().chat.completions.create(body);
   for await (const chunk of stream) assert.equal(chunk.choices.length, 1);
@@ -111,7 +111,7 @@
   );
 });
 
-test("state of entry and agents has no prompt and no key", async () => {
+test("state dumps of entry and agents contain no prompt and no key", async () => {
   await client.whole(entry, chatBody("Secret prompt"));
   const addresses = [
     entry.peerAddress,
@@ -125,13 +125,16 @@
   }
 });
 
-test("metrics show first tokens by quantile", async () => {
+test("metrics are documented and include quantiles of the time to first token", async () => {
   await client.stream(entry, chatBody("Measured"));
   const text = await (await fetch(`${entry.url}/metrics`)).text();
-  const page = new URL("../../docs/OPERATING.md", import.meta.url);
-  const described = readFileSync(page, "utf8");
+  const docsUrl = new URL("../../docs/OPERATING.md", import.meta.url);
+  const documentation = readFileSync(docsUrl, "utf8");
   for (const [, name] of text.matchAll(/^# TYPE (\S+)/gm)) {
-    assert.ok(described.includes(`\`${name}\``), `${name} is not described`);
+    assert.ok(
+      documentation.includes(`\`${name}\``),
+      `${name} is not described`,
+    );
   }
   assert.match(text, /cicadahitch_entry_ttft_ms\{.*quantile="0.95"\} [\d.]+/);
 });
--- a/src/e2e/sole_entry_test.ts
+++ b/src/e2e/sole_entry_test.ts
@@ -11,7 +11,7 @@
   await client.whole(first, chatBody("Before the outage"));
   await fleet.setKvFaults({ down: true });
   assert.deepEqual(await first.child.stop(), { code: 0, signal: null });
-  const again = await fleet.startEntry();
+  const restarted = await fleet.startEntry();
   const body = chatBody("During the outage", 32);
-  assert.equal((await client.whole(again, body)).text, answerTo(body));
+  assert.equal((await client.whole(restarted, body)).text, answerTo(body));
 });
--- a/src/e2e/token_test.ts
+++ b/src/e2e/token_test.ts
@@ -6,7 +6,7 @@
 
 const TOKEN = "0123456789abcdef";
 
-test("with a token, processes serve and strangers are refused", async (context) => {
+test("with a token, processes serve and calls without it are refused", async (context) => {
   const daemonArgs = ["--token", TOKEN];
   const fleet = await Fleet.create({ engines: 1, daemonArgs });
   context.after(() => fleet.close());
@@ -16,10 +16,10 @@
   assert.equal(text, answerTo(body));
   const { agentAddress } = fleet.seats[0]!;
   for (const address of [entry.peerAddress, agentAddress]) {
-    const ask = (flags: object) =>
+    const readDump = (flags: object) =>
       readState({ flags: { address, ...flags }, variables: {} });
-    assert.ok((await ask({ token: TOKEN })).isOk);
-    const refused = await ask({});
+    assert.ok((await readDump({ token: TOKEN })).isOk);
+    const refused = await readDump({});
     assert.ok(refused.isErr);
     assert.equal(refused.error.kind, "rejected");
   }
--- a/src/proof/_calls.ts
+++ b/src/proof/_calls.ts
@@ -1,35 +1,37 @@
-/** Calls to a fleet, and all that their callers saw. */
+/** HTTP calls to a fleet, with everything that the caller received. */
 import { SAMPLE_CALLER_KEY, SAMPLE_MODEL } from "../cli/sample_team.ts";
 import { expectedAnswerTo } from "../standin/mod.ts";
 import type { EntrySlot } from "./_fleet.ts";
 
-/** What a caller saw. */
-export interface Seen {
+/** Outcome of one call, as its caller received it. */
+export interface CallResult {
+  /** `cut`: the connection ended or timed out before a complete answer or an error. */
   kind: "answer" | "error" | "cut";
-  /** 0: no head came. */
+  /** HTTP status; 0 if no response header arrived. */
   status: number;
-  /** The entry's name for the request; empty: no head came. */
+  /** Request id that the entry assigned; empty if no response header arrived. */
   requestId: string;
-  /** Text of the answer, as far as it came. */
+  /** Text of the answer that was received, possibly incomplete. */
   text: string;
+  /** Error code; empty if there was no error. */
   code: string;
-  /** Empty: the error did not say. */
+  /** Whether the call ran, according to the error; empty if the error did not state it. */
   execution: string;
-  /** The entry's process ended while the call ran. */
+  /** True if the entry was stopped or restarted during the call. */
   entryDied: boolean;
 }
 
-/** A model call's body. */
+/** Body of a chat completion request. */
 export interface ChatBody extends Record<string, unknown> {
   model: string;
   messages: { role: "user"; content: string }[];
   max_tokens: number;
 }
 
-/** What a call goes with besides its body. */
+/** Options of a call besides its body. */
 export interface CallOptions {
   headers?: Record<string, string>;
-  /** Called with the number of each event of a stream, from 1. */
+  /** Called for each event of a stream with its number, starting at 1. */
   onEvent?: (number: number) => void;
 }
 
@@ -38,49 +40,49 @@
   execution?: string;
 }
 
-/** No call takes so long, whatever fails; one that does was cut by its caller. */
+/** Client timeout; longer than any call takes under any injected fault. */
 const MAX_CALL_MS = 40_000;
 const REQUEST_ID = "x-cicadahitch-request-id";
 
 /**
  * @param content The prompt.
- * @param maxTokens Length of the answer.
- * @returns The body.
+ * @param maxTokens Length of the answer in tokens.
+ * @returns Body of a chat completion request.
  */
 export function chatBody(content: string, maxTokens = 40): ChatBody {
   const messages = [{ role: "user" as const, content }];
   return { model: SAMPLE_MODEL, messages, max_tokens: maxTokens };
 }
 
-/** @returns The exact text that each caller with this body must have. */
+/** @returns The exact text of the correct answer to a request body. */
 export function answerTo(body: ChatBody): string {
   return expectedAnswerTo("chat", body);
 }
 
-/** @returns What the caller of a whole model call saw. */
-export function callWhole(
+/** @returns Outcome of a chat completion call that does not stream. */
+export function callNonStreaming(
   slot: EntrySlot,
   body: ChatBody,
   options: CallOptions = {},
-): Promise<Seen> {
-  const read = async (response: Response, seen: Seen) => {
+): Promise<CallResult> {
+  const read = async (response: Response, result: CallResult) => {
     const answer = await response.json() as {
       choices: { message: { content: string } }[];
     };
-    seen.text = answer.choices[0]!.message.content;
+    result.text = answer.choices[0]!.message.content;
   };
   const path = "/v1/chat/completions";
   return call(slot, { path, body, read, ...options });
 }
 
-/** @returns What the caller of a streamed model call saw. */
-export function callStream(
+/** @returns Outcome of a chat completion call that streams. */
+export function callStreaming(
   slot: EntrySlot,
   body: ChatBody,
   options: CallOptions = {},
-): Promise<Seen> {
-  const read = (response: Response, seen: Seen) =>
-    readStream(response, seen, options.onEvent);
+): Promise<CallResult> {
+  const read = (response: Response, result: CallResult) =>
+    readStream(response, result, options.onEvent);
   const path = "/v1/chat/completions";
   return call(slot, {
     path,
@@ -91,23 +93,23 @@
 }
 
 /**
- * @param slot Where to.
- * @param body The booking.
- * @param key Tells repeats; empty: none is given.
- * @returns What the caller saw; its answer's text is JSON.
+ * @param slot Entry that is called.
+ * @param body Body of the booking.
+ * @param key Idempotency key; empty to send none.
+ * @returns Outcome of the call; the text of an answer is JSON.
  */
 export function callBooking(
   slot: EntrySlot,
   body: Record<string, unknown>,
   key: string,
-): Promise<Seen> {
+): Promise<CallResult> {
   const path = "/services/bookings/bookings";
   const headers: Record<string, string> = key ? { "idempotency-key": key } : {};
   return call(slot, { path, body, read: readText, headers });
 }
 
-/** @returns What the caller of a call that may be repeated saw. */
-export function callEcho(slot: EntrySlot, word: string): Promise<Seen> {
+/** @returns Outcome of a call to a repeatable route, which returns the given word. */
+export function callEcho(slot: EntrySlot, word: string): Promise<CallResult> {
   const path = `/services/bookings/echo?word=${word}`;
   return call(slot, { path, read: readText });
 }
@@ -115,13 +117,13 @@
 interface Call extends CallOptions {
   path: string;
   body?: unknown;
-  read: (response: Response, seen: Seen) => Promise<void>;
+  read: (response: Response, result: CallResult) => Promise<void>;
 }
 
-async function call(slot: EntrySlot, options: Call): Promise<Seen> {
+async function call(slot: EntrySlot, options: Call): Promise<CallResult> {
   const { path, body, read, headers } = options;
-  const { life, isUp } = slot;
-  const seen: Seen = {
+  const { generation, isUp } = slot;
+  const result: CallResult = {
     kind: "cut",
     status: 0,
     requestId: "",
@@ -141,63 +143,63 @@
       body: body === undefined ? null : JSON.stringify(body),
       signal: AbortSignal.timeout(MAX_CALL_MS),
     });
-    seen.status = response.status;
-    seen.requestId = response.headers.get(REQUEST_ID) ?? "";
+    result.status = response.status;
+    result.requestId = response.headers.get(REQUEST_ID) ?? "";
     if (response.ok) {
-      await read(response, seen);
-      if (seen.code === "") seen.kind = "answer";
+      await read(response, result);
+      if (result.code === "") result.kind = "answer";
     } else {
       const { error } = await response.json() as { error: ErrorValue };
-      noteError(seen, error);
+      recordError(result, error);
     }
   } catch {
-    // What came before the cut is in `seen`.
+    // `result` holds what was received before the connection ended.
   }
-  seen.entryDied = !isUp || !slot.isUp || slot.life !== life;
-  return seen;
+  result.entryDied = !isUp || !slot.isUp || slot.generation !== generation;
+  return result;
 }
 
-async function readText(response: Response, seen: Seen): Promise<void> {
-  seen.text = await response.text();
+async function readText(response: Response, result: CallResult): Promise<void> {
+  result.text = await response.text();
 }
 
 async function readStream(
   response: Response,
-  seen: Seen,
+  result: CallResult,
   onEvent: CallOptions["onEvent"],
 ): Promise<void> {
-  let rest = "";
+  let buffered = "";
   let events = 0;
   const decoder = new TextDecoder();
   for await (const chunk of response.body!) {
-    rest += decoder.decode(chunk, { stream: true });
-    const blocks = rest.split("\n\n");
-    rest = blocks.pop()!;
+    buffered += decoder.decode(chunk, { stream: true });
+    const blocks = buffered.split("\n\n");
+    buffered = blocks.pop()!;
     for (const block of blocks) {
       const data = block.slice(block.indexOf("data: ") + "data: ".length);
       if (data === "[DONE]") return;
-      takeEvent(seen, JSON.parse(data));
+      applyEvent(result, JSON.parse(data));
       onEvent?.(++events);
     }
   }
   throw new Error("The stream ended without its last event");
 }
 
-function takeEvent(
-  seen: Seen,
+function applyEvent(
+  result: CallResult,
   event: {
     error?: ErrorValue;
     choices?: { delta?: { content?: string } }[];
   },
 ): void {
-  if (event.error) noteError(seen, event.error);
+  if (event.error) recordError(result, event.error);
   for (const { delta } of event.choices ?? []) {
-    seen.text += delta?.content ?? "";
+    result.text += delta?.content ?? "";
   }
 }
 
-function noteError(seen: Seen, error: ErrorValue): void {
-  seen.kind = "error";
-  seen.code = error.code ?? "";
-  seen.execution = error.execution ?? "";
+function recordError(result: CallResult, error: ErrorValue): void {
+  result.kind = "error";
+  result.code = error.code ?? "";
+  result.execution = error.execution ?? "";
 }
--- a/src/proof/_commands.ts
+++ b/src/proof/_commands.ts
@@ -1,9 +1,9 @@
-/** Commands of the fuzzing runs: calls of all kinds, and faults at every link and process. */
+/** Fuzzing commands: calls of all kinds, and faults of connections, processes and stores. */
 import fc from "fast-check";
 import { chatBody } from "./_calls.ts";
 import type { World } from "./_world.ts";
 
-/** Commands so far, by name; those that are faults have names that start with `fault:`. */
+/** Number of executed commands by name; names of faults start with `fault:`. */
 export type CommandCounts = Map<string, number>;
 
 type Model = Record<string, never>;
@@ -16,7 +16,7 @@
 const MAX_COMMANDS = 40;
 const MAX_PAUSE_MS = 120;
 
-/** One step of a run; it can be taken at any time. */
+/** Command that runs one step; it has no precondition. */
 class StepCommand implements fc.AsyncCommand<Model, World> {
   readonly #step: Step;
   readonly #counts: CommandCounts;
@@ -35,7 +35,7 @@
     const kind = name.split(" ", 1)[0]!;
     this.#counts.set(kind, (this.#counts.get(kind) ?? 0) + 1);
     await run(world);
-    world.oracle.watchVersions();
+    world.oracle.checkVersionOrder();
     if (world.oracle.violations.length > 0) {
       throw new Error(world.oracle.violations.join("\n"));
     }
@@ -47,15 +47,15 @@
 }
 
 /**
- * @param counts Counts the commands that were run.
- * @returns Runs of commands.
+ * @param counts Updated with each executed command.
+ * @returns Arbitrary that generates sequences of commands.
  */
 export function commandRuns(
   counts: CommandCounts,
 ): fc.Arbitrary<Iterable<fc.AsyncCommand<Model, World>>> {
   const steps = [...callSteps(), ...faultSteps()];
   const commands = steps.map((step) =>
-    step.map((each) => new StepCommand(each, counts))
+    step.map((value) => new StepCommand(value, counts))
   );
   return fc.commands(commands, { maxCommands: MAX_COMMANDS, size: "max" });
 }
@@ -68,11 +68,16 @@
     prompt: fc.nat({ max: 5 }),
     tokens: fc.integer({ min: 1, max: 80 }),
     isWhole: fc.boolean(),
-  }).map((of): Step => ({
-    name: `chat ${JSON.stringify(of)}`,
+  }).map((params): Step => ({
+    name: `chat ${JSON.stringify(params)}`,
     run: (world) => {
-      const body = chatBody(`${of.prompt} ${"coat ".repeat(200)}`, of.tokens);
-      world.beside(world.chat(world.entry(of.entry), body, of.isWhole));
+      const body = chatBody(
+        `${params.prompt} ${"coat ".repeat(200)}`,
+        params.tokens,
+      );
+      world.runInBackground(
+        world.chat(world.entry(params.entry), body, params.isWhole),
+      );
     },
   }));
   const booking = fc.record({
@@ -80,27 +85,27 @@
     word: fc.constantFrom("a", "b", "c", "d", "e"),
     variant: fc.constantFrom(0, 0, 0, 1),
     hasKey: fc.constantFrom(true, true, true, false),
-  }).map((of): Step => ({
-    name: `booking ${JSON.stringify(of)}`,
+  }).map((params): Step => ({
+    name: `booking ${JSON.stringify(params)}`,
     run: (world) => {
-      const { word, variant, hasKey } = of;
-      const slot = world.entry(of.entry);
-      world.beside(world.book(slot, { word, variant }, hasKey));
+      const { word, variant, hasKey } = params;
+      const slot = world.entry(params.entry);
+      world.runInBackground(world.book(slot, { word, variant }, hasKey));
     },
   }));
   const echo = index.map((entry): Step => ({
     name: `echo ${entry}`,
-    run: (world) => world.beside(world.echo(world.entry(entry))),
+    run: (world) => world.runInBackground(world.echo(world.entry(entry))),
   }));
   const configure = index.map((entry): Step => ({
     name: `configure ${entry}`,
-    run: (world) => world.beside(world.configure(world.entry(entry))),
+    run: (world) => world.runInBackground(world.configure(world.entry(entry))),
   }));
   const pause = fc.integer({ min: 1, max: MAX_PAUSE_MS }).map((ms): Step => ({
     name: `pause ${ms}`,
     run: () => new Promise((resolve) => setTimeout(resolve, ms)),
   }));
-  // Twice, so that about half of a run is calls.
+  // Chats, bookings and pauses are listed repeatedly, so that calls make up about half of a run.
   return [chat, booking, echo, configure, pause, chat, booking, booking, pause];
 }
 
@@ -115,21 +120,22 @@
       engines[at % engines.length]!.crash();
     }),
     fault("agent-crash", index, (world, at) => {
-      const seat = world.seat(at);
-      world.handle(seat.id, () => world.fleet.crashAgent(seat));
+      const slot = world.agentSlot(at);
+      world.runExclusively(slot.id, () => world.fleet.crashAgent(slot));
     }),
     fault("agent-drain", index, (world, at) => {
-      const seat = world.seat(at);
-      world.handle(seat.id, () => world.fleet.replaceAgent(seat));
+      const slot = world.agentSlot(at);
+      world.runExclusively(slot.id, () => world.fleet.replaceAgent(slot));
     }),
     fault("entry-crash", index, (world, at) => {
       const slot = world.entry(at);
-      world.handle(slot.id, () => world.fleet.crashEntry(slot));
+      world.runExclusively(slot.id, () => world.fleet.crashEntry(slot));
     }),
   ];
 }
 
 function linkFaults(): fc.Arbitrary<Step>[] {
+  // `seat` is the index of an agent slot; the name is part of printed commands.
   const link = fc.record({ entry: index, seat: index });
   return [
     fault("freeze", link, (world, { entry, seat }) => {
@@ -161,7 +167,7 @@
     { loseNextRequest: true },
     { slowMs: 20 },
   );
-  const cut = fc.record({
+  const lostMessages = fc.record({
     seat: index,
     fault: fc.constantFrom({ dropAnswers: 1 }, { dropRequests: 1 }),
   });
@@ -172,7 +178,7 @@
   });
   return [
     fault("store", kv, (world, faults) => world.fleet.kv.setFaults(faults)),
-    fault("service", cut, (world, { seat, fault: faults }) => {
+    fault("service", lostMessages, (world, { seat, fault: faults }) => {
       const { services } = world.fleet;
       return services[seat % services.length]!.setFaults(faults);
     }),
@@ -185,10 +191,10 @@
 
 function fault<T>(
   name: string,
-  of: fc.Arbitrary<T>,
-  run: (world: World, of: T) => Promise<void> | void,
+  params: fc.Arbitrary<T>,
+  run: (world: World, params: T) => Promise<void> | void,
 ): fc.Arbitrary<Step> {
-  return of.map((value) => ({
+  return params.map((value) => ({
     name: `fault:${name} ${JSON.stringify(value)}`,
     run: (world) => run(world, value),
   }));
--- a/src/proof/_fleet.ts
+++ b/src/proof/_fleet.ts
@@ -1,4 +1,4 @@
-/** A small fleet in this process, over real sockets, whose links and processes fail on demand. */
+/** Fleet of entries and agents in one process, over TCP sockets, with fault injection. */
 import { buildParts } from "../agent/agent_parts.ts";
 import { Agent, type AgentOptions, type BackendServer } from "../agent/mod.ts";
 import { createSilentLogger, systemClock } from "../base/mod.ts";
@@ -23,50 +23,50 @@
   TcpRelay,
 } from "../standin/mod.ts";
 
-/** Shape of a {@link ProofFleet}. */
+/** Options of a {@link ProofFleet}. */
 export interface ProofFleetOptions {
   entries: number;
   engines: number;
   services: number;
   engine: Partial<StandinEngineOptions>;
   tuning: Partial<EntryTuning>;
-  /** Undefined: no entry plans. */
+  /** Undefined: entries do not plan where models are loaded. */
   planning: EntryOptions["planning"];
-  /** How long a planned stop waits, in ms. */
+  /** How long a graceful stop of an agent waits for its runs, in ms. */
   drainMs: number;
-  /** Stands between the links and an agent: takes its id and address, gives its own address. */
-  between: (id: string, address: string) => Promise<string>;
+  /** Starts a proxy in front of an agent with this id and address; returns the proxy's address. */
+  proxyAgent: (id: string, address: string) => Promise<string>;
 }
 
-/** A backend server and the agent beside it. */
-export interface Seat {
+/** Backend server and its agent; the agent may be replaced. */
+export interface AgentSlot {
   id: string;
   pool: string;
   server: StandinServer;
   agent: Agent;
-  /** Stays the same over restarts. */
+  /** Address of the agent, which a restart keeps. */
   address: string;
 }
 
-/** A stand-in for a backend server. */
+/** Stand-in for a backend server. */
 export type StandinServer =
   | { kind: "engine"; standin: StandinEngine }
   | { kind: "service"; standin: StandinService };
 
-/** An entry, its own links to the agents, and the list that it sees. */
+/** Entry, its relays to the agents, and its instance list; the entry may be replaced. */
 export interface EntrySlot {
   id: string;
   entry: Entry;
-  /** Counts its starts. */
-  life: number;
-  /** False: it was killed, and the next one does not serve yet. */
+  /** Number of times that this entry has been started. */
+  generation: number;
+  /** False from when the entry is killed until its replacement serves. */
   isUp: boolean;
   list: StandinInstanceList;
-  /** By seat, in the order of the seats. */
+  /** One relay for each agent, in the order of {@link ProofFleet.agentSlots}. */
   links: TcpRelay[];
 }
 
-/** How long calls on a silent connection wait in tests, in ms; see `progressMs`. */
+/** Progress timeout of entries in tests, in ms; see {@link EntryTuning.progressMs}. */
 export const PROGRESS_MS = 400;
 
 const ZONE = "a";
@@ -83,19 +83,19 @@
   },
   planning: undefined,
   drainMs: 10_000,
-  between: (_id, address) => Promise.resolve(address),
+  proxyAgent: (_id, address) => Promise.resolve(address),
 };
 
-/** Stand-ins, agents and entries. */
+/** Fleet of stand-ins, agents and entries. */
 export class ProofFleet {
   readonly options: ProofFleetOptions;
   readonly kv: StandinKv;
-  readonly seats: Seat[] = [];
+  readonly agentSlots: AgentSlot[] = [];
   readonly entries: EntrySlot[] = [];
   readonly #log = createSilentLogger();
   readonly #journals = new Map<Agent, ClaimsJournal>();
-  /** What ends beside the test. */
-  readonly #ending = new Set<Promise<void>>();
+  /** Components that are still closing. */
+  readonly #pendingCloses = new Set<Promise<void>>();
 
   private constructor(options: ProofFleetOptions, kv: StandinKv) {
     this.options = options;
@@ -103,8 +103,8 @@
   }
 
   /**
-   * @param options What differs from two entries, three engines and two services.
-   * @returns A fleet that serves the sample team.
+   * @param options Overrides; the default is two entries, three engines and two services.
+   * @returns Fleet that serves the sample team.
    */
   static async create(
     options: Partial<ProofFleetOptions> = {},
@@ -115,11 +115,14 @@
     await fleet.#writeBranch();
     for (let index = 0; index < all.engines; index++) {
       const standin = await StandinEngine.create(all.engine);
-      await fleet.#addSeat(`engine-${index + 1}`, { kind: "engine", standin });
+      await fleet.#addAgentSlot(`engine-${index + 1}`, {
+        kind: "engine",
+        standin,
+      });
     }
     for (let index = 0; index < all.services; index++) {
       const standin = await StandinService.create();
-      await fleet.#addSeat(`service-${index + 1}`, {
+      await fleet.#addAgentSlot(`service-${index + 1}`, {
         kind: "service",
         standin,
       });
@@ -127,41 +130,41 @@
     for (let index = 0; index < all.entries; index++) {
       fleet.entries.push(await fleet.#openEntry(`entry-${index + 1}`, 1));
     }
-    fleet.listEntries();
+    fleet.publishEntries();
     return fleet;
   }
 
-  /** Stand-in engines, in the order of their seats. */
+  /** Stand-in engines, in the order of {@link agentSlots}. */
   get engines(): StandinEngine[] {
-    return this.seats.flatMap(({ server }) =>
+    return this.agentSlots.flatMap(({ server }) =>
       server.kind === "engine" ? [server.standin] : []
     );
   }
 
-  /** Stand-in services, in the order of their seats. */
+  /** Stand-in services, in the order of {@link agentSlots}. */
   get services(): StandinService[] {
-    return this.seats.flatMap(({ server }) =>
+    return this.agentSlots.flatMap(({ server }) =>
       server.kind === "service" ? [server.standin] : []
     );
   }
 
-  /** @returns A seat whose agent has a run that has not ended; undefined: none has. */
-  get busySeat(): Seat | undefined {
-    return this.seats.find(({ agent }) => {
+  /** First slot whose agent has a run in progress; undefined if there is none. */
+  get busyAgentSlot(): AgentSlot | undefined {
+    return this.agentSlots.find(({ agent }) => {
       const { runs } = agent.dumpState() as { runs: { live?: number } };
       return runs.live! > 0;
     });
   }
 
-  /** Sets what the entries' lists say of a seat. */
-  showState(seat: Seat, state: Instance["state"]): void {
+  /** Sets the state of an agent in the instance list of each entry. */
+  setListedState(agentSlot: AgentSlot, state: Instance["state"]): void {
     for (const { list, links } of this.entries) {
-      list.set([{ ...this.#rowOf(seat, links), state }]);
+      list.set([{ ...this.#listedInstance(agentSlot, links), state }]);
     }
   }
 
-  /** Shows each entry the others. */
-  listEntries(): void {
+  /** Adds all entries to the instance list of each entry. */
+  publishEntries(): void {
     const rows = this.entries.map(({ id, entry }): Instance => ({
       id,
       role: "entry",
@@ -173,73 +176,75 @@
     for (const { list } of this.entries) list.set(rows);
   }
 
-  /** The agent's process is gone without a word; a new one takes its place. */
-  async crashAgent(seat: Seat): Promise<void> {
-    const index = this.seats.indexOf(seat);
+  /** Kills an agent without a graceful stop, and starts a new one at the same address. */
+  async crashAgent(agentSlot: AgentSlot): Promise<void> {
+    const index = this.agentSlots.indexOf(agentSlot);
     for (const { links } of this.entries) links[index]!.cutOpen();
-    await this.#killAgent(seat.agent);
-    seat.agent = await this.#startAgent(seat);
+    await this.#killAgent(agentSlot.agent);
+    agentSlot.agent = await this.#startAgent(agentSlot);
   }
 
-  /** The agent's process is gone without a word, and the list says so. */
-  async removeAgent(seat: Seat): Promise<void> {
-    const index = this.seats.indexOf(seat);
+  /** Kills an agent without a graceful stop, and lists it as gone. */
+  async removeAgent(agentSlot: AgentSlot): Promise<void> {
+    const index = this.agentSlots.indexOf(agentSlot);
     for (const { links } of this.entries) links[index]!.cutOpen();
-    this.showState(seat, "gone");
-    await this.#killAgent(seat.agent);
+    this.setListedState(agentSlot, "gone");
+    await this.#killAgent(agentSlot.agent);
   }
 
-  /** Stops the agent as planned, and starts a new one in its place. */
-  async replaceAgent(seat: Seat): Promise<void> {
-    await seat.agent.stop();
-    seat.agent = await this.#startAgent(seat);
+  /** Stops an agent gracefully, and starts a new one at the same address. */
+  async replaceAgent(agentSlot: AgentSlot): Promise<void> {
+    await agentSlot.agent.stop();
+    agentSlot.agent = await this.#startAgent(agentSlot);
   }
 
-  /** The entry's process is gone without a word; a new one takes its place. */
+  /** Kills an entry, and starts a new one. */
   async crashEntry(slot: EntrySlot): Promise<void> {
-    this.#endLater(this.#kill(slot));
-    await this.#reopen(slot);
-    this.listEntries();
+    this.#closeLater(this.#killEntry(slot));
+    await this.#restartEntry(slot);
+    this.publishEntries();
   }
 
-  /** All entries are gone at once, and come back with nothing in memory. */
+  /** Kills all entries at the same time, and starts new ones with empty memory. */
   async crashAllEntries(): Promise<void> {
-    for (const slot of this.entries) this.#endLater(this.#kill(slot));
-    await Promise.all(this.entries.map((slot) => this.#reopen(slot)));
-    this.listEntries();
+    for (const slot of this.entries) this.#closeLater(this.#killEntry(slot));
+    await Promise.all(this.entries.map((slot) => this.#restartEntry(slot)));
+    this.publishEntries();
   }
 
-  /** Ends everything. */
+  /** Stops all components. */
   async close(): Promise<void> {
-    await Promise.all(this.entries.map((slot) => this.#kill(slot)));
-    await Promise.all(this.seats.map((seat) => this.#closeSeat(seat)));
-    await Promise.all(this.#ending);
+    await Promise.all(this.entries.map((slot) => this.#killEntry(slot)));
+    await Promise.all(
+      this.agentSlots.map((agentSlot) => this.#closeAgentSlot(agentSlot)),
+    );
+    await Promise.all(this.#pendingCloses);
     await this.kv.close();
   }
 
-  async #closeSeat({ agent, server }: Seat): Promise<void> {
+  async #closeAgentSlot({ agent, server }: AgentSlot): Promise<void> {
     await this.#killAgent(agent);
     await server.standin.close();
   }
 
-  /** Its store is closed first, so that closing its journal writes nothing. */
+  /** Kills the agent before closing its journal: with the store closed, the journal writes nothing. */
   async #killAgent(agent: Agent): Promise<void> {
     await agent.kill();
     const journal = this.#journals.get(agent);
-    if (journal) this.#endLater(journal.close());
+    if (journal) this.#closeLater(journal.close());
     this.#journals.delete(agent);
   }
 
-  #endLater(work: Promise<void>): void {
-    const done = work.finally(() => this.#ending.delete(done));
-    this.#ending.add(done);
+  #closeLater(work: Promise<void>): void {
+    const done = work.finally(() => this.#pendingCloses.delete(done));
+    this.#pendingCloses.add(done);
   }
 
-  async #reopen(slot: EntrySlot): Promise<void> {
-    Object.assign(slot, await this.#openEntry(slot.id, slot.life + 1));
+  async #restartEntry(slot: EntrySlot): Promise<void> {
+    Object.assign(slot, await this.#openEntry(slot.id, slot.generation + 1));
   }
 
-  async #kill(slot: EntrySlot): Promise<void> {
+  async #killEntry(slot: EntrySlot): Promise<void> {
     const { entry, links, list } = slot;
     slot.isUp = false;
     const closed = links.map((link) => link.close());
@@ -252,23 +257,23 @@
     await this.kv.store.commit([], [{ kind: "put", key, value }]);
   }
 
-  async #addSeat(id: string, server: StandinServer): Promise<void> {
+  async #addAgentSlot(id: string, server: StandinServer): Promise<void> {
     const pool = server.kind === "engine"
       ? SAMPLE_POOLS.engines
       : SAMPLE_POOLS.bookings;
-    const seat = { id, pool, server, address: LOOPBACK };
-    const agent = await this.#startAgent(seat);
-    this.seats.push({ ...seat, agent, address: agent.address });
+    const agentSlot = { id, pool, server, address: LOOPBACK };
+    const agent = await this.#startAgent(agentSlot);
+    this.agentSlots.push({ ...agentSlot, agent, address: agent.address });
   }
 
-  async #startAgent(seat: Omit<Seat, "agent">): Promise<Agent> {
-    const { kind, standin } = seat.server;
+  async #startAgent(agentSlot: Omit<AgentSlot, "agent">): Promise<Agent> {
+    const { kind, standin } = agentSlot.server;
     const server: BackendServer = { kind, url: standin.url };
     const options: AgentOptions = {
-      instanceId: seat.id,
+      instanceId: agentSlot.id,
       zone: ZONE,
-      pool: seat.pool,
-      listenAddress: seat.address,
+      pool: agentSlot.pool,
+      listenAddress: agentSlot.address,
       server,
       storeAddress: this.kv.address,
       seedAddresses: [],
@@ -287,26 +292,30 @@
     return agent;
   }
 
-  async #openEntry(id: string, life: number): Promise<EntrySlot> {
+  async #openEntry(id: string, generation: number): Promise<EntrySlot> {
     const links = await Promise.all(
-      this.seats.map(async ({ id, address }) => {
-        const targetAddress = await this.options.between(id, address);
+      this.agentSlots.map(async ({ id, address }) => {
+        const targetAddress = await this.options.proxyAgent(id, address);
         return await TcpRelay.create({ targetAddress });
       }),
     );
     const list = await StandinInstanceList.create();
-    list.set(this.seats.map((seat) => this.#rowOf(seat, links)));
+    list.set(
+      this.agentSlots.map((agentSlot) =>
+        this.#listedInstance(agentSlot, links)
+      ),
+    );
     const entry = await this.#startEntry(id, list, links);
-    return { id, entry, life, isUp: true, list, links };
+    return { id, entry, generation, isUp: true, list, links };
   }
 
-  #rowOf(seat: Seat, links: TcpRelay[]): Instance {
+  #listedInstance(agentSlot: AgentSlot, links: TcpRelay[]): Instance {
     return {
-      id: seat.id,
+      id: agentSlot.id,
       role: "agent",
       zone: ZONE,
-      address: links[this.seats.indexOf(seat)]!.address,
-      pool: seat.pool,
+      address: links[this.agentSlots.indexOf(agentSlot)]!.address,
+      pool: agentSlot.pool,
       state: "live",
     };
   }
--- a/src/proof/_golden.ts
+++ b/src/proof/_golden.ts
@@ -1,4 +1,4 @@
-/** Whole sessions as text: callers' bytes, calls between processes, and the state at the end. */
+/** Records sessions as text: HTTP exchanges, calls to agents, and the final state of each process. */
 import { once } from "node:events";
 import {
   type IncomingHttpHeaders,
@@ -12,17 +12,18 @@
   SAMPLE_TEAM,
 } from "../cli/sample_team.ts";
 import { chatBody } from "./_calls.ts";
-import { type EntrySlot, ProofFleet, type Seat } from "./_fleet.ts";
+import { type AgentSlot, type EntrySlot, ProofFleet } from "./_fleet.ts";
 import { Recorder, type Transcript } from "./_recorder.ts";
 
-/** Where the files are, from the sources and from the build. */
+/** Directory of the golden files; the same for sources and build output. */
 export const GOLDEN_DIRECTORY = new URL(
   "../../src/proof/golden/",
   import.meta.url,
 );
 
 const TOKENS = 6;
-const OWN_HEADER = /^(content-type|retry-after|x-cicadahitch-|x-should-retry)/;
+const RECORDED_HEADERS =
+  /^(content-type|retry-after|x-cicadahitch-|x-should-retry)/;
 const POLL_MS = 5;
 
 interface HttpCall {
@@ -35,16 +36,16 @@
   status: number;
   headers: IncomingHttpHeaders;
   text: string;
-  /** False: the connection ended before the last chunk. */
+  /** False if the connection ended before the last chunk. */
   isWhole: boolean;
 }
 
-/** A session and all that was seen of it. */
+/** Session against one fleet, with its record. */
 class Session {
   readonly fleet: ProofFleet;
   readonly #transcripts: Transcript[];
   readonly #lines: string[] = [];
-  #told = 0;
+  #reportedCalls = 0;
 
   constructor(fleet: ProofFleet, transcripts: Transcript[]) {
     this.fleet = fleet;
@@ -55,11 +56,11 @@
     return this.fleet.entries[0]!;
   }
 
-  get seat(): Seat {
-    return this.fleet.seats[0]!;
+  get agentSlot(): AgentSlot {
+    return this.fleet.agentSlots[0]!;
   }
 
-  /** Sends a request and writes down its bytes and the calls that it caused. */
+  /** Sends a request and records the exchange and the calls to agents that it caused. */
   async send(title: string, call: HttpCall, slot = this.entry): Promise<void> {
     this.#lines.push(`== ${title} (${slot.id})`);
     const body = JSON.stringify(call.body);
@@ -73,39 +74,40 @@
       authorization: `Bearer ${SAMPLE_CALLER_KEY}`,
       ...call.headers,
     };
-    this.#noteAnswer(await post(url, headers, body));
-    this.#noteCalls();
+    this.#recordAnswer(await post(url, headers, body));
+    this.#recordCalls();
   }
 
+  /** Records an event of the session. */
   note(line: string): void {
     this.#lines.push(`== ${line}`);
   }
 
-  /** @returns The text of the session, with its last state. */
+  /** @returns Text of the session, with the final state of entries and agents. */
   async end(): Promise<string> {
-    await until(() => this.fleet.busySeat === undefined);
+    await until(() => this.fleet.busyAgentSlot === undefined);
     for (const { id, entry } of this.fleet.entries) {
       const { instances, leaving, config, requests } = entry.dumpState();
       const states = instances.map((each) => `${each.id} ${each.state}`).sort();
-      this.#noteState(id, {
+      this.#recordState(id, {
         instances: states,
         leaving,
         versions: config.versions,
         inFlight: requests.inFlight,
       });
     }
-    for (const { id, agent } of this.fleet.seats) {
+    for (const { id, agent } of this.fleet.agentSlots) {
       const { isLeaving, refusals, branches } = agent.dumpState();
       const { counts } = refusals;
-      this.#noteState(id, { isLeaving, refusals: counts, branches });
+      this.#recordState(id, { isLeaving, refusals: counts, branches });
     }
-    return normalise(`${this.#lines.join("\n")}\n`);
+    return normalize(`${this.#lines.join("\n")}\n`);
   }
 
-  #noteAnswer({ status, headers, text, isWhole }: HttpAnswer): void {
+  #recordAnswer({ status, headers, text, isWhole }: HttpAnswer): void {
     this.#lines.push(`< ${status}`);
     for (const [name, value] of Object.entries(headers).sort()) {
-      if (OWN_HEADER.test(name)) this.#lines.push(`< ${name}: ${value}`);
+      if (RECORDED_HEADERS.test(name)) this.#lines.push(`< ${name}: ${value}`);
     }
     for (const line of text.split("\n")) {
       if (line !== "") this.#lines.push(`< ${line}`);
@@ -113,20 +115,20 @@
     if (!isWhole) this.#lines.push("< (connection cut)");
   }
 
-  #noteCalls(): void {
-    const fresh = this.#transcripts.slice(this.#told);
-    this.#told = this.#transcripts.length;
+  #recordCalls(): void {
+    const fresh = this.#transcripts.slice(this.#reportedCalls);
+    this.#reportedCalls = this.#transcripts.length;
     this.#lines.push(...fresh.flat());
   }
 
-  #noteState(id: string, state: unknown): void {
+  #recordState(id: string, state: unknown): void {
     this.#lines.push(`== state of ${id}`, JSON.stringify(state, undefined, 1));
   }
 }
 
 /**
- * Posts with node:http, which tells a body that was cut from a whole one by its last chunk; `fetch`
- * takes some cut bodies for whole ones, depending on when the socket closes.
+ * Posts with node:http, which detects a truncated body by its missing last chunk. `fetch` reports some
+ * truncated bodies as complete, depending on when the socket closes.
  */
 async function post(
   url: string,
@@ -138,7 +140,7 @@
   const [answer] = await once(call, "response") as [IncomingMessage];
   const chunks: Buffer[] = [];
   answer.on("data", (chunk: Buffer) => chunks.push(chunk));
-  // A cut is seen by `complete`.
+  // `complete` shows whether the response was truncated.
   answer.on("error", () => {});
   await new Promise((resolve) => answer.once("close", resolve));
   return {
@@ -161,7 +163,7 @@
   body: { pet: "Rex" },
 };
 
-/** The sessions, by the names of their files. */
+/** Recorded sessions by the names of their golden files. */
 export const SESSIONS: Record<string, () => Promise<string>> = {
   streamed_chat: () =>
     record({}, (session) => session.send("streamed chat", STREAM)),
@@ -186,19 +188,19 @@
 };
 
 async function refuseWhenLeaving(session: Session): Promise<void> {
-  const { fleet, entry, seat } = session;
+  const { fleet, entry, agentSlot } = session;
   await fleet.engines[0]!.setFaults({ stallAfterPieces: 1 });
   const caller = new AbortController();
   const url = `http://${entry.entry.httpAddress}${CHAT_PATH}`;
   const authorization = `Bearer ${SAMPLE_CALLER_KEY}`;
-  const held = fetch(url, {
+  const openStream = fetch(url, {
     method: "POST",
     headers: { authorization },
     body: JSON.stringify(STREAM.body),
     signal: caller.signal,
   });
-  await held;
-  const stopped = seat.agent.stop();
+  await openStream;
+  const stopped = agentSlot.agent.stop();
   session.note("the only server leaves, while it has a stream");
   await session.send("chat", CHAT);
   caller.abort();
@@ -216,15 +218,15 @@
   const path = "/limits/maxInFlight";
   const written = await client.patch(SAMPLE_TEAM, { path, value: 7 });
   await client.close();
-  const version = BigInt(written.map((of) => of.version).unwrapOr(0));
+  const version = BigInt(written.map((change) => change.version).unwrapOr(0));
   await until(() => entry.entry.branches.revisionOf(SAMPLE_TEAM) === version);
   session.note("a change is in force at the entry");
   await session.send("chat after it", CHAT);
 }
 
 async function record(
-  shape: { engines?: number; services?: number; entries?: number },
-  play: (session: Session) => Promise<void>,
+  options: { engines?: number; services?: number; entries?: number },
+  scenario: (session: Session) => Promise<void>,
 ): Promise<string> {
   const transcripts: Transcript[] = [];
   const recorders: Recorder[] = [];
@@ -232,8 +234,8 @@
     engines: 1,
     services: 0,
     entries: 1,
-    ...shape,
-    between: async (id, address) => {
+    ...options,
+    proxyAgent: async (id, address) => {
       const recorder = await Recorder.create(id, address, {
         into: transcripts,
       });
@@ -243,7 +245,7 @@
   });
   try {
     const session = new Session(fleet, transcripts);
-    await play(session);
+    await scenario(session);
     return await session.end();
   } finally {
     await fleet.close();
@@ -251,20 +253,23 @@
   }
 }
 
-async function until(holds: () => boolean): Promise<void> {
-  while (!holds()) await new Promise((resolve) => setTimeout(resolve, POLL_MS));
+async function until(isMet: () => boolean): Promise<void> {
+  while (!isMet()) await new Promise((resolve) => setTimeout(resolve, POLL_MS));
 }
 
 const ID = /[0-9a-f]{8}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{12}/g;
 const ADDRESS = /127\.0\.0\.1:\d+/g;
 
-function normalise(text: string): string {
-  const seen = new Map<string, string>();
-  const numbered = (kind: string) => (found: string) => {
-    if (!seen.has(found)) seen.set(found, `<${kind} ${seen.size + 1}>`);
-    return seen.get(found)!;
+function normalize(text: string): string {
+  const names = new Map<string, string>();
+  const placeholder = (kind: string) => (found: string) => {
+    if (!names.has(found)) names.set(found, `<${kind} ${names.size + 1}>`);
+    return names.get(found)!;
   };
-  return text.replace(ID, numbered("id")).replace(ADDRESS, numbered("address"))
+  return text.replace(ID, placeholder("id")).replace(
+    ADDRESS,
+    placeholder("address"),
+  )
     .replace(/"created":\d+/g, '"created":<time>')
     .replace(/(retry-after(?:-ms)?): \d+/g, "$1: <time>");
 }
--- a/src/proof/_moved_agent.ts
+++ b/src/proof/_moved_agent.ts
@@ -1,18 +1,20 @@
-/** The agent of a seat as a process of its own, for faults that only a process can have. */
+/** Runs an agent of a fleet as a separate process, so that tests can send it signals. */
 import { Child } from "../e2e/_child.ts";
-import type { ProofFleet, Seat } from "./_fleet.ts";
+import type { AgentSlot, ProofFleet } from "./_fleet.ts";
 
 /**
- * @param fleet Whose agent.
- * @param seat Its agent in this process ends.
- * @returns The process that has taken its place, at the same address.
+ * Kills an agent of this process and starts a child process in its place.
+ *
+ * @param fleet Fleet of the agent.
+ * @param agentSlot Slot of the agent.
+ * @returns The child process, which listens at the same address.
  */
-export async function moveAgentOut(
+export async function moveAgentToProcess(
   { kv }: ProofFleet,
-  seat: Seat,
+  agentSlot: AgentSlot,
 ): Promise<Child> {
-  await seat.agent.kill();
-  const { id, pool, address, server } = seat;
+  await agentSlot.agent.kill();
+  const { id, pool, address, server } = agentSlot;
   const child = Child.create({
     program: "cli/main",
     args: [
--- a/src/proof/_oracle.ts
+++ b/src/proof/_oracle.ts
@@ -1,166 +1,170 @@
-/** What must hold whatever fails: judged by what stand-ins carried out and what callers saw. */
+/** Checks invariants by comparing what the stand-ins executed with what callers received. */
 import { SAMPLE_TEAM } from "../cli/sample_team.ts";
 import { decodeStored, type TeamBranch, teamKey } from "../config/mod.ts";
 import { prefixRange, type TableEvent } from "../store/revision_table.ts";
-import { answerTo, type ChatBody, type Seen } from "./_calls.ts";
+import { answerTo, type CallResult, type ChatBody } from "./_calls.ts";
 import type { EntrySlot, ProofFleet } from "./_fleet.ts";
 
-/** A booking's body: `word` is its own, but for repeats under one key. */
+/** Body of a booking; `word` is unique, except for repeats with the same idempotency key. */
 export interface Booking extends Record<string, unknown> {
   word: string;
   variant: number;
 }
 
-/** A change of configuration, as its operator saw it. */
-export interface ToldChange {
+/** Configuration change, with the outcome that the admin API reported. */
+export interface ReportedChange {
   value: number;
   outcome: "accepted" | "refused" | "unknown";
   revision: bigint;
 }
 
-interface TakenChange {
+interface CommittedChange {
   value: number;
   revision: bigint;
 }
 
 const EXECUTIONS = new Set(["not_run", "ran", "unknown"]);
 
-/** Watches one fleet. */
+/** Checks the invariants of one fleet. */
 export class Oracle {
-  /** What was found wrong. */
+  /** Violations found so far. */
   readonly violations: string[] = [];
   readonly #fleet: ProofFleet;
   readonly #notRunIds: string[] = [];
-  readonly #bookings = new Map<string, Seen[]>();
-  readonly #told: ToldChange[] = [];
-  readonly #taken: TakenChange[] = [];
-  readonly #inForce = new Map<string, bigint>();
+  readonly #bookings = new Map<string, CallResult[]>();
+  readonly #reportedChanges: ReportedChange[] = [];
+  readonly #committedChanges: CommittedChange[] = [];
+  readonly #lastVersions = new Map<string, bigint>();
 
   private constructor(fleet: ProofFleet) {
     this.#fleet = fleet;
     const { table } = fleet.kv.store;
     table.subscribe(prefixRange(teamKey(SAMPLE_TEAM)), 1n, (events) => {
-      for (const event of events) this.#noteTaken(event);
+      for (const event of events) this.#recordCommitted(event);
     });
   }
 
-  /** @param fleet A fleet that nobody has called yet. */
+  /** @param fleet Fleet that has received no calls yet. */
   static create(fleet: ProofFleet): Oracle {
     return new Oracle(fleet);
   }
 
-  /** The last change that the store took. */
-  get lastTaken(): TakenChange | undefined {
-    return this.#taken.at(-1);
+  /** Last configuration change that the store committed. */
+  get lastCommitted(): CommittedChange | undefined {
+    return this.#committedChanges.at(-1);
   }
 
-  /** Judges a model call. */
-  noteChat(body: ChatBody, seen: Seen): void {
-    this.#noteShape(seen);
+  /** Checks the outcome of a model call. */
+  checkChat(body: ChatBody, result: CallResult): void {
+    this.#checkOutcome(result);
     const expected = answerTo(body);
-    const isRight = seen.kind === "answer"
-      ? seen.text === expected
-      : expected.startsWith(seen.text);
-    if (!isRight) this.#violate("wrong text", seen);
+    const isCorrect = result.kind === "answer"
+      ? result.text === expected
+      : expected.startsWith(result.text);
+    if (!isCorrect) this.#report("wrong text", result);
   }
 
-  /** Judges a call that may be repeated. */
-  noteEcho(word: string, seen: Seen): void {
-    this.#noteShape(seen);
-    if (seen.kind === "answer" && !seen.text.includes(`word=${word}"`)) {
-      this.#violate("another call's echo", seen);
+  /** Checks the outcome of a call to the repeatable route. */
+  checkEcho(word: string, result: CallResult): void {
+    this.#checkOutcome(result);
+    if (result.kind === "answer" && !result.text.includes(`word=${word}"`)) {
+      this.#report("echo of another call", result);
     }
   }
 
-  /** Judges a booking. */
-  noteBooking(booking: Booking, seen: Seen): void {
-    this.#noteShape(seen);
+  /** Checks the outcome of a booking. */
+  checkBooking(booking: Booking, result: CallResult): void {
+    this.#checkOutcome(result);
     const { word } = booking;
-    this.#bookings.set(word, [...(this.#bookings.get(word) ?? []), seen]);
-    if (seen.kind !== "answer") return;
-    const { body } = JSON.parse(seen.text) as { body: string };
+    this.#bookings.set(word, [...(this.#bookings.get(word) ?? []), result]);
+    if (result.kind !== "answer") return;
+    const { body } = JSON.parse(result.text) as { body: string };
     if (body !== JSON.stringify(booking)) {
-      this.#violate("another booking's answer", seen);
+      this.#report("answer of another booking", result);
     }
   }
 
-  /** @param change What an operator was told. */
-  noteTold(change: ToldChange): void {
-    this.#told.push(change);
+  /** Stores a change, which {@link checkFinalState} checks. */
+  recordReportedChange(change: ReportedChange): void {
+    this.#reportedChanges.push(change);
   }
 
-  /** Entries never go back to an older version while they run. */
-  watchVersions(): void {
-    for (const { id, life, entry } of this.#fleet.entries) {
-      const name = `${id} life ${life}`;
-      const before = this.#inForce.get(name) ?? 0n;
+  /** Checks that no entry returned to an older configuration version since its start. */
+  checkVersionOrder(): void {
+    for (const { id, generation, entry } of this.#fleet.entries) {
+      const name = `${id} generation ${generation}`;
+      const before = this.#lastVersions.get(name) ?? 0n;
       const now = entry.branches.revisionOf(SAMPLE_TEAM);
       if (now < before) this.violations.push(`${name}: ${before} then ${now}`);
-      this.#inForce.set(name, now);
+      this.#lastVersions.set(name, now);
     }
   }
 
-  /** @returns True when the entry has the store's last version in force. */
-  isCurrent({ entry }: EntrySlot): boolean {
-    const held = entry.branches.get(SAMPLE_TEAM);
-    const last = this.lastTaken;
-    return held?.revision === last?.revision &&
-      held?.branch?.limits.tokensPerSecond === last?.value;
+  /** @returns True if the entry uses the last committed configuration. */
+  hasLastVersion({ entry }: EntrySlot): boolean {
+    const current = entry.branches.get(SAMPLE_TEAM);
+    const last = this.lastCommitted;
+    return current?.revision === last?.revision &&
+      current?.branch?.limits.tokensPerSecond === last?.value;
   }
 
-  /** Judges what can be told only when all is still. */
-  conclude(): void {
-    this.#concludeModelCalls();
-    for (const [word, seen] of this.#bookings) this.#concludeKey(word, seen);
-    for (const told of this.#told) this.#concludeChange(told);
+  /** Checks invariants that hold only when no call or change is in progress. */
+  checkFinalState(): void {
+    this.#checkModelCalls();
+    for (const [word, calls] of this.#bookings) this.#checkKey(word, calls);
+    for (const change of this.#reportedChanges) this.#checkChange(change);
   }
 
-  #noteShape(seen: Seen): void {
-    const { kind, execution, entryDied, requestId } = seen;
-    if (kind === "cut" && !entryDied) this.#violate("cut without error", seen);
+  #checkOutcome(result: CallResult): void {
+    const { kind, execution, entryDied, requestId } = result;
+    if (kind === "cut" && !entryDied) this.#report("cut without error", result);
     if (kind !== "error") return;
-    if (!EXECUTIONS.has(execution)) this.#violate("no execution", seen);
-    if (requestId === "") this.#violate("no request id", seen);
+    if (!EXECUTIONS.has(execution)) this.#report("no execution", result);
+    if (requestId === "") this.#report("no request id", result);
     if (execution === "not_run") this.#notRunIds.push(requestId);
   }
 
-  #concludeModelCalls(): void {
+  #checkModelCalls(): void {
     const ran = this.#fleet.engines.flatMap(({ executions }) =>
       executions.map(({ requestId }) => requestId)
     );
     for (const id of this.#notRunIds) {
       const found = ran.find((runId) => runId.startsWith(`${id}.`));
-      if (found) this.violations.push(`${found} ran, and was said not to`);
+      if (found) this.violations.push(`${found} ran, but reported not_run`);
     }
   }
 
-  #concludeKey(word: string, seen: Seen[]): void {
+  #checkKey(word: string, calls: CallResult[]): void {
     const runs = this.#fleet.services.flatMap(({ executions }) =>
       executions.filter(({ body }) => JSON.parse(body).word === word)
     );
-    const summary = `${word}: ${runs.length} runs, ${JSON.stringify(seen)}`;
-    if (runs.length > 1) this.violations.push(`Twice ${summary}`);
-    const answers = seen.filter(({ kind }) => kind === "answer");
+    const info = `${word}: ${runs.length} runs, ${JSON.stringify(calls)}`;
+    if (runs.length > 1) this.violations.push(`Ran more than once: ${info}`);
+    const answers = calls.filter(({ kind }) => kind === "answer");
     for (const { text } of answers) {
       const { execution } = JSON.parse(text);
-      if (execution !== runs[0]?.number) this.violations.push(`Not ${summary}`);
+      if (execution !== runs[0]?.number) this.violations.push(`Wrong: ${info}`);
     }
-    const isRefused = seen.every(({ execution }) => execution === "not_run");
-    if (isRefused && runs.length > 0) this.violations.push(`Ran ${summary}`);
+    const isRefused = calls.every(({ execution }) => execution === "not_run");
+    if (isRefused && runs.length > 0) this.violations.push(`Refused: ${info}`);
   }
 
-  #concludeChange({ value, outcome, revision }: ToldChange): void {
-    const taken = this.#taken.find((change) => change.value === value);
-    const isRight = outcome === "unknown" ||
+  #checkChange({ value, outcome, revision }: ReportedChange): void {
+    const committed = this.#committedChanges.find((change) =>
+      change.value === value
+    );
+    const isCorrect = outcome === "unknown" ||
       (outcome === "accepted"
-        ? taken?.revision === revision
-        : taken === undefined);
-    if (!isRight) {
-      this.violations.push(`Change ${value} was said to be ${outcome}`);
+        ? committed?.revision === revision
+        : committed === undefined);
+    if (!isCorrect) {
+      this.violations.push(
+        `Change ${value} was wrongly reported as ${outcome}`,
+      );
     }
   }
 
-  #noteTaken(event: TableEvent): void {
+  #recordCommitted(event: TableEvent): void {
     if (event.kind !== "put" || event.entry.key !== teamKey(SAMPLE_TEAM)) {
       return;
     }
@@ -171,10 +175,10 @@
     );
     const { limits } = stored.branch as TeamBranch;
     const revision = event.entry.modRevision;
-    this.#taken.push({ value: limits.tokensPerSecond, revision });
+    this.#committedChanges.push({ value: limits.tokensPerSecond, revision });
   }
 
-  #violate(what: string, seen: Seen): void {
-    this.violations.push(`${what}: ${JSON.stringify(seen)}`);
+  #report(rule: string, result: CallResult): void {
+    this.violations.push(`${rule}: ${JSON.stringify(result)}`);
   }
 }
--- a/src/proof/_recorder.ts
+++ b/src/proof/_recorder.ts
@@ -1,4 +1,4 @@
-/** Stands between entries and an agent, and writes down the calls in the words of the protocol. */
+/** Proxy between entries and an agent that records the calls as text. */
 import { credentials } from "@grpc/grpc-js";
 import {
   AgentClient,
@@ -14,10 +14,10 @@
 } from "../wire/gen/cicadahitch.ts";
 import { GrpcListener } from "../wire/mod.ts";
 
-/** One call and what came back, as lines. */
+/** Lines that describe one call and its replies. */
 export type Transcript = string[];
 
-/** Records the calls to one agent. */
+/** Proxy that records the calls to one agent. */
 export class Recorder {
   readonly #name: string;
   readonly #transcripts: Transcript[];
@@ -31,9 +31,9 @@
   }
 
   /**
-   * @param name The agent's, for the transcript.
-   * @param target Its address.
-   * @param options Where transcripts go, in the order in which calls begin.
+   * @param name Name of the agent in transcripts.
+   * @param target Address of the agent.
+   * @param options `into` receives the transcripts, in the order in which calls begin.
    * @returns A recorder that listens.
    */
   static async create(
@@ -67,7 +67,7 @@
     const client = this.#client;
     return {
       ask: ({ request }, reply) => {
-        const transcript = this.#begin(`Ask ${tellAsk(request)}`);
+        const transcript = this.#begin(`Ask ${formatAsk(request)}`);
         client.ask(request, (error, answer) => {
           if (answer?.verdict?.$case === "offer") {
             const { matchedTokens, recomputeTokens } = answer.verdict.value;
@@ -75,7 +75,7 @@
               `  <- offer matched=${matchedTokens} recompute=${recomputeTokens}`,
             );
           } else if (answer?.verdict) {
-            transcript.push(`  <- ${tellRefusal(answer.verdict.value)}`);
+            transcript.push(`  <- ${formatRefusal(answer.verdict.value)}`);
           }
           reply(error, answer);
         });
@@ -83,17 +83,17 @@
       run: (call) => {
         const up = client.run();
         const transcript = this.#begin("Run");
-        const downs = new DownTeller(transcript);
+        const downRecorder = new RunDownRecorder(transcript);
         call.on("data", (message: RunUp) => {
           if (message.step?.$case === "start") {
-            transcript.push(`  -> ${tellStart(message.step.value)}`);
+            transcript.push(`  -> ${formatStart(message.step.value)}`);
           }
           up.write(message);
         });
         call.on("end", () => up.end());
         call.on("cancelled", () => up.cancel());
         up.on("data", (message: RunDown) => {
-          downs.tell(message);
+          downRecorder.record(message);
           call.write(message);
         });
         up.on("error", () => call.end());
@@ -122,8 +122,11 @@
   }
 }
 
-/** Tells what an agent sends; consecutive pieces count as one, however they are packed. */
-class DownTeller {
+/**
+ * Records the messages that an agent sends on a Run call. Consecutive pieces become one line, however
+ * they are divided into messages.
+ */
+class RunDownRecorder {
   readonly #transcript: Transcript;
   #pieces: { line: number; first: number } | undefined;
 
@@ -131,7 +134,7 @@
     this.#transcript = transcript;
   }
 
-  tell({ step }: RunDown): void {
+  record({ step }: RunDown): void {
     if (step?.$case !== "pieces") this.#pieces = undefined;
     switch (step?.$case) {
       case "started": {
@@ -157,7 +160,7 @@
         );
       }
       case "refusal":
-        return this.#add(tellRefusal(step.value));
+        return this.#add(formatRefusal(step.value));
     }
   }
 
@@ -166,24 +169,24 @@
   }
 }
 
-function tellAsk(ask: AskRequest): string {
+function formatAsk(ask: AskRequest): string {
   const { runId, team, workspace, model, weightsVersion, chain } = ask;
-  const what = `${team}/${workspace} ${model}@${weightsVersion}`;
-  return `${runId} ${what} points=${chain.length} config=${ask.configVersion}`;
+  const target = `${team}/${workspace} ${model}@${weightsVersion}`;
+  return `${runId} ${target} points=${chain.length} config=${ask.configVersion}`;
 }
 
-function tellStart(start: StartRun): string {
+function formatStart(start: StartRun): string {
   const { ask, attempt, nextSeq, attachOnly, call } = start;
   const kind = call?.$case ?? "none";
   const mode = attachOnly ? "attach" : "start";
-  const place = start.holdId === "" ? "no hold" : "held";
+  const hold = start.holdId === "" ? "no hold" : "held";
   const once = call?.$case === "plainCall" && call.value.atMostOnce
     ? " at most once"
     : "";
-  return `${mode} ${ask?.runId} attempt=${attempt} next=${nextSeq} ${kind}${once} ${place}`;
+  return `${mode} ${ask?.runId} attempt=${attempt} next=${nextSeq} ${kind}${once} ${hold}`;
 }
 
-function tellRefusal({ code, message }: Refusal): string {
+function formatRefusal({ code, message }: Refusal): string {
   return `refusal ${nameOf(RefusalCode, code)}: ${message}`;
 }
 
--- a/src/proof/_world.ts
+++ b/src/proof/_world.ts
@@ -1,28 +1,28 @@
-/** A fleet, its oracle, and what goes on beside the commands of a fuzzing run. */
+/** Fleet, oracle and background tasks that the commands of a fuzzing run use. */
 import { AdminClient } from "../admin/mod.ts";
 import { SAMPLE_ADMIN_KEY, SAMPLE_TEAM } from "../cli/sample_team.ts";
 import {
   callBooking,
   callEcho,
-  callStream,
-  callWhole,
+  callNonStreaming,
+  callStreaming,
   type ChatBody,
   chatBody,
 } from "./_calls.ts";
-import { type EntrySlot, ProofFleet, type Seat } from "./_fleet.ts";
-import { type Booking, Oracle, type ToldChange } from "./_oracle.ts";
+import { type AgentSlot, type EntrySlot, ProofFleet } from "./_fleet.ts";
+import { type Booking, Oracle, type ReportedChange } from "./_oracle.ts";
 
-/** Bounds how long all may take to be well again after the last fault. */
-const SETTLE_MS = 30_000;
+/** Timeout for the recovery of an entry after the last fault, in ms. */
+const RECOVERY_TIMEOUT_MS = 30_000;
 const RETRY_MS = 50;
-const FIRST_VALUE = 1_000_000;
+const FIRST_LIMIT = 1_000_000;
 
-/** What commands act on. */
+/** State of one fuzzing run. */
 export class World {
   readonly fleet: ProofFleet;
   readonly oracle: Oracle;
   readonly #pending = new Set<Promise<void>>();
-  readonly #busy = new Set<string>();
+  readonly #lockedIds = new Set<string>();
   #count = 0;
 
   private constructor(fleet: ProofFleet) {
@@ -30,48 +30,51 @@
     this.oracle = Oracle.create(fleet);
   }
 
-  /** @returns A world in which nothing has happened yet. */
+  /** @returns World with a new fleet. */
   static async create(): Promise<World> {
     return new World(await ProofFleet.create());
   }
 
-  /** @returns One of the entries. */
+  /** @returns Entry at this index modulo the number of entries. */
   entry(index: number): EntrySlot {
     const { entries } = this.fleet;
     return entries[index % entries.length]!;
   }
 
-  /** @returns One of the seats. */
-  seat(index: number): Seat {
-    const { seats } = this.fleet;
-    return seats[index % seats.length]!;
+  /** @returns Agent slot at this index modulo the number of slots. */
+  agentSlot(index: number): AgentSlot {
+    const { agentSlots } = this.fleet;
+    return agentSlots[index % agentSlots.length]!;
   }
 
-  /** Lets something go on beside the commands that follow. */
-  beside(work: Promise<void>): void {
+  /** Lets a task run while further commands are executed; {@link settleAndCheck} waits for it. */
+  runInBackground(work: Promise<void>): void {
     const failed = (error: unknown) =>
-      void this.oracle.violations.push(`Broke off: ${error}`);
+      void this.oracle.violations.push(`Background task failed: ${error}`);
     const done = work.catch(failed).finally(() => this.#pending.delete(done));
     this.#pending.add(done);
   }
 
-  /** Does something to a process beside what follows, unless something is being done to it. */
-  handle(id: string, work: () => Promise<void>): void {
-    if (this.#busy.has(id)) return;
-    this.#busy.add(id);
-    this.beside(work().finally(() => this.#busy.delete(id)));
+  /** Runs a background task on a process, unless another such task is running on it. */
+  runExclusively(id: string, work: () => Promise<void>): void {
+    if (this.#lockedIds.has(id)) return;
+    this.#lockedIds.add(id);
+    this.runInBackground(work().finally(() => this.#lockedIds.delete(id)));
   }
 
+  /** Makes a chat completion call and checks its outcome. */
   async chat(slot: EntrySlot, body: ChatBody, isWhole: boolean): Promise<void> {
-    const call = isWhole ? callWhole : callStream;
-    this.oracle.noteChat(body, await call(slot, body));
+    const call = isWhole ? callNonStreaming : callStreaming;
+    this.oracle.checkChat(body, await call(slot, body));
   }
 
+  /** Calls the repeatable route and checks the outcome. */
   async echo(slot: EntrySlot): Promise<void> {
     const word = `echo-${++this.#count}`;
-    this.oracle.noteEcho(word, await callEcho(slot, word));
+    this.oracle.checkEcho(word, await callEcho(slot, word));
   }
 
+  /** Makes a booking and checks its outcome. */
   async book(
     slot: EntrySlot,
     booking: Booking,
@@ -79,12 +82,13 @@
   ): Promise<void> {
     const word = hasKey ? booking.word : `${booking.word}-${++this.#count}`;
     const body = { ...booking, word };
-    const seen = await callBooking(slot, body, hasKey ? word : "");
-    this.oracle.noteBooking(body, seen);
+    const result = await callBooking(slot, body, hasKey ? word : "");
+    this.oracle.checkBooking(body, result);
   }
 
+  /** Changes the configuration and records the reported outcome. */
   async configure(slot: EntrySlot): Promise<void> {
-    const value = FIRST_VALUE + ++this.#count;
+    const value = FIRST_LIMIT + ++this.#count;
     const url = `http://${slot.entry.adminAddress}`;
     const client = AdminClient.create({
       url,
@@ -94,8 +98,8 @@
     const change = { path: "/limits/tokensPerSecond", value };
     const answer = await client.patch(SAMPLE_TEAM, change);
     await client.close();
-    this.oracle.noteTold(
-      answer.match<ToldChange>({
+    this.oracle.recordReportedChange(
+      answer.match<ReportedChange>({
         Ok: ({ version }) => ({
           value,
           outcome: "accepted",
@@ -110,17 +114,17 @@
     );
   }
 
-  /** Ends all faults, waits until all is well again, and judges. */
-  async conclude(): Promise<string[]> {
-    await this.#endFaults();
+  /** Removes all faults, waits until each entry has recovered, and checks all invariants. */
+  async settleAndCheck(): Promise<string[]> {
+    await this.#removeFaults();
     while (this.#pending.size > 0) await Promise.all(this.#pending);
-    for (const slot of this.fleet.entries) await this.#recover(slot);
-    this.oracle.watchVersions();
-    this.oracle.conclude();
+    for (const slot of this.fleet.entries) await this.#waitForRecovery(slot);
+    this.oracle.checkVersionOrder();
+    this.oracle.checkFinalState();
     return this.oracle.violations;
   }
 
-  async #endFaults(): Promise<void> {
+  async #removeFaults(): Promise<void> {
     const { kv, entries, engines, services } = this.fleet;
     await kv.setFaults({
       down: false,
@@ -140,36 +144,36 @@
     }
   }
 
-  /** An entry must serve all kinds of calls again, and have the last configuration in force. */
-  async #recover(slot: EntrySlot): Promise<void> {
-    const untilMs = performance.now() + SETTLE_MS;
-    const word = () => `last-${++this.#count}`;
-    await this.#until(untilMs, `${slot.id} serves models`, async () => {
-      const seen = await callWhole(slot, chatBody(word(), 4));
-      return seen.kind === "answer";
+  /** Waits until an entry serves model calls and bookings and uses the last configuration. */
+  async #waitForRecovery(slot: EntrySlot): Promise<void> {
+    const untilMs = performance.now() + RECOVERY_TIMEOUT_MS;
+    const newWord = () => `last-${++this.#count}`;
+    await this.#waitUntil(untilMs, `${slot.id} serves models`, async () => {
+      const result = await callNonStreaming(slot, chatBody(newWord(), 4));
+      return result.kind === "answer";
     });
-    await this.#until(untilMs, `${slot.id} serves bookings`, async () => {
-      const key = word();
+    await this.#waitUntil(untilMs, `${slot.id} serves bookings`, async () => {
+      const key = newWord();
       const body = { word: key, variant: 0 };
-      const seen = await callBooking(slot, body, key);
-      this.oracle.noteBooking(body, seen);
-      return seen.kind === "answer";
+      const result = await callBooking(slot, body, key);
+      this.oracle.checkBooking(body, result);
+      return result.kind === "answer";
     });
-    await this.#until(
+    await this.#waitUntil(
       untilMs,
-      `${slot.id} is current`,
-      () => Promise.resolve(this.oracle.isCurrent(slot)),
+      `${slot.id} uses the last configuration`,
+      () => Promise.resolve(this.oracle.hasLastVersion(slot)),
     );
   }
 
-  async #until(
+  async #waitUntil(
     untilMs: number,
-    what: string,
-    holds: () => Promise<boolean>,
+    goal: string,
+    isMet: () => Promise<boolean>,
   ): Promise<void> {
-    while (!await holds()) {
+    while (!await isMet()) {
       if (performance.now() > untilMs) {
-        this.oracle.violations.push(`Never came back: ${what}`);
+        this.oracle.violations.push(`Did not recover in time: ${goal}`);
         return;
       }
       await new Promise((resolve) => setTimeout(resolve, RETRY_MS));
--- a/src/proof/at_most_once_test.ts
+++ b/src/proof/at_most_once_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test, type TestContext } from "node:test";
-import { callBooking, type Seen } from "./_calls.ts";
-import { type EntrySlot, ProofFleet, type Seat } from "./_fleet.ts";
+import { callBooking, type CallResult } from "./_calls.ts";
+import { type AgentSlot, type EntrySlot, ProofFleet } from "./_fleet.ts";
 
 const SLOW_MS = 300;
 const RETRY_MS = 50;
@@ -22,64 +22,64 @@
   return services.reduce((sum, { executions }) => sum + executions.length, 0);
 }
 
-/** Waits until an agent has the call, and says which. */
-async function busySeat(fleet: ProofFleet): Promise<Seat> {
+/** Waits until an agent has a call in progress, and returns its slot. */
+async function busyAgentSlot(fleet: ProofFleet): Promise<AgentSlot> {
   for (let tries = 0; tries < MAX_TRIES; tries++) {
-    const busy = fleet.busySeat;
-    if (busy) return busy;
+    const slot = fleet.busyAgentSlot;
+    if (slot) return slot;
     await new Promise((resolve) => setTimeout(resolve, 1));
   }
-  throw new Error("No agent has the call");
+  throw new Error("No agent has a call in progress");
 }
 
-/** Repeats a booking until it is no longer refused. */
-async function bookUntilTaken(slot: EntrySlot): Promise<Seen> {
-  let seen = await callBooking(slot, BOOKING, "k");
+/** Repeats a booking until an outcome other than `not_run` is returned. */
+async function bookUntilRun(slot: EntrySlot): Promise<CallResult> {
+  let result = await callBooking(slot, BOOKING, "k");
   for (let tries = 0; tries < MAX_TRIES; tries++) {
-    if (seen.execution !== "not_run") return seen;
+    if (result.execution !== "not_run") return result;
     await new Promise((resolve) => setTimeout(resolve, RETRY_MS));
-    seen = await callBooking(slot, BOOKING, "k");
+    result = await callBooking(slot, BOOKING, "k");
   }
-  return seen;
+  return result;
 }
 
-function assertFirstAnswer(seen: Seen): void {
-  assert.equal(seen.status, 201, JSON.stringify(seen));
+function assertFirstAnswer(result: CallResult): void {
+  assert.equal(result.status, 201, JSON.stringify(result));
   const answer = { execution: 1, body: JSON.stringify(BOOKING) };
-  assert.deepEqual(JSON.parse(seen.text), answer);
+  assert.deepEqual(JSON.parse(result.text), answer);
 }
 
-test("one key through two entries at once", async (context) => {
+test("concurrent calls with one idempotency key through two entries run once", async (context) => {
   const fleet = await start(context);
   await slowDown(fleet);
   const calls = Array.from({ length: 8 }, (_, index) => {
     const slot = fleet.entries[index % 2]!;
     return callBooking(slot, BOOKING, "k");
   });
-  for (const seen of await Promise.all(calls)) assertFirstAnswer(seen);
+  for (const result of await Promise.all(calls)) assertFirstAnswer(result);
   assert.equal(runCount(fleet), 1);
 });
 
-test("a repeat after the entry's crash gets the first answer", async (context) => {
+test("a repeat after an entry crash gets the first answer", async (context) => {
   const fleet = await start(context);
   await slowDown(fleet);
   const [first, second] = fleet.entries;
-  const cut = callBooking(first!, BOOKING, "k");
-  await busySeat(fleet);
+  const interrupted = callBooking(first!, BOOKING, "k");
+  await busyAgentSlot(fleet);
   await fleet.crashEntry(first!);
-  assert.equal((await cut).kind, "cut");
+  assert.equal((await interrupted).kind, "cut");
   assertFirstAnswer(await callBooking(second!, BOOKING, "k"));
   assert.equal(runCount(fleet), 1);
 });
 
-test("a repeat after the agent's crash runs nothing", async (context) => {
+test("a repeat after an agent crash does not run again", async (context) => {
   const fleet = await start(context);
   await slowDown(fleet);
   const [first, second] = fleet.entries;
   const broken = callBooking(first!, BOOKING, "k");
-  await fleet.crashAgent(await busySeat(fleet));
-  const isRun = (seen: Seen) => seen.execution !== "not_run";
-  assert.ok(isRun(await broken) || runCount(fleet) === 0);
+  await fleet.crashAgent(await busyAgentSlot(fleet));
+  const mayHaveRun = (result: CallResult) => result.execution !== "not_run";
+  assert.ok(mayHaveRun(await broken) || runCount(fleet) === 0);
   await new Promise((resolve) => setTimeout(resolve, SLOW_MS));
   const runs = runCount(fleet);
   const again = await callBooking(second!, BOOKING, "k");
@@ -87,19 +87,19 @@
   assert.ok(runCount(fleet) <= 1);
 });
 
-test("a lost answer of the service is unknown, also when repeated", async (context) => {
+test("a call whose answer from the service was lost is unknown, also when repeated", async (context) => {
   const fleet = await start(context);
   for (const service of fleet.services) {
     await service.setFaults({ dropAnswers: 1 });
   }
   for (const slot of fleet.entries) {
-    const seen = await callBooking(slot, BOOKING, "k");
-    assert.equal(seen.execution, "unknown", JSON.stringify(seen));
+    const result = await callBooking(slot, BOOKING, "k");
+    assert.equal(result.execution, "unknown", JSON.stringify(result));
   }
   assert.equal(runCount(fleet), 1);
 });
 
-test("in an outage nothing is run, and afterwards it runs once", async (context) => {
+test("a booking does not run in a store outage, and runs once after it", async (context) => {
   const fleet = await start(context);
   const [first, second] = fleet.entries;
   await fleet.kv.setFaults({ down: true });
@@ -109,20 +109,20 @@
   }
   assert.equal(runCount(fleet), 0);
   await fleet.kv.setFaults({ down: false });
-  assertFirstAnswer(await bookUntilTaken(first!));
+  assertFirstAnswer(await bookUntilRun(first!));
   assertFirstAnswer(await callBooking(second!, BOOKING, "k"));
   assert.equal(runCount(fleet), 1);
 });
 
-test("another owner of the key knows the claim", async (context) => {
+test("a new owner of an idempotency key knows its claim", async (context) => {
   const fleet = await start(context);
   const [slot] = fleet.entries;
   assertFirstAnswer(await callBooking(slot!, BOOKING, "k"));
-  const owner = fleet.seats.find(({ server }) =>
+  const owner = fleet.agentSlots.find(({ server }) =>
     server.kind === "service" && server.standin.executions.length > 0
   );
   await fleet.removeAgent(owner!);
-  const seen = await bookUntilTaken(slot!);
-  assert.match(seen.execution, /^(ran|unknown)$/, JSON.stringify(seen));
+  const result = await bookUntilRun(slot!);
+  assert.match(result.execution, /^(ran|unknown)$/, JSON.stringify(result));
   assert.equal(runCount(fleet), 1);
 });
--- a/src/proof/fuzz_main.ts
+++ b/src/proof/fuzz_main.ts
@@ -1,4 +1,4 @@
-/** A long fuzzing run: `npm run fuzz -- --seed N --minutes M [--path P]`; prints a report as JSON. */
+/** Fuzzes and prints a JSON report: `npm run fuzz -- --seed N --minutes M [--path P]`. */
 import fc from "fast-check";
 import yargs from "yargs";
 import { hideBin } from "yargs/helpers";
@@ -6,7 +6,7 @@
 import { fleetProperty } from "./_fuzz.ts";
 
 const MS_PER_MINUTE = 60_000;
-const FAULT = "fault:";
+const FAULT_PREFIX = "fault:";
 
 const options = await yargs(hideBin(process.argv)).options({
   seed: { type: "number", default: 1 },
@@ -30,7 +30,7 @@
   minutes: Math.round((performance.now() - startMs) / MS_PER_MINUTE * 10) / 10,
   runs: details.numRuns,
   commands: sum(byName),
-  faults: sum(byName.filter(([name]) => name.startsWith(FAULT))),
+  faults: sum(byName.filter(([name]) => name.startsWith(FAULT_PREFIX))),
   byName: Object.fromEntries(byName),
   finding: details.failed
     ? {
@@ -43,6 +43,6 @@
 process.stdout.write(`${JSON.stringify(report, undefined, 2)}\n`);
 process.exit(details.failed ? 1 : 0);
 
-function sum(counted: [string, number][]): number {
-  return counted.reduce((total, [, count]) => total + count, 0);
+function sum(entries: [string, number][]): number {
+  return entries.reduce((total, [, count]) => total + count, 0);
 }
--- a/src/proof/golden_main.ts
+++ b/src/proof/golden_main.ts
@@ -1,4 +1,4 @@
-/** `npm run golden`: shows how sessions differ from their files; with `--update`, writes the files. */
+/** `npm run golden`: compares sessions with their golden files; `--update` rewrites the files. */
 import assert from "node:assert/strict";
 import { mkdirSync, readFileSync, writeFileSync } from "node:fs";
 import { GOLDEN_DIRECTORY, SESSIONS } from "./_golden.ts";
@@ -9,7 +9,7 @@
 for (const [name, record] of Object.entries(SESSIONS)) {
   const file = new URL(`${name}.txt`, GOLDEN_DIRECTORY);
   const text = await record();
-  const difference = differenceOf(read(file), text);
+  const difference = describeDifference(readOrEmpty(file), text);
   if (difference === "") continue;
   changed++;
   process.stdout.write(`${name}: ${difference}\n`);
@@ -17,7 +17,7 @@
 }
 process.exitCode = changed > 0 && !isUpdate ? 1 : 0;
 
-function read(file: URL): string {
+function readOrEmpty(file: URL): string {
   try {
     return readFileSync(file, "utf8");
   } catch {
@@ -25,7 +25,7 @@
   }
 }
 
-function differenceOf(expected: string, actual: string): string {
+function describeDifference(expected: string, actual: string): string {
   try {
     assert.deepEqual(actual.split("\n"), expected.split("\n"));
     return "";
--- a/src/proof/late_hold_test.ts
+++ b/src/proof/late_hold_test.ts
@@ -1,14 +1,14 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { setImmediate as nextTurn } from "node:timers/promises";
-import { answerTo, callStream, chatBody } from "./_calls.ts";
+import { answerTo, callStreaming, chatBody } from "./_calls.ts";
 import { PROGRESS_MS, ProofFleet } from "./_fleet.ts";
 
 const HOLD_MS = 1;
 const STALL_MS = 10;
 const CALLS = 10;
 
-/** Blocks this process between any two turns of its loop, so that each hold lapses unused. */
+/** Blocks the event loop before every iteration, so that each hold expires unused. */
 async function stall(signal: AbortSignal): Promise<void> {
   while (!signal.aborted) {
     const untilMs = performance.now() + STALL_MS;
@@ -17,23 +17,23 @@
   }
 }
 
-test("an entry that stalls longer than a hold is still served", async (context) => {
+test("calls succeed at an entry that stalls for longer than its holds last", async (context) => {
   const fleet = await ProofFleet.create({
     entries: 1,
     services: 0,
     tuning: { holdMs: HOLD_MS, progressMs: PROGRESS_MS, listWaitMs: 500 },
   });
   context.after(() => fleet.close());
-  const stalling = new AbortController();
-  const stalled = stall(stalling.signal);
+  const abortController = new AbortController();
+  const stalled = stall(abortController.signal);
   for (let index = 0; index < CALLS; index++) {
     const body = chatBody(`call ${index}`, 4);
-    const seen = await callStream(fleet.entries[0]!, body);
-    assert.equal(seen.text, answerTo(body), JSON.stringify(seen));
+    const result = await callStreaming(fleet.entries[0]!, body);
+    assert.equal(result.text, answerTo(body), JSON.stringify(result));
   }
-  stalling.abort();
+  abortController.abort();
   await stalled;
-  for (const { agent } of fleet.seats) {
+  for (const { agent } of fleet.agentSlots) {
     const { refusals } = agent.dumpState() as { refusals: { counts: object } };
     assert.ok(!("HOLD_GONE" in refusals.counts), JSON.stringify(refusals));
   }
--- a/src/proof/paused_test.ts
+++ b/src/proof/paused_test.ts
@@ -8,63 +8,77 @@
   sha256Hex,
 } from "../cli/sample_team.ts";
 import { Child } from "../e2e/_child.ts";
-import { callBooking, callStream, chatBody, type Seen } from "./_calls.ts";
+import {
+  callBooking,
+  type CallResult,
+  callStreaming,
+  chatBody,
+} from "./_calls.ts";
 import { ProofFleet } from "./_fleet.ts";
-import { moveAgentOut } from "./_moved_agent.ts";
+import { moveAgentToProcess } from "./_moved_agent.ts";
 
-const KEYS = 24;
+const KEY_COUNT = 24;
 const SLOW_COMMIT_MS = 400;
 const POLL_MS = 20;
 const MAX_TRIES = 1500;
 
-function runsOf({ services }: ProofFleet, word: string): number {
+function runCount({ services }: ProofFleet, word: string): number {
   const runs = services.flatMap(({ executions }) => executions);
   return runs.filter(({ body }) => JSON.parse(body).word === word).length;
 }
 
-async function until(holds: () => boolean | Promise<boolean>): Promise<void> {
-  for (let tries = 0; !await holds(); tries++) {
-    assert.ok(tries < MAX_TRIES, "It never came to hold");
+async function until(
+  isMet: () => boolean | Promise<boolean>,
+): Promise<void> {
+  for (let tries = 0; !await isMet(); tries++) {
+    assert.ok(tries < MAX_TRIES, "Condition was not met in time");
     await new Promise((resolve) => setTimeout(resolve, POLL_MS));
   }
 }
 
-test("an agent that was paused around its claims wakes and runs none twice", async (context) => {
+test("an agent that was paused during its claims runs no call twice", async (context) => {
   const fleet = await ProofFleet.create({ engines: 0 });
   context.after(() => fleet.close());
   const [first, second] = fleet.entries;
-  const paused = fleet.seats[1]!;
-  const child = await moveAgentOut(fleet, paused);
+  const paused = fleet.agentSlots[1]!;
+  const child = await moveAgentToProcess(fleet, paused);
   context.after(() => child.close());
   await callBooking(first!, { word: "warm" }, "warm");
-  const words = Array.from({ length: KEYS }, (_, index) => `word-${index}`);
+  const words = Array.from(
+    { length: KEY_COUNT },
+    (_, index) => `word-${index}`,
+  );
   const book = (slot: typeof first, word: string) =>
     callBooking(slot!, { word }, word);
-  // Commits are under way, and no claim is granted yet.
+  // Pause the agent while its commits are in flight and before any claim is granted.
   await fleet.kv.setFaults({ slowMs: SLOW_COMMIT_MS });
   const firstTries = words.map((word) => book(first, word));
   await new Promise((resolve) => setTimeout(resolve, SLOW_COMMIT_MS / 2));
   child.kill("SIGSTOP");
   await fleet.kv.setFaults({ slowMs: 0 });
-  fleet.showState(paused, "gone");
+  fleet.setListedState(paused, "gone");
   const repeats = await Promise.all(words.map((word) => book(second, word)));
   child.kill("SIGCONT");
   const firsts = await Promise.all(firstTries);
-  fleet.showState(paused, "live");
+  fleet.setListedState(paused, "live");
   const last = await Promise.all(words.map((word) => book(first, word)));
   for (const [index, word] of words.entries()) {
-    const seen: Seen[] = [firsts[index]!, repeats[index]!, last[index]!];
-    const runs = runsOf(fleet, word);
-    const story = `${word}: ${runs} runs, ${JSON.stringify(seen)}`;
-    assert.ok(runs <= 1, story);
-    const isAnswered = seen.some(({ kind }) => kind === "answer");
-    if (isAnswered) assert.equal(runs, 1, story);
-    const isRefused = seen.every(({ execution }) => execution === "not_run");
-    if (isRefused) assert.equal(runs, 0, story);
+    const results: CallResult[] = [
+      firsts[index]!,
+      repeats[index]!,
+      last[index]!,
+    ];
+    const runs = runCount(fleet, word);
+    const details = `${word}: ${runs} runs, ${JSON.stringify(results)}`;
+    assert.ok(runs <= 1, details);
+    const isAnswered = results.some(({ kind }) => kind === "answer");
+    if (isAnswered) assert.equal(runs, 1, details);
+    const isRefused = results.every(({ execution }) => execution === "not_run");
+    if (isRefused) assert.equal(runs, 0, details);
   }
 });
 
-test("an entry that was paused wakes with an old version and takes the new one", async (context) => {
+test("an entry that was paused with an old configuration version adopts the new one", async (context) => {
   const fleet = await ProofFleet.create({ services: 0, entries: 1 });
   context.after(() => fleet.close());
   const [slot] = fleet.entries;
@@ -77,7 +91,7 @@
       ...["--admin-address", "127.0.0.1:0"],
       ...["--admin-key-sha256", sha256Hex(SAMPLE_ADMIN_KEY)],
       ...["--store-address", fleet.kv.address],
-      ...["--seed-addresses", fleet.seats.map((s) => s.address).join(",")],
+      ...["--seed-addresses", fleet.agentSlots.map((s) => s.address).join(",")],
     ],
   });
   context.after(() => child.close());
@@ -93,31 +107,31 @@
     context.after(() => client.close());
     return client;
   };
-  const here = clientOf(slot!.entry.adminAddress);
-  const sleeper = clientOf(listening.admin);
+  const running = clientOf(slot!.entry.adminAddress);
+  const resumed = clientOf(listening.admin);
   child.kill("SIGSTOP");
   const path = `/pools/${SAMPLE_POOLS.engines}/fencing`;
-  const written = await here.patch(SAMPLE_TEAM, { path, value: "ignored" });
+  const written = await running.patch(SAMPLE_TEAM, { path, value: "ignored" });
   const { version } = written.unwrapOrElse((failure) => {
     throw new Error(JSON.stringify(failure));
   });
   child.kill("SIGCONT");
-  // A write that expects the version from before the pause must not win over the newer one.
-  const stale = await sleeper.patch(
+  // A write that expects the version from before the pause must not overwrite the newer version.
+  const stale = await resumed.patch(
     SAMPLE_TEAM,
     { path, value: "enforced" },
     version - 1,
   );
   assert.equal(stale.isErr && stale.error.kind, "refused");
   await until(async () => {
-    const listed = await sleeper.list();
+    const listed = await resumed.list();
     return listed.isOk && listed.value.teams[0]?.version === version;
   });
-  const asleep = { ...slot!, entry: { httpAddress: listening.http } };
-  const seen = await callStream(
-    asleep as typeof slot & object,
+  const resumedSlot = { ...slot!, entry: { httpAddress: listening.http } };
+  const result = await callStreaming(
+    resumedSlot as typeof slot & object,
     chatBody("awake"),
   );
-  assert.equal(seen.kind, "answer", JSON.stringify(seen));
+  assert.equal(result.kind, "answer", JSON.stringify(result));
   assert.equal(slot!.entry.branches.revisionOf(SAMPLE_TEAM), BigInt(version));
 });
--- a/src/proof/recovery_main.ts
+++ b/src/proof/recovery_main.ts
@@ -1,15 +1,19 @@
-/** `npm run recovery`: how long the fleet takes to be well after a fault; medians as JSON, in ms. */
+/** `npm run recovery`: measures recovery times after faults and prints medians in ms as JSON. */
 import { DEFAULT_TUNING } from "../entry/mod.ts";
-import { callStream, callWhole, chatBody } from "./_calls.ts";
-import { ProofFleet, type ProofFleetOptions, type Seat } from "./_fleet.ts";
-import { moveAgentOut } from "./_moved_agent.ts";
+import { callNonStreaming, callStreaming, chatBody } from "./_calls.ts";
+import {
+  type AgentSlot,
+  ProofFleet,
+  type ProofFleetOptions,
+} from "./_fleet.ts";
+import { moveAgentToProcess } from "./_moved_agent.ts";
 
 const RUNS = 5;
 const RETRY_MS = 5;
-const WARM_CALLS = 10;
+const WARM_UP_CALLS = 10;
 const PROMPT = "coat history ".repeat(200);
-const EVENTS_BEFORE = 10;
-const WARM_ROUNDS = 4;
+const EVENTS_BEFORE_FAULT = 10;
+const WARM_UP_ROUNDS = 4;
 const PROMPTS = 20;
 const DRAIN_WATCH_MS = 2000;
 const DRAIN_CALL_EVERY_MS = 10;
@@ -19,16 +23,16 @@
 const MEASURES: Record<string, Measure> = {
   killedEngineToAnswer: () =>
     withFleet({}, async (fleet) => {
-      const seat = await warm(fleet);
-      await seat.server.standin.down();
+      const agentSlot = await warmUp(fleet);
+      await agentSlot.server.standin.down();
       return await timeToAnswer(fleet);
     }),
   killedAgentToAnswer: () =>
     withFleet({}, async (fleet) => {
-      const seat = await warm(fleet);
-      const child = await moveAgentOut(fleet, seat);
+      const agentSlot = await warmUp(fleet);
+      const child = await moveAgentToProcess(fleet, agentSlot);
       try {
-        await warm(fleet);
+        await warmUp(fleet);
         child.kill("SIGKILL");
         return await timeToAnswer(fleet);
       } finally {
@@ -36,16 +40,16 @@
       }
     }),
   silentConnectionToNextPiece: () =>
-    withFleet({ engine: { decodeMsPerToken: 10 } }, measureSilence),
-  allEntriesRestartedStoreUp: () => withFleet({}, measureHerd),
+    withFleet({ engine: { decodeMsPerToken: 10 } }, measureStreamGap),
+  allEntriesRestartedStoreUp: () => withFleet({}, measureRestart),
   allEntriesRestartedStoreDown: () =>
     withFleet({}, async (fleet) => {
-      await warm(fleet);
+      await warmUp(fleet);
       await fleet.kv.setFaults({ down: true });
-      return await measureHerd(fleet);
+      return await measureRestart(fleet);
     }),
   leavingToLastNewWork: () =>
-    withFleet({ engine: { decodeMsPerToken: 10 } }, measureLeaving),
+    withFleet({ engine: { decodeMsPerToken: 10 } }, measureDrain),
 };
 
 const report: Record<string, unknown> = {};
@@ -60,13 +64,13 @@
 process.exit(0);
 
 async function withFleet<T>(
-  shape: Partial<ProofFleetOptions>,
+  options: Partial<ProofFleetOptions>,
   measure: (fleet: ProofFleet) => Promise<T>,
 ): Promise<T> {
   const fleet = await ProofFleet.create({
     services: 0,
     tuning: DEFAULT_TUNING,
-    ...shape,
+    ...options,
   });
   try {
     return await measure(fleet);
@@ -75,65 +79,68 @@
   }
 }
 
-/** Sends one prompt until its server is settled, and says which that is. */
-async function warm(fleet: ProofFleet): Promise<Seat> {
+/** Sends one prompt repeatedly, and returns the slot of the engine that served the last call. */
+async function warmUp(fleet: ProofFleet): Promise<AgentSlot> {
   let counts: number[] = [];
-  for (let call = 0; call < WARM_CALLS; call++) {
+  for (let call = 0; call < WARM_UP_CALLS; call++) {
     counts = fleet.engines.map(({ executions }) => executions.length);
-    await mustAnswer(fleet);
+    await callOrThrow(fleet);
   }
   const index = fleet.engines.findIndex(({ executions }, at) =>
     executions.length > counts[at]!
   );
-  return fleet.seats[index]!;
+  return fleet.agentSlots[index]!;
 }
 
-async function mustAnswer(fleet: ProofFleet): Promise<void> {
-  const seen = await callWhole(fleet.entries[0]!, chatBody(PROMPT, 4));
-  if (seen.kind !== "answer") throw new Error(JSON.stringify(seen));
+async function callOrThrow(fleet: ProofFleet): Promise<void> {
+  const result = await callNonStreaming(fleet.entries[0]!, chatBody(PROMPT, 4));
+  if (result.kind !== "answer") throw new Error(JSON.stringify(result));
 }
 
 async function timeToAnswer(fleet: ProofFleet): Promise<number> {
   const startMs = performance.now();
   for (;;) {
-    const seen = await callWhole(fleet.entries[0]!, chatBody(PROMPT, 4));
-    if (seen.kind === "answer") return performance.now() - startMs;
+    const result = await callNonStreaming(
+      fleet.entries[0]!,
+      chatBody(PROMPT, 4),
+    );
+    if (result.kind === "answer") return performance.now() - startMs;
     await sleep(RETRY_MS);
   }
 }
 
-async function measureSilence(fleet: ProofFleet): Promise<number> {
+async function measureStreamGap(fleet: ProofFleet): Promise<number> {
   const [slot] = fleet.entries;
   let lastMs = 0;
   let longestMs = 0;
-  const seen = await callStream(slot!, chatBody(PROMPT, 80), {
+  const result = await callStreaming(slot!, chatBody(PROMPT, 80), {
     onEvent: (number) => {
       const nowMs = performance.now();
-      if (number > EVENTS_BEFORE) {
+      if (number > EVENTS_BEFORE_FAULT) {
         longestMs = Math.max(longestMs, nowMs - lastMs);
       }
       lastMs = nowMs;
-      if (number !== EVENTS_BEFORE) return;
+      if (number !== EVENTS_BEFORE_FAULT) return;
       for (const link of slot!.links) link.freezeOpen();
     },
   });
-  if (seen.kind !== "answer") throw new Error(JSON.stringify(seen));
+  if (result.kind !== "answer") throw new Error(JSON.stringify(result));
   return longestMs;
 }
 
-/** In this process, so that the start of a process is not in it. */
-async function measureHerd(fleet: ProofFleet): Promise<number> {
+/** Restarts all entries in this process, so that the time excludes the start of a process. */
+async function measureRestart(fleet: ProofFleet): Promise<number> {
   const startMs = performance.now();
   await fleet.crashAllEntries();
   await timeToAnswer(fleet);
   return performance.now() - startMs;
 }
 
-/** Share of prompt tokens that engines had cached, before and after all entries restarted. */
+/** Measures the cached share of prompt tokens before and after a restart of all entries. */
 async function measureCachedShare(
   fleet: ProofFleet,
 ): Promise<{ before: number; after: number }> {
-  for (let round = 0; round < WARM_ROUNDS; round++) await cachedShare(fleet);
+  for (let round = 0; round < WARM_UP_ROUNDS; round++) await cachedShare(fleet);
   const before = await cachedShare(fleet);
   await fleet.crashAllEntries();
   return { before, after: await cachedShare(fleet) };
@@ -143,7 +150,7 @@
   const counts = engines.map(({ executions }) => executions.length);
   for (let prompt = 0; prompt < PROMPTS; prompt++) {
     const body = chatBody(`${prompt} ${PROMPT}`, 1);
-    await callWhole(entries[prompt % entries.length]!, body);
+    await callNonStreaming(entries[prompt % entries.length]!, body);
   }
   const fresh = engines.flatMap(({ executions }, index) =>
     executions.slice(counts[index])
@@ -153,26 +160,26 @@
   return Math.round(sum("cachedTokens") / sum("promptTokens") * 100) / 100;
 }
 
-async function measureLeaving(fleet: ProofFleet): Promise<number> {
+async function measureDrain(fleet: ProofFleet): Promise<number> {
   const [slot] = fleet.entries;
   let longStream: Promise<unknown> | undefined;
-  const seat = await new Promise<Seat>((resolve) => {
-    longStream = callStream(slot!, chatBody("long", 300), {
+  const agentSlot = await new Promise<AgentSlot>((resolve) => {
+    longStream = callStreaming(slot!, chatBody("long", 300), {
       onEvent: (number) => {
-        if (number === EVENTS_BEFORE) resolve(fleet.busySeat!);
+        if (number === EVENTS_BEFORE_FAULT) resolve(fleet.busyAgentSlot!);
       },
     });
   });
-  const engine = fleet.engines[fleet.seats.indexOf(seat)]!;
+  const engine = fleet.engines[fleet.agentSlots.indexOf(agentSlot)]!;
   const startMs = performance.now();
-  const stopped = seat.agent.stop();
+  const stopped = agentSlot.agent.stop();
   let lastMs = startMs;
   let count = engine.executions.length;
   const calls: Promise<unknown>[] = [];
   while (performance.now() - startMs < DRAIN_WATCH_MS) {
     const { length } = calls;
     const body = chatBody(`new ${length}`, 1);
-    calls.push(callWhole(fleet.entries[length % 2]!, body));
+    calls.push(callNonStreaming(fleet.entries[length % 2]!, body));
     await sleep(DRAIN_CALL_EVERY_MS);
     if (engine.executions.length > count) lastMs = performance.now();
     count = engine.executions.length;
--- a/src/proof/restart_test.ts
+++ b/src/proof/restart_test.ts
@@ -1,6 +1,11 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { answerTo, callStream, callWhole, chatBody } from "./_calls.ts";
+import {
+  answerTo,
+  callNonStreaming,
+  callStreaming,
+  chatBody,
+} from "./_calls.ts";
 import { ProofFleet } from "./_fleet.ts";
 
 for (const faults of [{ down: false }, { down: true }, { silent: true }]) {
@@ -10,15 +15,15 @@
     context.after(() => fleet.close());
     for (const slot of fleet.entries) {
       for (let index = 0; index < 10; index++) {
-        await callWhole(slot, chatBody(`before ${index}`, 4));
+        await callNonStreaming(slot, chatBody(`before ${index}`, 4));
       }
     }
     await fleet.kv.setFaults(faults);
     await fleet.crashAllEntries();
     for (const slot of fleet.entries) {
       const body = chatBody("after");
-      const seen = await callStream(slot, body);
-      assert.equal(seen.text, answerTo(body), JSON.stringify(seen));
+      const result = await callStreaming(slot, body);
+      assert.equal(result.text, answerTo(body), JSON.stringify(result));
     }
   });
 }
--- a/src/proof/version_roll_test.ts
+++ b/src/proof/version_roll_test.ts
@@ -3,62 +3,74 @@
 import { systemClock } from "../base/mod.ts";
 import { SAMPLE_MODEL, SAMPLE_TEAM, sampleBranch } from "../cli/sample_team.ts";
 import { encodeBranch, teamKey } from "../config/mod.ts";
-import { answerTo, callStream, chatBody, type Seen } from "./_calls.ts";
+import {
+  answerTo,
+  type CallResult,
+  callStreaming,
+  chatBody,
+} from "./_calls.ts";
 import { ProofFleet } from "./_fleet.ts";
 
 const ENGINES = 2;
 const CALLERS = 4;
-const OLD = "1";
-const NEW = "2";
+const OLD_VERSION = "1";
+const NEW_VERSION = "2";
 const PLANNING = {
   planIntervalMs: 100,
   movesPerMinute: 1200,
   loadsPerMinute: 1200,
 };
 
-test("a change of weights cuts no stream, moves all traffic and unloads the old", async (context) => {
+test("a change of weights cuts no stream, moves all traffic and unloads the old version", async (context) => {
   const fleet = await ProofFleet.create({
     engines: ENGINES,
     services: 0,
     planning: PLANNING,
     engine: {
       decodeMsPerToken: 2,
-      models: [{ model: SAMPLE_MODEL, adapter: "", weightsVersion: OLD }],
+      models: [{
+        model: SAMPLE_MODEL,
+        adapter: "",
+        weightsVersion: OLD_VERSION,
+      }],
       modelLoadMs: 300,
     },
   });
   context.after(() => fleet.close());
   let isOver = false;
-  const seen: Seen[] = [];
+  const results: CallResult[] = [];
   const callers = Array.from({ length: CALLERS }, async (_, caller) => {
     for (let count = 0; !isOver; count++) {
       const body = chatBody(`caller ${caller} call ${count}`);
       const slot = fleet.entries[count % fleet.entries.length]!;
-      const answer = await callStream(slot, body);
+      const answer = await callStreaming(slot, body);
       assert.equal(answer.text, answerTo(body));
-      seen.push(answer);
+      results.push(answer);
     }
   });
   const served = Promise.all(callers);
-  await until(() => seen.length > CALLERS);
-  await writeVersion(fleet, NEW);
+  await until(() => results.length > CALLERS);
+  await writeVersion(fleet, NEW_VERSION);
   await Promise.race([
     served,
-    until(() => loadedVersions(fleet).every((loaded) => loaded === NEW)),
+    until(() =>
+      loadedVersions(fleet).every((loaded) => loaded === NEW_VERSION)
+    ),
   ]);
-  const before = new Set(executionsOf(fleet));
-  const later = () => executionsOf(fleet).filter((each) => !before.has(each));
-  await until(() => later().length > 2 * CALLERS);
+  const earlier = new Set(executionsOf(fleet));
+  const newExecutions = () =>
+    executionsOf(fleet).filter((each) => !earlier.has(each));
+  await until(() => newExecutions().length > 2 * CALLERS);
   isOver = true;
   await served;
-  assert.deepEqual([...new Set(seen.map(({ kind }) => kind))], ["answer"]);
-  assert.deepEqual(versionsOf(later()), [NEW]);
-  assert.deepEqual(versionsOf(executionsOf(fleet)), [OLD, NEW]);
+  assert.deepEqual([...new Set(results.map(({ kind }) => kind))], ["answer"]);
+  assert.deepEqual(versionsOf(newExecutions()), [NEW_VERSION]);
+  assert.deepEqual(versionsOf(executionsOf(fleet)), [OLD_VERSION, NEW_VERSION]);
 });
 
-/** By engine, what it has loaded; several versions are joined. */
+/** Loaded weights versions of each engine; several versions are joined by commas. */
 function loadedVersions(fleet: ProofFleet): string[] {
-  return fleet.seats.map(({ agent }) => {
+  return fleet.agentSlots.map(({ agent }) => {
     const { server } = agent.dumpState();
     assert(server.kind === "engine");
     return server.models.map(({ weightsVersion }) => weightsVersion).join();
--- a/src/proof/weights_test.ts
+++ b/src/proof/weights_test.ts
@@ -1,23 +1,23 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { callWhole, chatBody } from "./_calls.ts";
+import { callNonStreaming, chatBody } from "./_calls.ts";
 import { ProofFleet } from "./_fleet.ts";
 
-test("weights that changed since the offer serve nobody who wants the old ones", async (context) => {
+test("a call that wants the old weights is not served by weights that replaced them after the offer", async (context) => {
   const fleet = await ProofFleet.create({ engines: 1, services: 0 });
   context.after(() => fleet.close());
   const [slot] = fleet.entries;
   const [engine] = fleet.engines;
-  await callWhole(slot!, chatBody("before"));
-  // Behind the agent's back, so that its picture of the engine is old.
-  await order(engine!.url, "load", "2");
-  await order(engine!.url, "unload", "1");
-  await callWhole(slot!, chatBody("after"));
+  await callNonStreaming(slot!, chatBody("before"));
+  // Sent to the engine directly, so that the agent's view of the loaded models is stale.
+  await sendOrder(engine!.url, "load", "2");
+  await sendOrder(engine!.url, "unload", "1");
+  await callNonStreaming(slot!, chatBody("after"));
   const used = engine!.executions.map(({ model }) => model.weightsVersion);
   assert.deepEqual(used, ["1"]);
 });
 
-async function order(
+async function sendOrder(
   url: string,
   kind: "load" | "unload",
   weightsVersion: string,
