--- a/src/experiment/entry_model.ts
+++ b/src/experiment/entry_model.ts
@@ -1,6 +1,7 @@
 /**
- * An entry's dispatch in virtual time: the library's policy, with round trips to agents. Policies
- * that don't ask send their request straight to the server that they name.
+ * Models how an entry dispatches requests in virtual time. It runs the real placement policies and
+ * simulates the round trips to agents. Policies other than `offers` don't ask agents for offers;
+ * they send the request directly to their first candidate.
  */
 import type { Clock } from "../base/mod.ts";
 import {
@@ -20,13 +21,13 @@
 import type { RequestPlan } from "./workload.ts";
 import type { RunResult, Worker } from "./worker.ts";
 
-/** What came of a request, as its caller sees it. */
+/** Outcome and timings of one request, as its caller observes them. */
 export interface RequestRecord {
   plan: RequestPlan;
   outcome: "answered" | "refused" | "failed";
-  /** Infinity: no first token came. */
+  /** Time to first token; Infinity when no first token arrived. */
   ttftMs: number;
-  /** Only of refusals. */
+  /** Longest retry delay that any refusal gave; 0 without refusals. */
   retryAfterMs: number;
   rounds: number;
   asks: number;
@@ -39,13 +40,13 @@
   policy: Policy;
   zoneRttMs: Record<string, number>;
   tableOf: (pool: string) => MemberTable<Worker>;
-  /** How long agents hold a place for an offer. */
+  /** How long an agent reserves capacity for an unused offer. */
   holdMs: number;
-  /** False: every request has the same priority. */
+  /** When false, every request is sent with normal priority. */
   hasPriority: boolean;
-  /** False: agents don't hear of deadlines. */
+  /** When false, requests are sent to agents without a deadline. */
   hasDeadline: boolean;
-  /** Chooses instead of the policy, knowing everything. */
+  /** Replaces the policy; chooses a server from the exact cache and queue state. */
   oracle?: (
     ask: AskRequest,
     plan: RequestPlan,
@@ -72,7 +73,7 @@
   waiting: 0,
 };
 
-/** One entry. */
+/** Simulates one entry. */
 export class EntryModel {
   readonly policy: Policy;
   readonly #options: EntryModelOptions;
@@ -83,29 +84,35 @@
   }
 
   /**
-   * @param options Policy and surroundings.
-   * @returns An entry that has seen nothing yet.
+   * @param options The policy and the simulated environment.
+   * @returns An entry without any placement history.
    */
   static create(options: EntryModelOptions): EntryModel {
     return new EntryModel(options);
   }
 
   /**
-   * @param plan A request.
-   * @param runId Its id.
-   * @returns What came of it.
+   * Places a request and runs it, retrying on other servers for up to {@link MAX_ROUNDS} rounds.
+   *
+   * @param plan The request.
+   * @param runId Prefix of the run ids of its rounds.
+   * @returns The outcome and timings of the request.
    */
   async serve(plan: RequestPlan, runId: string): Promise<RequestRecord> {
     const startMs = this.#options.clock.nowMs();
-    const record = newRecord(plan);
+    const record = createRecord(plan);
     const tried = new Set<string>();
     for (; record.rounds < MAX_ROUNDS; record.rounds++) {
-      const ask = this.#askOf(plan, `${runId}-${record.rounds}`, startMs);
+      const ask = this.#buildAskRequest(
+        plan,
+        `${runId}-${record.rounds}`,
+        startMs,
+      );
       const chosen = await this.#choose(ask, record, tried);
       if (chosen === "none") break;
       if (!chosen) continue;
       const result = await this.#run(ask, chosen, { record, startMs });
-      if (!this.#isOver(result, chosen, record)) {
+      if (!this.#isFinal(result, chosen, record)) {
         tried.add(chosen.member.id);
         continue;
       }
@@ -115,7 +122,7 @@
     return record;
   }
 
-  /** @returns A server, undefined when all candidates refused, "none" when none is left. */
+  /** @returns The chosen server; undefined if all candidates refused; "none" if none is left. */
   async #choose(
     ask: AskRequest,
     record: RequestRecord,
@@ -152,16 +159,16 @@
     record: RequestRecord,
   ): Promise<ServerOffer<Worker> | undefined> {
     const { clock, zoneRttMs } = this.#options;
-    const halfMs = zoneRttMs[member.zone]! / 2;
-    await clock.sleep(halfMs);
+    const oneWayMs = zoneRttMs[member.zone]! / 2;
+    await clock.sleep(oneWayMs);
     const reply = member.ask(ask);
     record.asks++;
     record.controlBytes += AskRequest.encode(ask).finish().length;
     record.controlBytes += AskReply.encode(reply).finish().length;
-    await clock.sleep(Math.min(halfMs, ASK_TIMEOUT_MS));
+    await clock.sleep(Math.min(oneWayMs, ASK_TIMEOUT_MS));
     const { verdict } = reply;
     if (verdict?.$case === "offer") return { member, offer: verdict.value };
-    if (verdict) this.#noteRefusal(member, verdict.value, record);
+    if (verdict) this.#recordRefusal(member, verdict.value, record);
     return undefined;
   }
 
@@ -171,26 +178,26 @@
     { record, startMs }: { record: RequestRecord; startMs: number },
   ): Promise<RunResult> {
     const { clock, zoneRttMs } = this.#options;
-    const halfMs = zoneRttMs[member.zone]! / 2;
+    const oneWayMs = zoneRttMs[member.zone]! / 2;
     const { request } = record.plan.prompt;
     this.policy.learn({ kind: "placed", request, memberId: member.id, offer });
-    await clock.sleep(halfMs);
+    await clock.sleep(oneWayMs);
     return await member.run(ask, offer.holdId, {
       onFirstPiece: () => {
-        record.ttftMs = clock.nowMs() + halfMs - startMs;
+        record.ttftMs = clock.nowMs() + oneWayMs - startMs;
         this.policy.learn({ kind: "answered", memberId: member.id });
       },
     });
   }
 
-  /** @returns False when the request may go elsewhere. */
-  #isOver(
+  /** @returns False when the request may be retried on another server. */
+  #isFinal(
     result: RunResult,
     { member }: ServerOffer<Worker>,
     record: RequestRecord,
   ): boolean {
     if (result.kind === "refused") {
-      this.#noteRefusal(member, result.refusal, record);
+      this.#recordRefusal(member, result.refusal, record);
       return false;
     }
     if (result.end.outcome === RunOutcome.DONE) {
@@ -199,20 +206,31 @@
     }
     this.policy.learn({ kind: "failed", memberId: member.id });
     record.outcome = "failed";
-    // Nothing reached the caller, and the engine has dropped it.
+    // Without output, a retry is safe: the caller saw nothing, and the engine has dropped the run.
     return result.wasStarted;
   }
 
-  #noteRefusal(member: Worker, refusal: Refusal, record: RequestRecord): void {
+  #recordRefusal(
+    member: Worker,
+    refusal: Refusal,
+    record: RequestRecord,
+  ): void {
     const { retryAfterMs } = refusal;
     record.retryAfterMs = Math.max(record.retryAfterMs, retryAfterMs);
     this.policy.learn({ kind: "refused", memberId: member.id, retryAfterMs });
   }
 
-  #askOf(plan: RequestPlan, runId: string, startMs: number): AskRequest {
+  #buildAskRequest(
+    plan: RequestPlan,
+    runId: string,
+    startMs: number,
+  ): AskRequest {
     const { scope, prompt } = plan;
-    const passedMs = this.#options.clock.nowMs() - startMs;
-    const leftMs = Math.max(1, Math.ceil(plan.class.deadlineMs - passedMs));
+    const elapsedMs = this.#options.clock.nowMs() - startMs;
+    const remainingMs = Math.max(
+      1,
+      Math.ceil(plan.class.deadlineMs - elapsedMs),
+    );
     return AskRequest.fromPartial({
       ...scope,
       runId,
@@ -222,14 +240,14 @@
       priority: this.#options.hasPriority
         ? PRIORITIES[plan.class.priority]
         : Priority.NORMAL,
-      deadlineMs: this.#options.hasDeadline ? leftMs : 0,
+      deadlineMs: this.#options.hasDeadline ? remainingMs : 0,
       holdMs: this.#options.holdMs,
       configVersion: 1000n,
     });
   }
 }
 
-function newRecord(plan: RequestPlan): RequestRecord {
+function createRecord(plan: RequestPlan): RequestRecord {
   return {
     plan,
     outcome: "refused",
--- a/src/experiment/experiment_test.ts
+++ b/src/experiment/experiment_test.ts
@@ -16,13 +16,13 @@
   endMs: 4_000,
 };
 
-function shortLoad(seed: number): Workload {
+function createShortWorkload(seed: number): Workload {
   const whole = buildLakeshore(seed);
   const requests = whole.requests.filter(({ atMs }) => atMs < SHORT.endMs);
   return { ...whole, requests, events: SHORT };
 }
 
-test("sleepers wake in order", async () => {
+test("the virtual clock wakes sleeping tasks in order", async () => {
   const clock = VirtualClock.create();
   const woken: string[] = [];
   const sleep = async (name: string, ms: number) => {
@@ -37,7 +37,7 @@
   assert.equal(clock.nowMs(), 100);
 });
 
-test("an aborted sleep ends at once", async () => {
+test("aborting a sleep resolves it immediately", async () => {
   const clock = VirtualClock.create();
   const abort = new AbortController();
   const sleeping = clock.sleep(1000, abort.signal);
@@ -46,31 +46,31 @@
   assert.equal(clock.nowMs(), 0);
 });
 
-test("percentiles are values that occurred", () => {
+test("percentiles are taken from the given values", () => {
   assert.equal(percentile([5, 1, 3], 0.5), 3);
   assert.equal(percentile([5, 1, 3], 0.99), 5);
   assert.deepEqual(spreadOf([2, 9, 4]), { median: 4, lowest: 2, highest: 9 });
 });
 
-test("a seed gives the same run again, and every request ends", async () => {
-  const load = shortLoad(3);
+test("runs with equal seeds are equal, and every request ends", async () => {
+  const workload = createShortWorkload(3);
   const options = {
     contestant: PolicyName.Offers,
     seed: 3,
     without: new Set<never>(),
   };
   const [one, two] = [
-    await runOnce(load, options),
-    await runOnce(load, options),
+    await runOnce(workload, options),
+    await runOnce(workload, options),
   ];
-  assert.equal(one.requests.length, load.requests.length);
-  assert.deepEqual(summarize(load, one), summarize(load, two));
+  assert.equal(one.requests.length, workload.requests.length);
+  assert.deepEqual(summarize(workload, one), summarize(workload, two));
 });
 
-test("every contestant answers a short load", async () => {
-  const load = shortLoad(4);
+test("every contestant answers more than 90% of a short workload", async () => {
+  const workload = createShortWorkload(4);
   for (const contestant of [...Object.values(PolicyName), "oracle"] as const) {
-    const trace = await runOnce(load, {
+    const trace = await runOnce(workload, {
       contestant,
       seed: 4,
       without: new Set(),
@@ -78,6 +78,6 @@
     const answered = trace.requests.filter(({ outcome }) =>
       outcome === "answered"
     );
-    assert.ok(answered.length > 0.9 * load.requests.length, contestant);
+    assert.ok(answered.length > 0.9 * workload.requests.length, contestant);
   }
 });
--- a/src/experiment/lakeshore.ts
+++ b/src/experiment/lakeshore.ts
@@ -1,16 +1,16 @@
 /**
- * Lakeshore's load: visits to salons. The front desk looks up the pet twice, then four notes are
- * written, and one urgent note is wanted when the pet walks in.
+ * Generates the Lakeshore workload: visits to pet salons. Each visit sends two front desk lookups,
+ * one urgent walk-in note and four ordinary notes about the same pet.
  */
-import { Random, zipf } from "./random.ts";
+import { Random, zipfWeights } from "./random.ts";
 import {
   buildSites,
   type ClassPlan,
   EVENT_TIMES,
   type LoadOptions,
-  poisson,
+  poissonArrivals,
   type PoolPlan,
-  PromptBook,
+  PromptBuilder,
   rateFactor,
   type RequestPlan,
   scalePools,
@@ -25,8 +25,8 @@
 const DESK_QUESTION_BYTES = [256, 512] as const;
 const NOTE_BYTES = [1_000, 3_000] as const;
 const PETS_PER_SALON = 60;
-const GAP_MS = 1_500;
-/** Share of visits at the busiest salon, which is another one after the shift. */
+const MEAN_GAP_MS = 1_500;
+/** Share of visits that go to the busiest salon; a different salon is busiest after the shift. */
 const HOT_SHARE = 0.3;
 
 const POOLS: PoolPlan[] = [
@@ -60,27 +60,29 @@
 };
 
 /**
- * @param seed Seed of the load.
- * @param options Factors.
- * @returns The load.
+ * @param seed Seed of the random generator.
+ * @param options Changes to rates, worker counts and latency.
+ * @returns The generated workload.
  */
 export function buildLakeshore(
   seed: number,
   options: LoadOptions = {},
 ): Workload {
   const random = Random.create(seed);
-  const book = PromptBook.create();
+  const promptBuilder = PromptBuilder.create();
   const salons = buildSites(random, SALON_BYTES);
   const pets = salons.map((salon) => buildPets(salon));
-  const salonWeights = zipf(salons.length, 0.7);
-  const petWeights = zipf(PETS_PER_SALON, 0.7);
+  const salonWeights = zipfWeights(salons.length, 0.7);
+  const petWeights = zipfWeights(PETS_PER_SALON, 0.7);
   const requests: RequestPlan[] = [];
-  poisson(random, VISITS_PER_S * rateFactor(options), (startMs) => {
-    const hot = startMs < EVENT_TIMES.shiftMs ? 3 : 11;
+  poissonArrivals(random, VISITS_PER_S * rateFactor(options), (startMs) => {
+    const hotSalonIndex = startMs < EVENT_TIMES.shiftMs ? 3 : 11;
     const isHot = random.next() < HOT_SHARE;
-    const at = isHot ? hot : random.weighted(salonWeights);
-    const salon = salons[at]!;
-    const pet = pets[at]![random.weighted(petWeights)]!;
+    const salonIndex = isHot
+      ? hotSalonIndex
+      : random.weightedIndex(salonWeights);
+    const salon = salons[salonIndex]!;
+    const pet = pets[salonIndex]![random.weightedIndex(petWeights)]!;
     let atMs = startMs;
     for (const plan of [DESK, DESK, WALK_IN, NOTES, NOTES, NOTES, NOTES]) {
       const owner = {
@@ -89,9 +91,13 @@
         model: plan.pool,
       };
       const [least, most] = plan === DESK ? DESK_QUESTION_BYTES : NOTE_BYTES;
-      const texts = [salon.text, pet, random.text(random.between(least, most))];
-      requests.push({ atMs, class: plan, ...book.write(owner, texts, plan) });
-      atMs += random.exponential(GAP_MS);
+      const texts = [salon.text, pet, random.text(random.nextInt(least, most))];
+      requests.push({
+        atMs,
+        class: plan,
+        ...promptBuilder.build(owner, texts, plan),
+      });
+      atMs += random.exponential(MEAN_GAP_MS);
     }
   });
   requests.sort((a, b) => a.atMs - b.atMs);
@@ -109,6 +115,6 @@
 function buildPets({ random }: Site): string[] {
   return Array.from(
     { length: PETS_PER_SALON },
-    () => random.text(random.between(...PET_BYTES)),
+    () => random.text(random.nextInt(...PET_BYTES)),
   );
 }
--- a/src/experiment/main.ts
+++ b/src/experiment/main.ts
@@ -1,4 +1,4 @@
-/** `npm run experiment`: placement policies under a stated load. See docs/MEASUREMENTS.md. */
+/** `npm run experiment`: compares placement policies in simulation. See docs/MEASUREMENTS.md. */
 import { writeFile } from "node:fs/promises";
 import yargs from "yargs";
 import { Mechanism, PolicyName } from "../placement/mod.ts";
@@ -7,10 +7,10 @@
 import {
   AgentMechanism,
   type ContestantName,
+  type MechanismName,
   ORACLE,
   runOnce,
   type RunTrace,
-  type SwitchName,
 } from "./run_once.ts";
 import { type RunFigures, summarize, summarizeRecovery } from "./summary.ts";
 import { buildVeldhoven } from "./veldhoven.ts";
@@ -18,7 +18,7 @@
 
 const ALL = "all";
 const CONTESTANTS: ContestantName[] = [...Object.values(PolicyName), ORACLE];
-const SWITCHES: SwitchName[] = [
+const MECHANISMS: MechanismName[] = [
   ...Object.values(Mechanism),
   ...Object.values(AgentMechanism),
 ];
@@ -36,9 +36,9 @@
     describe: "Which policy, or all of them and the oracle",
   })
   .option("without", {
-    choices: SWITCHES,
+    choices: MECHANISMS,
     array: true,
-    default: [] as SwitchName[],
+    default: [] as MechanismName[],
     describe: "Mechanisms to switch off",
   })
   .option("load", { type: "number", default: 1, describe: "Factor on rates" })
--- a/src/experiment/plot.ts
+++ b/src/experiment/plot.ts
@@ -1,4 +1,4 @@
-/** The report as an SVG file. */
+/** Renders the report as an SVG chart. */
 import { BarChart } from "echarts/charts";
 import {
   GridComponent,
@@ -25,8 +25,9 @@
 const PANEL_LEFT = [6, 40, 72] as const;
 
 /**
- * @param report A report.
- * @returns SVG: time to first token, hit rate and waste by class, one bar a contestant.
+ * @param report The report to draw.
+ * @returns SVG with time to first token, hit rate and wasted share by class, with one bar for each
+ *   contestant.
  */
 export function plot(report: Report): string {
   use([BarChart, GridComponent, LegendComponent, TitleComponent, SVGRenderer]);
--- a/src/experiment/random.ts
+++ b/src/experiment/random.ts
@@ -1,7 +1,7 @@
-/** Seeded random numbers. */
+/** Seeded pseudo-random numbers and distributions for reproducible runs. */
 import { seededRandom } from "../base/random.ts";
 
-/** A generator of 32 bits of state. */
+/** Pseudo-random number generator with 32 bits of state. */
 export class Random {
   readonly #random: () => number;
 
@@ -10,38 +10,38 @@
   }
 
   /**
-   * @param seed The same seed gives the same numbers.
+   * @param seed Equal seeds give equal sequences.
    * @returns A generator.
    */
   static create(seed: number): Random {
     return new Random(Math.imul(seed + 1, 0x9e3779b1));
   }
 
-  /** @returns Uniform in [0, 1). */
+  /** @returns A uniformly distributed number in [0, 1). */
   next(): number {
     return this.#random();
   }
 
-  /** @returns A whole number in [from, to). */
-  between(from: number, to: number): number {
+  /** @returns A uniformly distributed integer in [from, to). */
+  nextInt(from: number, to: number): number {
     return from + Math.floor(this.next() * (to - from));
   }
 
-  /** @returns Exponentially distributed. */
+  /** @returns An exponentially distributed number with the given mean. */
   exponential(mean: number): number {
     return -mean * Math.log(1 - this.next());
   }
 
   /**
-   * @param cumulative Running sums of weights.
-   * @returns An index, with probability by weight.
+   * @param cumulative Cumulative sums of the weights.
+   * @returns A random index, with a probability proportional to its weight.
    */
-  weighted(cumulative: number[]): number {
+  weightedIndex(cumulative: number[]): number {
     const at = this.next() * cumulative.at(-1)!;
     return cumulative.findIndex((sum) => at < sum);
   }
 
-  /** @returns Letters and spaces, one byte each. */
+  /** @returns Random hexadecimal words separated by spaces, one byte per character. */
   text(sizeBytes: number): string {
     const words: string[] = [];
     for (let size = 0; size < sizeBytes; size += 8) {
@@ -55,10 +55,10 @@
 
 /**
  * @param count Number of ranks.
- * @param exponent Zipf's exponent.
- * @returns Running sums of the weights of ranks.
+ * @param exponent Exponent of the Zipf distribution.
+ * @returns Cumulative sums of the weights, by rank.
  */
-export function zipf(count: number, exponent: number): number[] {
+export function zipfWeights(count: number, exponent: number): number[] {
   let sum = 0;
   return Array.from(
     { length: count },
--- a/src/experiment/report.ts
+++ b/src/experiment/report.ts
@@ -1,4 +1,4 @@
-/** The experiment's report: figures of each contestant over seeds, and ratios to the baselines. */
+/** Builds the report: each contestant's figures over all seeds, and ratios to the baselines. */
 import { PolicyName } from "../placement/mod.ts";
 import { type ContestantName, ORACLE } from "./run_once.ts";
 import type {
@@ -9,14 +9,14 @@
 } from "./summary.ts";
 import { spreadOf } from "./summary.ts";
 
-/** Figures of one contestant. */
+/** Figures of one contestant: one entry per seed, and recovery by class. */
 export interface ContestantReport {
   name: ContestantName;
   runs: RunFigures[];
   recovery: Record<string, RecoveryFigures>;
 }
 
-/** What the experiment prints. */
+/** Results of all contestants; printed as JSON or as Markdown. */
 export interface Report {
   workload: string;
   command: string;
@@ -25,12 +25,12 @@
   contestants: ContestantReport[];
 }
 
-/** A figure that the table has a row for. */
+/** A table row: how to read one figure from a run and how to format it. */
 export interface FigureRow {
   name: string;
   digits: number;
-  of: (run: RunFigures) => number;
-  /** True: less is better, and a ratio to the best baseline is shown. */
+  getValue: (run: RunFigures) => number;
+  /** True if lower is better; the row then shows the ratio to the best baseline. */
   hasRatio: boolean;
 }
 
@@ -46,80 +46,92 @@
 ];
 
 /**
- * @param report Any report.
- * @returns The rows of its table.
+ * @param report The report; its first run determines the classes and pools.
+ * @returns The rows of the report's table.
  */
 export function figureRows(report: Report): FigureRow[] {
   const [first] = report.contestants[0]!.runs;
   const rows: FigureRow[] = [
-    row("all", "hit rate", { digits: 3, of: (run) => run.hitRate }),
-    row("all", "wasted share", {
+    createRow("all", "hit rate", { digits: 3, getValue: (run) => run.hitRate }),
+    createRow("all", "wasted share", {
       digits: 4,
       hasRatio: true,
-      of: (run) => run.wastedShare,
+      getValue: (run) => run.wastedShare,
     }),
   ];
   for (const name of Object.keys(first!.classes)) {
     for (const [figure, title, digits, hasRatio] of CLASS_FIGURES) {
-      const of = (run: RunFigures) => run.classes[name]![figure];
-      rows.push(row(name, title, { digits, hasRatio, of }));
+      const getValue = (run: RunFigures) => run.classes[name]![figure];
+      rows.push(createRow(name, title, { digits, hasRatio, getValue }));
     }
   }
   for (const pool of Object.keys(first!.imbalance)) {
     rows.push(
-      row(pool, "imbalance", { digits: 2, of: (run) => run.imbalance[pool]! }),
+      createRow(pool, "imbalance", {
+        digits: 2,
+        getValue: (run) => run.imbalance[pool]!,
+      }),
     );
   }
   rows.push(
-    row("all", "control messages", {
+    createRow("all", "control messages", {
       digits: 2,
-      of: (run) => run.controlMessages,
+      getValue: (run) => run.controlMessages,
     }),
-    row("all", "control bytes", { digits: 0, of: (run) => run.controlBytes }),
-    row("all", "refusals", { digits: 0, of: (run) => run.refusals }),
-    row("all", "refusals without Retry-After", {
+    createRow("all", "control bytes", {
       digits: 0,
-      of: (run) => run.refusalsWithoutRetryAfter,
+      getValue: (run) => run.controlBytes,
+    }),
+    createRow("all", "refusals", {
+      digits: 0,
+      getValue: (run) => run.refusals,
+    }),
+    createRow("all", "refusals without Retry-After", {
+      digits: 0,
+      getValue: (run) => run.refusalsWithoutRetryAfter,
     }),
   );
   return rows;
 }
 
 /**
- * @param contestant Whose figures.
- * @param figure Which one.
- * @returns Its spread over seeds.
+ * @param contestant The contestant whose runs are read.
+ * @param figure The figure to read from each run.
+ * @returns The figure's median and range over seeds.
  */
 export function spreadOfFigure(
   contestant: ContestantReport,
   figure: FigureRow,
 ): Spread {
-  return spreadOf(contestant.runs.map(figure.of));
+  return spreadOf(contestant.runs.map(figure.getValue));
 }
 
 /**
- * @param report A report with `offers` and baselines.
- * @param figure A figure of which less is better.
- * @returns The median of `offers` over that of the best baseline; undefined where either lacks.
+ * @param report A report that should include `offers` and at least one baseline.
+ * @param figure A figure for which lower is better.
+ * @returns The median of `offers` divided by the lowest median of the baselines; undefined when
+ *   `offers` or every baseline is missing.
  */
 export function ratioToBaselines(
   report: Report,
   figure: FigureRow,
 ): number | undefined {
-  const own = report.contestants.find(({ name }) => name === PolicyName.Offers);
+  const offersReport = report.contestants.find(({ name }) =>
+    name === PolicyName.Offers
+  );
   const baselines = report.contestants.filter(({ name }) => {
     return name !== PolicyName.Offers && name !== ORACLE;
   });
-  if (!own || baselines.length === 0) return undefined;
+  if (!offersReport || baselines.length === 0) return undefined;
   const best = Math.min(
     ...baselines.map((each) => spreadOfFigure(each, figure).median),
   );
-  return spreadOfFigure(own, figure).median / best;
+  return spreadOfFigure(offersReport, figure).median / best;
 }
 
 /**
- * @param report A report.
- * @returns A table in Markdown: the median, and the range over seeds.
+ * @param report The report to format.
+ * @returns A Markdown table with the median and the range over seeds of each figure.
  */
 export function toMarkdown(report: Report): string {
   const names = report.contestants.map(({ name }) => name);
@@ -131,7 +143,7 @@
   ];
   for (const figure of figureRows(report)) {
     const cells = report.contestants.map((each) =>
-      cellOf(spreadOfFigure(each, figure), figure)
+      formatCell(spreadOfFigure(each, figure), figure)
     );
     const ratio = figure.hasRatio
       ? ratioToBaselines(report, figure)
@@ -143,7 +155,7 @@
   return [...lines, ...recoveryLines(report)].join("\n");
 }
 
-function row(
+function createRow(
   group: string,
   title: string,
   rest: Omit<FigureRow, "name" | "hasRatio"> & { hasRatio?: boolean },
@@ -151,7 +163,7 @@
   return { hasRatio: false, ...rest, name: `${group} | ${title}` };
 }
 
-function cellOf(
+function formatCell(
   { median, lowest, highest }: Spread,
   { digits }: FigureRow,
 ): string {
--- a/src/experiment/run_once.ts
+++ b/src/experiment/run_once.ts
@@ -1,4 +1,4 @@
-/** One run of one policy under one load. */
+/** Simulates one run of one placement policy under one workload. */
 import {
   createPolicy,
   type Mechanism,
@@ -13,19 +13,19 @@
 import type { RequestPlan, Workload } from "./workload.ts";
 import { Worker } from "./worker.ts";
 
-/** Placement that knows every cache and queue, to compare with. */
+/** Name of the reference placement, which reads the exact state of every cache and queue. */
 export const ORACLE = "oracle";
-/** A policy, or the oracle. */
+/** Name of a placement policy or of the oracle. */
 export type ContestantName = PolicyName | typeof ORACLE;
 
-/** Parts outside of the policy that can be switched off. */
+/** Mechanisms outside of the placement policy that can be switched off. */
 export const AgentMechanism = {
   Priority: "priority",
   Deadline: "deadline",
   InFlight: "inflight",
 } as const;
-/** Anything that can be switched off. */
-export type SwitchName =
+/** Any mechanism that can be switched off, in the policy or outside of it. */
+export type MechanismName =
   | Mechanism
   | (typeof AgentMechanism)[keyof typeof AgentMechanism];
 
@@ -33,41 +33,41 @@
 export interface RunOptions {
   contestant: ContestantName;
   seed: number;
-  without: ReadonlySet<SwitchName>;
-  /** How long agents hold a place for an offer. */
+  without: ReadonlySet<MechanismName>;
+  /** How long an agent reserves capacity for an unused offer. */
   holdMs?: number;
 }
 
-/** What an engine met when it began to prefill a request. */
+/** Cache state recorded when an engine begins to prefill a request. */
 export interface PrefillRecord {
   plan: RequestPlan;
   atMs: number;
   promptTokens: number;
   cachedTokens: number;
-  /** Recomputed although another live server of the pool held them. */
+  /** Tokens recomputed although another running server of the pool had them cached. */
   wastedTokens: number;
 }
 
-/** All that was seen in a run. */
+/** Everything recorded during a run. */
 export interface RunTrace {
   requests: RequestRecord[];
   prefills: PrefillRecord[];
-  /** Tokens prefilled by each worker of each pool. */
-  workTokens: Record<string, number[]>;
+  /** Number of tokens prefilled by each worker, by pool. */
+  prefilledTokens: Record<string, number[]>;
 }
 
-const ENTRIES = 3;
-const HOLD_MS = 15;
+const ENTRY_COUNT = 3;
+const DEFAULT_HOLD_MS = 15;
 const SAME_ZONE_RTT_MS = 0.2;
-const LIST_LAG_MS = 2_000;
-const LOAD_FEED_MS = 250;
+const MEMBER_LIST_DELAY_MS = 2_000;
+const LOAD_REPORT_INTERVAL_MS = 250;
 const BLOCK_TOKENS = 64;
-const AFTER_END_MS = 30_000;
+const GRACE_PERIOD_MS = 30_000;
 
 /**
- * @param workload The load.
- * @param options Who places it.
- * @returns What happened.
+ * @param workload The requests and events to simulate.
+ * @param options The placement policy, seed and switched-off mechanisms.
+ * @returns The recorded requests and prefills.
  */
 export async function runOnce(
   workload: Workload,
@@ -75,23 +75,27 @@
 ): Promise<RunTrace> {
   const fleet = new Fleet(workload, options);
   const entries = Array.from(
-    { length: ENTRIES },
+    { length: ENTRY_COUNT },
     (_, index) => buildEntry(fleet, workload, { ...options, index }),
   );
   fleet.start();
   if (options.contestant === PolicyName.LeastLoaded) {
-    void feedLoads(fleet, entries);
+    void reportLoads(fleet, entries);
   }
-  void fleet.disturb();
+  void fleet.injectFaults();
   const requests: RequestRecord[] = [];
-  void send(fleet, entries, requests);
-  await fleet.clock.advance(workload.events.endMs + AFTER_END_MS);
+  void sendRequests(fleet, entries, requests);
+  await fleet.clock.advance(workload.events.endMs + GRACE_PERIOD_MS);
   fleet.stop();
-  await fleet.clock.advance(workload.events.endMs + 2 * AFTER_END_MS);
-  return { requests, prefills: fleet.prefills, workTokens: fleet.workTokens() };
+  await fleet.clock.advance(workload.events.endMs + 2 * GRACE_PERIOD_MS);
+  return {
+    requests,
+    prefills: fleet.prefills,
+    prefilledTokens: fleet.prefilledTokens(),
+  };
 }
 
-/** The workers and what happens to them. */
+/** Owns the workers, their member tables and the injected faults. */
 class Fleet {
   readonly clock = VirtualClock.create();
   readonly workers: Worker[] = [];
@@ -120,7 +124,8 @@
           clock: this.clock,
           random: Random.create(seed * 1000 + this.workers.length),
           planOf: (requestId) => workload.requests[parseInt(requestId)]!,
-          onPrefill: (plan, blocks, engine) => this.#note(plan, blocks, engine),
+          onPrefill: (plan, blocks, engine) =>
+            this.#recordPrefill(plan, blocks, engine),
         }));
       }
     }
@@ -143,7 +148,7 @@
     return this.#tables.get(pool)!;
   }
 
-  workTokens(): Record<string, number[]> {
+  prefilledTokens(): Record<string, number[]> {
     const tokens: Record<string, number[]> = {};
     for (const { pool, engine } of this.workers) {
       (tokens[pool] ??= []).push(engine.prefilledTokens);
@@ -151,8 +156,8 @@
     return tokens;
   }
 
-  /** The crash and the drain hit the pool of the first workers. */
-  async disturb(): Promise<void> {
+  /** Crashes and restarts one worker of the first pool, and drains another. */
+  async injectFaults(): Promise<void> {
     const { events } = this.workload;
     const [crashing, draining] = [this.workers[1]!, this.workers[2]!];
     await this.clock.sleep(events.crashMs);
@@ -161,7 +166,7 @@
     crashing.engine.restart();
     await this.clock.sleep(events.drainMs - events.restartMs);
     draining.isLeaving = true;
-    await this.clock.sleep(LIST_LAG_MS);
+    await this.clock.sleep(MEMBER_LIST_DELAY_MS);
     this.#buildTables();
   }
 
@@ -173,13 +178,20 @@
     }
   }
 
-  #note(plan: RequestPlan, cachedBlocks: number, engine: VirtualEngine): void {
+  #recordPrefill(
+    plan: RequestPlan,
+    cachedBlocks: number,
+    engine: VirtualEngine,
+  ): void {
     const { keys, request } = plan.prompt;
-    let held = cachedBlocks;
+    let maxCachedBlocks = cachedBlocks;
     for (const other of this.workers) {
       if (other.pool !== plan.class.pool || other.engine === engine) continue;
       if (other.engine.isUp) {
-        held = Math.max(held, other.engine.cachedBlocks(keys));
+        maxCachedBlocks = Math.max(
+          maxCachedBlocks,
+          other.engine.cachedBlocks(keys),
+        );
       }
     }
     this.prefills.push({
@@ -187,7 +199,7 @@
       atMs: this.clock.nowMs(),
       promptTokens: request.promptTokens,
       cachedTokens: cachedBlocks * BLOCK_TOKENS,
-      wastedTokens: (held - cachedBlocks) * BLOCK_TOKENS,
+      wastedTokens: (maxCachedBlocks - cachedBlocks) * BLOCK_TOKENS,
     });
   }
 }
@@ -195,7 +207,7 @@
 function buildEntry(
   fleet: Fleet,
   workload: Workload,
-  { contestant, without, seed, index, holdMs = HOLD_MS }: RunOptions & {
+  { contestant, without, seed, index, holdMs = DEFAULT_HOLD_MS }: RunOptions & {
     index: number;
   },
 ): EntryModel {
@@ -243,7 +255,7 @@
   };
 }
 
-async function send(
+async function sendRequests(
   fleet: Fleet,
   entries: EntryModel[],
   records: RequestRecord[],
@@ -252,13 +264,13 @@
   for (let index = 0; index < requests.length; index++) {
     const plan = requests[index]!;
     await fleet.clock.sleep(plan.atMs - fleet.clock.nowMs());
-    const entry = entries[fleet.random.between(0, entries.length)]!;
+    const entry = entries[fleet.random.nextInt(0, entries.length)]!;
     void entry.serve(plan, `${index}`).then((record) => records.push(record));
   }
 }
 
-/** Gives the baseline that goes by load what a feed of load would, every quarter of a second. */
-async function feedLoads(fleet: Fleet, entries: EntryModel[]): Promise<void> {
+/** Simulates a periodic feed of each worker's load, for the least-loaded baseline. */
+async function reportLoads(fleet: Fleet, entries: EntryModel[]): Promise<void> {
   while (!fleet.signal.aborted) {
     for (const { id, server } of fleet.workers) {
       const { runningCount: running, waitingCount: waiting } = server.admission;
@@ -266,6 +278,6 @@
         policy.learn({ kind: "load", memberId: id, running, waiting });
       }
     }
-    await fleet.clock.sleep(LOAD_FEED_MS, fleet.signal);
+    await fleet.clock.sleep(LOAD_REPORT_INTERVAL_MS, fleet.signal);
   }
 }
--- a/src/experiment/summary.ts
+++ b/src/experiment/summary.ts
@@ -1,4 +1,4 @@
-/** Figures of runs, and their median and spread over seeds. */
+/** Computes the figures of runs, and their median and range over seeds. */
 import type { RequestRecord } from "./entry_model.ts";
 import type { PrefillRecord, RunTrace } from "./run_once.ts";
 import type { ClassPlan, Workload } from "./workload.ts";
@@ -9,15 +9,15 @@
   ttftP50Ms: number;
   ttftP95Ms: number;
   ttftP99Ms: number;
-  /** As p99, with what got no first token counted at its deadline. */
+  /** Like `ttftP99Ms`, but a request without a first token counts with its deadline. */
   ttftP99AllMs: number;
   refusedShare: number;
   failedShare: number;
-  /** Share without a first token before the deadline, refused and failed ones included. */
+  /** Share of requests that were refused, failed or got no first token before the deadline. */
   lateShare: number;
-  /** Share of prompt tokens that were cached where the request ran. */
+  /** Share of prompt tokens that were cached on the server that ran the request. */
   hitRate: number;
-  /** Share of prompt tokens that were recomputed while another live server held them. */
+  /** Share of prompt tokens recomputed although another running server had them cached. */
   wastedShare: number;
 }
 
@@ -26,7 +26,7 @@
   classes: Record<string, ClassFigures>;
   hitRate: number;
   wastedShare: number;
-  /** Of each pool: tokens prefilled by the busiest worker, over the mean. */
+  /** For each pool: tokens prefilled by the busiest worker, divided by the mean over workers. */
   imbalance: Record<string, number>;
   controlMessages: number;
   controlBytes: number;
@@ -34,27 +34,30 @@
   refusalsWithoutRetryAfter: number;
 }
 
-/** Median, lowest and highest of a figure over seeds. */
+/** Median, lowest and highest value of a figure over seeds. */
 export interface Spread {
   median: number;
   lowest: number;
   highest: number;
 }
 
-/** After an event: p95 of a class from 5 to 15 s after it, over p95 before the first event. */
+/**
+ * For each event: p95 of a class's time to first token from 5 to 15 s after the event, divided by
+ * the p95 before the first event. Requests without a first token count with their deadline.
+ */
 export interface RecoveryFigures {
   shiftRatio: number;
   crashRatio: number;
   drainRatio: number;
 }
 
-const RECOVERED_AFTER_MS = 5_000;
+const RECOVERY_DELAY_MS = 5_000;
 const RECOVERY_WINDOW_MS = 10_000;
 
 /**
- * @param workload The load.
- * @param trace What happened in a run.
- * @returns The run's figures, from when caches are warm.
+ * @param workload The workload of the run.
+ * @param trace The records of the run.
+ * @returns The run's figures, without the requests of the warm-up period.
  */
 export function summarize(workload: Workload, trace: RunTrace): RunFigures {
   const { warmMs } = workload.events;
@@ -68,7 +71,7 @@
     hitRate: hitRateOf(prefills),
     wastedShare: wastedShareOf(prefills),
     imbalance: Object.fromEntries(
-      Object.entries(trace.workTokens).map((
+      Object.entries(trace.prefilledTokens).map((
         [pool, tokens],
       ) => [pool, imbalanceOf(tokens)]),
     ),
@@ -81,9 +84,9 @@
 }
 
 /**
- * @param workload The load.
- * @param traces Runs under several seeds, taken together.
- * @returns How each class fared after the events.
+ * @param workload The workload of the runs.
+ * @param traces Records of runs with different seeds; their requests are combined.
+ * @returns The recovery ratios after each event, by class name.
  */
 export function summarizeRecovery(
   workload: Workload,
@@ -92,17 +95,19 @@
   const { warmMs, shiftMs, crashMs, drainMs } = workload.events;
   const requests = traces.flatMap((trace) => trace.requests);
   return Object.fromEntries(workload.classes.map((each) => {
-    const own = requests.filter(({ plan }) => plan.class.name === each.name);
+    const classRequests = requests.filter(({ plan }) =>
+      plan.class.name === each.name
+    );
     const p95 = (fromMs: number, toMs: number) => {
-      const inWindow = own.filter(({ plan }) =>
+      const inWindow = classRequests.filter(({ plan }) =>
         plan.atMs >= fromMs && plan.atMs < toMs
       );
-      return percentile(inWindow.map(timeOrDeadline), 0.95);
+      return percentile(inWindow.map(ttftOrDeadline), 0.95);
     };
-    const steadyMs = p95(2 * warmMs, shiftMs);
+    const baselineMs = p95(2 * warmMs, shiftMs);
     const ratioAfter = (eventMs: number) => {
-      const fromMs = eventMs + RECOVERED_AFTER_MS;
-      return p95(fromMs, fromMs + RECOVERY_WINDOW_MS) / steadyMs;
+      const fromMs = eventMs + RECOVERY_DELAY_MS;
+      return p95(fromMs, fromMs + RECOVERY_WINDOW_MS) / baselineMs;
     };
     return [each.name, {
       shiftRatio: ratioAfter(shiftMs),
@@ -113,8 +118,8 @@
 }
 
 /**
- * @param values One of each seed.
- * @returns Their median and range.
+ * @param values One value per seed.
+ * @returns The median and range of the values.
  */
 export function spreadOf(values: number[]): Spread {
   const sorted = [...values].sort((a, b) => a - b);
@@ -126,9 +131,10 @@
 }
 
 /**
- * @param values Any values.
- * @param share From 0 to 1.
- * @returns The least value that at least this share don't exceed; NaN of none.
+ * @param values The values, in any order.
+ * @param share The percentile as a fraction from 0 to 1.
+ * @returns The smallest of the values that is at least as large as this share of them; NaN for an
+ *   empty array.
  */
 export function percentile(values: number[], share: number): number {
   if (values.length === 0) return NaN;
@@ -136,12 +142,15 @@
   return sorted[Math.max(0, Math.ceil(share * sorted.length) - 1)]!;
 }
 
-interface WarmRecords {
+interface MeasuredRecords {
   requests: RequestRecord[];
   prefills: PrefillRecord[];
 }
 
-function summarizeClass(plan: ClassPlan, records: WarmRecords): ClassFigures {
+function summarizeClass(
+  plan: ClassPlan,
+  records: MeasuredRecords,
+): ClassFigures {
   const requests = records.requests.filter((each) => each.plan.class === plan);
   const prefills = records.prefills.filter((each) => each.plan.class === plan);
   const ttfts = requests.filter(({ ttftMs }) => ttftMs < Infinity).map((
@@ -155,7 +164,7 @@
     ttftP50Ms: percentile(ttfts, 0.5),
     ttftP95Ms: percentile(ttfts, 0.95),
     ttftP99Ms: percentile(ttfts, 0.99),
-    ttftP99AllMs: percentile(requests.map(timeOrDeadline), 0.99),
+    ttftP99AllMs: percentile(requests.map(ttftOrDeadline), 0.99),
     refusedShare: shareOf(({ outcome }) => outcome === "refused"),
     failedShare: shareOf(({ outcome }) => outcome === "failed"),
     lateShare: shareOf((each) =>
@@ -166,7 +175,7 @@
   };
 }
 
-function timeOrDeadline({ ttftMs, plan }: RequestRecord): number {
+function ttftOrDeadline({ ttftMs, plan }: RequestRecord): number {
   return ttftMs < Infinity ? ttftMs : plan.class.deadlineMs;
 }
 
--- a/src/experiment/veldhoven.ts
+++ b/src/experiment/veldhoven.ts
@@ -1,16 +1,16 @@
 /**
- * Veldhoven's load: planners review work packages, six reviews each; permits are classified; the
- * control room asks about two active shutdowns, and now and then about other plants.
+ * Generates the Veldhoven workload: planners send six reviews for each work package, permits are
+ * classified, and the control room looks up two active shutdowns and, less often, other plants.
  */
-import { Random, zipf } from "./random.ts";
+import { Random, zipfWeights } from "./random.ts";
 import {
   buildSites,
   type ClassPlan,
   EVENT_TIMES,
   type LoadOptions,
-  poisson,
+  poissonArrivals,
   type PoolPlan,
-  PromptBook,
+  PromptBuilder,
   rateFactor,
   type RequestPlan,
   scalePools,
@@ -71,16 +71,16 @@
   text: string;
 }
 
-interface Load {
+interface GeneratorContext {
   random: Random;
-  book: PromptBook;
+  promptBuilder: PromptBuilder;
   requests: RequestPlan[];
 }
 
 /**
- * @param seed Seed of the load.
- * @param options Factors.
- * @returns The load.
+ * @param seed Seed of the random generator.
+ * @param options Changes to rates, worker counts and latency.
+ * @returns The generated workload.
  */
 export function buildVeldhoven(
   seed: number,
@@ -88,46 +88,50 @@
 ): Workload {
   const factor = rateFactor(options);
   const random = Random.create(seed);
-  const load: Load = { random, book: PromptBook.create(), requests: [] };
+  const context: GeneratorContext = {
+    random,
+    promptBuilder: PromptBuilder.create(),
+    requests: [],
+  };
   const plants = buildSites(random, FIRM_BYTES).flatMap(buildPlants);
-  const weights = zipf(plants.length, 0.7);
-  const anyPlant = () => plants[random.weighted(weights)]!;
-  poisson(
+  const weights = zipfWeights(plants.length, 0.7);
+  const anyPlant = () => plants[random.weightedIndex(weights)]!;
+  poissonArrivals(
     random,
     factor * PLANNERS_PER_S,
-    (atMs) => addReviews(load, anyPlant(), atMs),
+    (atMs) => addReviews(context, anyPlant(), atMs),
   );
-  poisson(
+  poissonArrivals(
     random,
     factor * PERMITS_PER_S,
-    (atMs) => addPermit(load, anyPlant(), atMs),
+    (atMs) => addPermit(context, anyPlant(), atMs),
   );
   const shutdowns = [7, 31, 19, 40].map((at) => plants[at]!).map((plant) => ({
     plant,
     text: random.text(SHUTDOWN_BYTES),
   }));
-  poisson(random, factor * SHUTDOWN_LOOKUPS_PER_S, (atMs) => {
+  poissonArrivals(random, factor * SHUTDOWN_LOOKUPS_PER_S, (atMs) => {
     const first = atMs < EVENT_TIMES.shiftMs ? 0 : 2;
     const { plant, text } = shutdowns[first + (random.next() < 0.7 ? 0 : 1)]!;
-    addLookups(load, [plant.firm.text, plant.text, text], {
+    addLookups(context, [plant.firm.text, plant.text, text], {
       plant,
       atMs,
       count: 1,
     });
   });
-  poisson(random, factor * OTHER_LOOKUPS_PER_S, (atMs) => {
+  poissonArrivals(random, factor * OTHER_LOOKUPS_PER_S, (atMs) => {
     const plant = anyPlant();
     const texts = [plant.firm.text, plant.text, random.text(SHUTDOWN_BYTES)];
-    addLookups(load, texts, { plant, atMs, count: OTHER_LOOKUPS });
+    addLookups(context, texts, { plant, atMs, count: OTHER_LOOKUPS });
   });
-  load.requests.sort((a, b) => a.atMs - b.atMs);
+  context.requests.sort((a, b) => a.atMs - b.atMs);
   return {
     name: WorkloadName.Veldhoven,
     pools: scalePools(POOLS, options),
     classes: [CONTROL, PERMIT, REVIEW],
     zones: ["zone-a", "zone-b", "zone-c"],
     zoneRttMs: options.zoneRttMs ?? 1.5,
-    requests: load.requests.filter(({ atMs }) => atMs < EVENT_TIMES.endMs),
+    requests: context.requests.filter(({ atMs }) => atMs < EVENT_TIMES.endMs),
     events: EVENT_TIMES,
   };
 }
@@ -139,21 +143,29 @@
   }));
 }
 
-function addReviews(load: Load, plant: Plant, startMs: number): void {
-  const { random } = load;
-  const workPackage = random.text(random.between(...PACKAGE_BYTES));
+function addReviews(
+  context: GeneratorContext,
+  plant: Plant,
+  startMs: number,
+): void {
+  const { random } = context;
+  const workPackage = random.text(random.nextInt(...PACKAGE_BYTES));
   let atMs = startMs;
   for (let i = 0; i < REVIEWS; i++) {
-    const question = random.text(random.between(...REVIEW_BYTES));
+    const question = random.text(random.nextInt(...REVIEW_BYTES));
     const texts = [plant.firm.text, plant.text, workPackage, question];
-    add(load, REVIEW, { plant, texts, atMs });
+    addRequest(context, REVIEW, { plant, texts, atMs });
     atMs += random.exponential(REVIEW_GAP_MS);
   }
 }
 
-function addPermit(load: Load, plant: Plant, atMs: number): void {
-  const permit = load.random.text(load.random.between(...PERMIT_BYTES));
-  add(load, PERMIT, {
+function addPermit(
+  context: GeneratorContext,
+  plant: Plant,
+  atMs: number,
+): void {
+  const permit = context.random.text(context.random.nextInt(...PERMIT_BYTES));
+  addRequest(context, PERMIT, {
     plant,
     texts: [plant.firm.text, plant.text, permit],
     atMs,
@@ -161,27 +173,29 @@
 }
 
 function addLookups(
-  load: Load,
+  context: GeneratorContext,
   prefix: string[],
   { plant, atMs, count }: { plant: Plant; atMs: number; count: number },
 ): void {
   for (let i = 0; i < count; i++) {
-    const question = load.random.text(load.random.between(...LOOKUP_BYTES));
-    add(load, CONTROL, { plant, texts: [...prefix, question], atMs });
-    atMs += load.random.exponential(LOOKUP_GAP_MS);
+    const question = context.random.text(
+      context.random.nextInt(...LOOKUP_BYTES),
+    );
+    addRequest(context, CONTROL, { plant, texts: [...prefix, question], atMs });
+    atMs += context.random.exponential(LOOKUP_GAP_MS);
   }
 }
 
-function add(
-  load: Load,
+function addRequest(
+  context: GeneratorContext,
   plan: ClassPlan,
   { plant, texts, atMs }: { plant: Plant; texts: string[]; atMs: number },
 ): void {
   const { workspace } = plant.firm;
   const owner = { team: "veldhoven", workspace, model: plan.pool };
-  load.requests.push({
+  context.requests.push({
     atMs,
     class: plan,
-    ...load.book.write(owner, texts, plan),
+    ...context.promptBuilder.build(owner, texts, plan),
   });
 }
--- a/src/experiment/virtual_cache.ts
+++ b/src/experiment/virtual_cache.ts
@@ -1,6 +1,6 @@
 /**
- * The prefix cache of a virtual engine, with the least recently used block evicted first, and its
- * feed of events, which is late and has gaps.
+ * Simulates an engine's prefix cache with least-recently-used eviction. Its event feed delivers
+ * events late and loses some of them.
  */
 import type { Clock } from "../base/mod.ts";
 import { cacheSalt } from "../placement/mod.ts";
@@ -8,9 +8,9 @@
 import type { Random } from "./random.ts";
 import type { RequestPlan } from "./workload.ts";
 
-const FEED_LAG_MS = 50;
-/** Share of cache events that are lost. */
-const LOST_SHARE = 0.0005;
+const EVENT_DELAY_MS = 50;
+/** Share of cache events that are never delivered. */
+const EVENT_LOSS_RATE = 0.0005;
 
 /** Settings of a {@link VirtualCache}. */
 export interface VirtualCacheOptions {
@@ -26,14 +26,14 @@
   salt: string;
 }
 
-type Stored = Extract<CacheEvent, { kind: "stored" }>;
+type StoredEvent = Extract<CacheEvent, { kind: "stored" }>;
 
-/** Cached blocks by the keys of their chains. */
+/** Stores cached blocks by their chain keys. */
 export class VirtualCache {
-  /** Number of the next event. */
+  /** Sequence number of the next event. */
   nextSeq = 1;
   readonly #options: VirtualCacheOptions;
-  /** In the order of last use, oldest first. */
+  /** Blocks ordered by last use, least recently used first. */
   readonly #blocks = new Map<bigint, CachedBlock>();
   readonly #salts = new Map<string, string>();
   #events: { atMs: number; event: CacheEvent }[] = [];
@@ -43,7 +43,7 @@
   }
 
   /**
-   * @param options Size and surroundings.
+   * @param options Size and simulated environment.
    * @returns An empty cache.
    */
   static create(options: VirtualCacheOptions): VirtualCache {
@@ -51,38 +51,43 @@
   }
 
   /**
-   * @param keys A prompt's keys.
-   * @returns Blocks of its longest prefix that is cached.
+   * @param keys The block keys of a prompt.
+   * @returns The number of blocks in the prompt's longest cached prefix.
    */
-  count(keys: BigUint64Array): number {
+  countCachedPrefix(keys: BigUint64Array): number {
     let count = 0;
     while (count < keys.length && this.#blocks.has(keys[count]!)) count++;
     return count;
   }
 
-  /** Loses everything, without events. */
+  /** Removes all blocks and pending events and resets the sequence, without publishing events. */
   clear(): void {
     this.#blocks.clear();
     this.#events = [];
     this.nextSeq = 1;
   }
 
-  /** @returns All blocks, parents first. */
+  /** @returns A stored event for each block, parents before their children. */
   snapshot(): CacheEvent[] {
     return [...this.#blocks].reverse().map(([key, block]) =>
-      this.#stored(key, block)
+      this.#storedEvent(key, block)
     );
   }
 
-  /** @returns Events from a number on that have reached the reader by now. */
-  take(fromSeq: number): CacheEvent[] {
-    const untilMs = this.#options.clock.nowMs() - FEED_LAG_MS;
+  /**
+   * Removes the events that are due by now.
+   *
+   * @param fromSeq The lowest sequence number to return.
+   * @returns The due events from that sequence number on.
+   */
+  takeEvents(fromSeq: number): CacheEvent[] {
+    const untilMs = this.#options.clock.nowMs() - EVENT_DELAY_MS;
     const due = this.#events.filter(({ atMs }) => atMs <= untilMs);
     this.#events = this.#events.slice(due.length);
     return due.map(({ event }) => event).filter(({ seq }) => seq >= fromSeq);
   }
 
-  /** Caches a whole prompt. */
+  /** Caches all blocks of a prompt; evicts the least recently used blocks above the capacity. */
   store({ prompt, scope }: RequestPlan): void {
     const { keys, contents } = prompt;
     const salt = this.#saltOf(scope);
@@ -91,13 +96,13 @@
       const parentKey = i === 0 ? "" : String(keys[i - 1]);
       const block = { parentKey, content: contents[i]!, salt };
       this.#blocks.set(keys[i]!, block);
-      this.#publish(this.#stored(keys[i]!, block));
+      this.#publish(this.#storedEvent(keys[i]!, block));
     }
     this.touch(keys, keys.length);
     this.#evict();
   }
 
-  /** Counts as a use. Backwards, so that parents outlive their children. */
+  /** Marks blocks as used; iterates backwards, so that children are evicted before parents. */
   touch(keys: BigUint64Array, count: number): void {
     for (let i = count - 1; i >= 0; i--) {
       const block = this.#blocks.get(keys[i]!);
@@ -115,7 +120,10 @@
     }
   }
 
-  #stored(key: bigint, { parentKey, content, salt }: CachedBlock): Stored {
+  #storedEvent(
+    key: bigint,
+    { parentKey, content, salt }: CachedBlock,
+  ): StoredEvent {
     return {
       kind: "stored",
       seq: 0,
@@ -129,7 +137,7 @@
 
   #publish(event: CacheEvent): void {
     const seq = this.nextSeq++;
-    if (this.#options.random.next() < LOST_SHARE) return;
+    if (this.#options.random.next() < EVENT_LOSS_RATE) return;
     this.#events.push({
       atMs: this.#options.clock.nowMs(),
       event: { ...event, seq },
--- a/src/experiment/virtual_clock.ts
+++ b/src/experiment/virtual_clock.ts
@@ -1,4 +1,4 @@
-/** Virtual time: sleeping tasks are woken in order, as fast as the machine allows. */
+/** Simulated time: wakes sleeping tasks in order of their wake-up time, without real delays. */
 import type { Clock } from "../base/mod.ts";
 
 interface Sleeper {
@@ -7,11 +7,11 @@
   wake: () => void;
 }
 
-/** A clock that {@link VirtualClock.advance} drives. */
+/** A clock whose time only moves in {@link VirtualClock.advance}. */
 export class VirtualClock implements Clock {
   #nowMs = 0;
   #count = 0;
-  /** Binary heap, earliest first. */
+  /** Binary min-heap, ordered by wake-up time and then by insertion order. */
   readonly #sleepers: Sleeper[] = [];
 
   private constructor() {}
@@ -43,17 +43,17 @@
   }
 
   /**
-   * Lets time pass. After each wake-up all that it set off runs to its next sleep.
+   * Advances the time. After each wake-up, the woken tasks run until their next sleep.
    *
-   * @param untilMs Where to stop.
+   * @param untilMs The time at which to stop.
    */
   async advance(untilMs: number): Promise<void> {
-    await settle();
+    await flushMicrotasks();
     while (this.#sleepers.length > 0 && this.#sleepers[0]!.atMs <= untilMs) {
       const { atMs } = this.#sleepers[0]!;
       this.#nowMs = atMs;
       while (this.#sleepers[0]?.atMs === atMs) this.#pop().wake();
-      await settle();
+      await flushMicrotasks();
     }
     this.#nowMs = untilMs;
   }
@@ -96,7 +96,7 @@
     (one.atMs === other.atMs && one.order < other.order);
 }
 
-/** Microtasks run to their end before the next immediate. */
-function settle(): Promise<void> {
+/** Runs all pending microtasks; they complete before the next immediate. */
+function flushMicrotasks(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
--- a/src/experiment/virtual_engine.ts
+++ b/src/experiment/virtual_engine.ts
@@ -1,6 +1,7 @@
 /**
- * A small model engine in virtual time, behind the interface of real ones: slots, prefill by
- * priority in slices, decoding at a fixed pace, and a prefix cache.
+ * Simulates a model engine in virtual time behind the interface of real engines. It has a limited
+ * number of slots, prefills in time slices by priority, decodes at a fixed rate and has a prefix
+ * cache.
  */
 import { Result } from "true-myth";
 import type { Clock } from "../base/mod.ts";
@@ -24,8 +25,8 @@
 const BLOCK_BYTES = 256;
 const BLOCK_TOKENS = 64;
 const PREFILL_SLICE_MS = 20;
-const FEED_POLL_MS = 50;
-const LOAD_LAG_MS = 200;
+const EVENT_POLL_MS = 50;
+const LOAD_REPORT_DELAY_MS = 200;
 
 /** Settings of a {@link VirtualEngine}. */
 export interface VirtualEngineOptions {
@@ -34,9 +35,9 @@
   cacheBlocks: number;
   clock: Clock;
   random: Random;
-  /** Finds a run's prompt and says what it asks for. */
+  /** Returns the request with a given id. */
   planOf: (requestId: string) => RequestPlan;
-  /** Called when a prefill begins. */
+  /** Called when the prefill of a request begins. */
   onPrefill: (
     plan: RequestPlan,
     cachedBlocks: number,
@@ -50,20 +51,23 @@
   order: number;
   isStarted: boolean;
   cachedTokens: number;
-  leftTokens: number;
+  remainingTokens: number;
   prefilled: Promise<void>;
-  settle: () => void;
+  resolvePrefilled: () => void;
 }
 
 const UNREACHABLE: EngineFailure = {
   kind: "unreachable",
   message: "The engine is down",
 };
-const BROKEN: EngineFailure = { kind: "broken", message: "The engine crashed" };
+const CRASHED: EngineFailure = {
+  kind: "broken",
+  message: "The engine crashed",
+};
 
-/** One engine. */
+/** A simulated engine. */
 export class VirtualEngine implements Engine {
-  /** Tokens that were prefilled, for the balance of work. */
+  /** Total number of prefilled tokens, to compare the work of engines. */
   prefilledTokens = 0;
   readonly #options: VirtualEngineOptions;
   readonly #cache: VirtualCache;
@@ -71,8 +75,8 @@
   #decoding = 0;
   #isUp = true;
   #isPrefilling = false;
-  #life = 0;
-  #orders = 0;
+  #generation = 0;
+  #nextOrder = 0;
   #reports: EngineLoad[] = [];
 
   private constructor(options: VirtualEngineOptions) {
@@ -81,7 +85,7 @@
   }
 
   /**
-   * @param options Size and surroundings.
+   * @param options Size and simulated environment.
    * @returns An engine with an empty cache.
    */
   static create(options: VirtualEngineOptions): VirtualEngine {
@@ -93,24 +97,24 @@
   }
 
   /**
-   * @param keys A prompt's keys.
-   * @returns Blocks of its longest prefix that is cached, in truth.
+   * @param keys The block keys of a prompt.
+   * @returns The number of blocks in the prompt's longest cached prefix, without the feed's delay.
    */
   cachedBlocks(keys: BigUint64Array): number {
-    return this.#cache.count(keys);
+    return this.#cache.countCachedPrefix(keys);
   }
 
-  /** Stops, losing the cache and all runs. */
+  /** Stops the engine; the cache and all runs are lost. */
   crash(): void {
     this.#isUp = false;
-    this.#life++;
+    this.#generation++;
     this.#cache.clear();
-    for (const job of this.#jobs) job.settle();
+    for (const job of this.#jobs) job.resolvePrefilled();
     this.#jobs.clear();
     this.#decoding = 0;
   }
 
-  /** Starts again with an empty cache. */
+  /** Starts the engine again, with an empty cache. */
   restart(): void {
     this.#isUp = true;
     this.#reports = [];
@@ -129,13 +133,17 @@
     }));
   }
 
-  /** Reports lag: what is told was true a moment ago. */
+  /**
+   * Returns the newest report that is at least {@link LOAD_REPORT_DELAY_MS} old, or the oldest
+   * report if all are newer.
+   */
   load(): Promise<Result<EngineLoad, EngineFailure>> {
     if (!this.#isUp) return Promise.resolve(Result.err(UNREACHABLE));
-    this.#reports.push(this.#loadNow());
+    this.#reports.push(this.#currentLoad());
     const nowMs = this.#options.clock.nowMs();
     while (
-      this.#reports.length > 1 && this.#reports[1]!.ageMs + LOAD_LAG_MS <= nowMs
+      this.#reports.length > 1 &&
+      this.#reports[1]!.ageMs + LOAD_REPORT_DELAY_MS <= nowMs
     ) {
       this.#reports.shift();
     }
@@ -150,15 +158,15 @@
     signal: AbortSignal,
   ): AsyncIterable<Result<EngineStep, EngineFailure>> {
     if (!this.#isUp) return yield Result.err(UNREACHABLE);
-    const life = this.#life;
+    const generation = this.#generation;
     const plan = this.#options.planOf(call.requestId);
     const job = this.#enqueue(plan, call.priority);
     await job.prefilled;
-    if (life !== this.#life) return yield Result.err(BROKEN);
+    if (generation !== this.#generation) return yield Result.err(CRASHED);
     yield Result.ok({ kind: "piece", data: Buffer.from("first") });
     const decodeMs = plan.class.outputTokens * DECODE_MS_PER_TOKEN;
     await this.#options.clock.sleep(decodeMs, signal);
-    if (life !== this.#life) return yield Result.err(BROKEN);
+    if (generation !== this.#generation) return yield Result.err(CRASHED);
     this.#decoding--;
     this.#startPrefill();
     yield Result.ok({
@@ -185,12 +193,12 @@
     sinceSeq: number,
     signal: AbortSignal,
   ): AsyncIterable<Result<CacheFeedStep, EngineFailure>> {
-    const life = this.#life;
+    const generation = this.#generation;
     let nextSeq = sinceSeq;
     while (!signal.aborted) {
-      await this.#options.clock.sleep(FEED_POLL_MS, signal);
-      if (life !== this.#life) return yield Result.err(BROKEN);
-      for (const event of this.#cache.take(nextSeq)) {
+      await this.#options.clock.sleep(EVENT_POLL_MS, signal);
+      if (generation !== this.#generation) return yield Result.err(CRASHED);
+      for (const event of this.#cache.takeEvents(nextSeq)) {
         nextSeq = event.seq + 1;
         yield Result.ok({
           kind: "event",
@@ -216,40 +224,42 @@
   close(): void {}
 
   get #incarnation(): string {
-    return `${this.#options.id}-${this.#life}`;
+    return `${this.#options.id}-${this.#generation}`;
   }
 
-  #loadNow(): EngineLoad {
+  #currentLoad(): EngineLoad {
     let waiting = 0;
     let prefillTokensQueued = 0;
     for (const job of this.#jobs) {
       if (!job.isStarted) waiting++;
-      prefillTokensQueued += job.leftTokens;
+      prefillTokensQueued += job.remainingTokens;
     }
     return {
       incarnation: this.#incarnation,
       running: this.#decoding + this.#jobs.size - waiting,
       waiting,
       prefillTokensQueued,
-      // The time of the report; `load` turns it into an age.
+      // Stores the time of the report here; `load` converts it to an age.
       ageMs: this.#options.clock.nowMs(),
     };
   }
 
   #enqueue(plan: RequestPlan, priority: number): Job {
-    let settle = () => {};
-    const prefilled = new Promise<void>((resolve) => settle = resolve);
-    const leftTokens = plan.prompt.request.promptTokens;
-    const order = this.#orders++;
+    let resolvePrefilled = () => {};
+    const prefilled = new Promise<void>((resolve) =>
+      resolvePrefilled = resolve
+    );
+    const remainingTokens = plan.prompt.request.promptTokens;
+    const order = this.#nextOrder++;
     const job = {
       plan,
       priority,
       order,
       isStarted: false,
       cachedTokens: 0,
-      leftTokens,
+      remainingTokens,
       prefilled,
-      settle,
+      resolvePrefilled,
     };
     this.#jobs.add(job);
     this.#startPrefill();
@@ -259,27 +269,29 @@
   #startPrefill(): void {
     if (this.#isPrefilling) return;
     this.#isPrefilling = true;
-    void this.#prefill(this.#life).finally(() => this.#isPrefilling = false);
+    void this.#prefill(this.#generation).finally(() =>
+      this.#isPrefilling = false
+    );
   }
 
-  async #prefill(life: number): Promise<void> {
-    for (let job = this.#next(); job; job = this.#next()) {
-      if (!job.isStarted) this.#start(job);
+  async #prefill(generation: number): Promise<void> {
+    for (let job = this.#nextJob(); job; job = this.#nextJob()) {
+      if (!job.isStarted) this.#startJob(job);
       const tokens = Math.min(
-        job.leftTokens,
+        job.remainingTokens,
         PREFILL_SLICE_MS / PREFILL_MS_PER_TOKEN,
       );
       await this.#options.clock.sleep(tokens * PREFILL_MS_PER_TOKEN);
-      if (life !== this.#life) {
-        life = this.#life;
+      if (generation !== this.#generation) {
+        generation = this.#generation;
         continue;
       }
-      job.leftTokens -= tokens;
-      if (job.leftTokens <= 0) this.#finish(job);
+      job.remainingTokens -= tokens;
+      if (job.remainingTokens <= 0) this.#finishJob(job);
     }
   }
 
-  #next(): Job | undefined {
+  #nextJob(): Job | undefined {
     let best: Job | undefined;
     let started = this.#decoding;
     for (const job of this.#jobs) if (job.isStarted) started++;
@@ -290,7 +302,7 @@
     return best;
   }
 
-  #start(job: Job): void {
+  #startJob(job: Job): void {
     const { keys, request } = job.plan.prompt;
     const blocks = this.cachedBlocks(keys);
     this.#options.onPrefill(job.plan, blocks, this);
@@ -299,16 +311,16 @@
       blocks * BLOCK_TOKENS,
       request.promptTokens - 1,
     );
-    job.leftTokens = request.promptTokens - job.cachedTokens;
-    this.prefilledTokens += job.leftTokens;
+    job.remainingTokens = request.promptTokens - job.cachedTokens;
+    this.prefilledTokens += job.remainingTokens;
     this.#cache.touch(keys, blocks);
   }
 
-  #finish(job: Job): void {
+  #finishJob(job: Job): void {
     this.#jobs.delete(job);
     this.#decoding++;
     this.#cache.store(job.plan);
-    job.settle();
+    job.resolvePrefilled();
   }
 }
 
--- a/src/experiment/worker.ts
+++ b/src/experiment/worker.ts
@@ -1,4 +1,4 @@
-/** A worker: a virtual engine and, beside it, the agent's own queue, cache view and costs. */
+/** A backend server: a simulated engine with the real agent's queue, cache view and cost model. */
 import { Result } from "true-myth";
 import type { Demand } from "../agent/admission.ts";
 import { ModelServer } from "../agent/model_server.ts";
@@ -20,21 +20,21 @@
 export interface WorkerOptions extends VirtualEngineOptions {
   zone: string;
   pool: string;
-  /** False: the agent counts prefixes that are being computed as missing. */
+  /** When false, the agent treats prefixes that are still being computed as not cached. */
   countsInFlight: boolean;
 }
 
-/** What came of a run. */
+/** Result of a run: refused by the agent, or ended with an outcome. */
 export type RunResult =
   | { kind: "refused"; refusal: Refusal }
   | { kind: "ended"; end: RunEnd; wasStarted: boolean };
 
 const TEAM_MAX_IN_FLIGHT = 100_000;
 const OUTPUT_LIMITS = { maxBytes: 1 << 20, repeatBytes: 0 };
-const LEAVING_RETRY_MS = 1000;
+const LEAVING_RETRY_AFTER_MS = 1000;
 const SWEEP_MS = 500;
 
-/** One backend server with its agent. */
+/** One simulated backend server with its agent. */
 export class Worker implements Member {
   readonly id: string;
   readonly zone: string;
@@ -61,14 +61,14 @@
   }
 
   /**
-   * @param options Engine, zone and pool.
-   * @returns A worker whose tasks don't run yet.
+   * @param options Settings of the engine, and its zone and pool.
+   * @returns A worker whose background tasks are not started.
    */
   static create(options: WorkerOptions): Worker {
     return new Worker(options);
   }
 
-  /** @param signal Ends the agent's tasks. */
+  /** @param signal Stops the agent's background tasks when aborted. */
   start(signal: AbortSignal): void {
     void this.server.watch.run(signal);
     void this.server.follower.run(signal);
@@ -76,8 +76,8 @@
   }
 
   /**
-   * @param ask A request.
-   * @returns The agent's reply.
+   * @param ask The ask request of an entry.
+   * @returns The agent's reply: an offer or a refusal.
    */
   ask(ask: AskRequest): AskReply {
     const verdict = this.#offer(ask).match<AskReply["verdict"]>({
@@ -91,10 +91,10 @@
   }
 
   /**
-   * @param ask A request.
-   * @param holdId The hold under which it was offered; empty: it was not asked before.
-   * @param onFirstPiece Called when the first piece is there.
-   * @returns How it ended.
+   * @param ask The request to run.
+   * @param holdId The hold of the agent's offer; empty when the agent was not asked first.
+   * @param onFirstPiece Called when the first piece of output arrives.
+   * @returns The refusal, or how the run ended.
    */
   async run(
     ask: AskRequest,
@@ -126,11 +126,11 @@
   }
 
   /**
-   * What the worker would offer if its picture of the cache were exact.
+   * Estimates the time to first token from the exact state of the cache.
    *
-   * @param ask A request.
-   * @param uncachedTokens Tokens that are truly missing.
-   * @returns Expected time to the first token; Infinity: it would refuse.
+   * @param ask The request to estimate.
+   * @param uncachedTokens Number of prompt tokens missing from the engine's cache.
+   * @returns The expected time to first token; Infinity if the worker would refuse the request.
    */
   exactTtftMs(ask: AskRequest, uncachedTokens: number): number {
     if (this.isLeaving || !this.engine.isUp) return Infinity;
@@ -163,6 +163,6 @@
 
 function refuseLeaving(): Refusal {
   return refuse(RefusalCode.LEAVING, "The server is leaving", {
-    retryAfterMs: LEAVING_RETRY_MS,
+    retryAfterMs: LEAVING_RETRY_AFTER_MS,
   });
 }
--- a/src/experiment/workload.ts
+++ b/src/experiment/workload.ts
@@ -1,4 +1,7 @@
-/** Loads of the experiment: who sends what, and when. Open loop: nobody waits for an answer. */
+/**
+ * Types and helpers for simulated workloads. Workloads are open-loop: arrival times don't depend on
+ * answers.
+ */
 import {
   type ChainScope,
   describePrompt,
@@ -17,14 +20,14 @@
 /** One of {@link WorkloadName}. */
 export type WorkloadName = (typeof WorkloadName)[keyof typeof WorkloadName];
 
-/** A pool of equal workers. */
+/** A pool of identical workers. */
 export interface PoolPlan {
   name: string;
   workers: number;
   cacheBlocks: number;
 }
 
-/** A class of requests. */
+/** A class of requests with the same pool, priority and deadline. */
 export interface ClassPlan {
   name: string;
   pool: string;
@@ -34,7 +37,7 @@
   outputTokens: number;
 }
 
-/** A request that will be sent. */
+/** A request and the time at which it is sent. */
 export interface RequestPlan {
   atMs: number;
   class: ClassPlan;
@@ -42,7 +45,7 @@
   prompt: PromptPlan;
 }
 
-/** A prompt, with all that engines and placement make of it. */
+/** A prompt in the forms that placement and the engines use. */
 export interface PromptPlan {
   request: PlacementRequest;
   keys: BigUint64Array;
@@ -50,31 +53,31 @@
   contents: string[];
 }
 
-/** A whole load. */
+/** All requests, pools and events of a run. */
 export interface Workload {
   name: WorkloadName;
   pools: PoolPlan[];
   classes: ClassPlan[];
   zones: string[];
-  /** Round trip between availability zones. */
+  /** Round-trip time between availability zones. */
   zoneRttMs: number;
   requests: RequestPlan[];
   events: EventTimes;
 }
 
-/** When what happens. */
+/** Times of the events in a run, since its start. */
 export interface EventTimes {
-  /** Measurement begins; caches are no longer empty. */
+  /** End of the warm-up: measurement begins once the caches have been filled. */
   warmMs: number;
   shiftMs: number;
   crashMs: number;
-  /** The crashed engine is back, empty. */
+  /** The crashed engine restarts with an empty cache. */
   restartMs: number;
   drainMs: number;
   endMs: number;
 }
 
-/** The times of all runs. */
+/** Event times that all workloads use. */
 export const EVENT_TIMES: EventTimes = {
   warmMs: 5_000,
   shiftMs: 25_000,
@@ -84,41 +87,41 @@
   endMs: 80_000,
 };
 
-/** How a load differs from the stated one. */
+/** Changes to a workload's default rates, worker counts and latency. */
 export interface LoadOptions {
-  /** Factor on the rates. */
+  /** Multiplies the request rates. */
   load?: number;
-  /** Factor on rates and workers alike. */
+  /** Multiplies both the request rates and the number of workers. */
   scale?: number;
-  /** Round trip between availability zones; the stated one when left out. */
+  /** Round-trip time between availability zones; by default the workload's own. */
   zoneRttMs?: number;
 }
 
-/** Whose prompt it is. */
+/** The team, workspace and model that a prompt belongs to. */
 export interface PromptOwner {
   team: string;
   workspace: string;
   model: string;
 }
 
-/** Writes prompts whose levels are messages. */
-export class PromptBook {
+/** Builds prompts with one message per level, and shares the text of equal blocks. */
+export class PromptBuilder {
   readonly #contents = new Map<bigint, string>();
 
   private constructor() {}
 
-  /** @returns A book without prompts. */
-  static create(): PromptBook {
-    return new PromptBook();
+  /** @returns A builder without cached block texts. */
+  static create(): PromptBuilder {
+    return new PromptBuilder();
   }
 
   /**
-   * @param owner Whose prompt it is.
-   * @param texts The levels, shallow to deep, and the question.
-   * @param recomputePriceMs The class's price.
-   * @returns Scope and prompt.
+   * @param owner The team, workspace and model of the prompt.
+   * @param texts The levels from the most widely shared to the most specific, then the question.
+   * @param recomputePriceMs Price of recomputing a token for the request's class.
+   * @returns The scope and the prompt.
    */
-  write(
+  build(
     owner: PromptOwner,
     texts: string[],
     { recomputePriceMs }: { recomputePriceMs: number },
@@ -137,13 +140,16 @@
     const { bytes } = renderPrompt("chat", body);
     const { keys, ends } = promptChain(scope, bytes);
     const contents = Array.from(keys, (key, i) => {
-      return this.#content(key, bytes.subarray(ends[i - 1] ?? 0, ends[i]));
+      return this.#internContent(
+        key,
+        bytes.subarray(ends[i - 1] ?? 0, ends[i]),
+      );
     });
     return { scope, prompt: { request, keys, contents } };
   }
 
-  /** One string for each block, however many prompts have it. */
-  #content(key: bigint, bytes: Uint8Array): string {
+  /** Returns one shared string for each block, to save memory when many prompts contain it. */
+  #internContent(key: bigint, bytes: Uint8Array): string {
     let content = this.#contents.get(key);
     if (content !== undefined) return content;
     content = Buffer.from(bytes).toString("utf8");
@@ -152,7 +158,7 @@
   }
 }
 
-/** A first level: a salon or a firm, in one of the workspaces. */
+/** The first prompt level, such as a salon or a firm, in one of the workspaces. */
 export interface Site {
   workspace: string;
   text: string;
@@ -165,8 +171,8 @@
 const SITES_OF_SMALL = 2;
 
 /**
- * @param random Source of texts.
- * @param sizeBytes Size of a site's own text.
+ * @param random Generator for the texts.
+ * @param sizeBytes Size of each site's own text.
  * @returns The sites of 8 workspaces, of which 3 are large.
  */
 export function buildSites(random: Random, sizeBytes: number): Site[] {
@@ -179,7 +185,7 @@
       sites.push({
         workspace: `workspace-${workspace}`,
         text: random.text(sizeBytes),
-        random: Random.create(random.between(0, 1 << 30)),
+        random: Random.create(random.nextInt(0, 1 << 30)),
       });
     }
   }
@@ -187,11 +193,13 @@
 }
 
 /**
- * @param random Source of times.
+ * Generates the arrivals of a Poisson process until the end of the run.
+ *
+ * @param random Generator for the intervals.
  * @param ratePerS Mean rate.
  * @param start Called with the time of each arrival.
  */
-export function poisson(
+export function poissonArrivals(
   random: Random,
   ratePerS: number,
   start: (atMs: number) => void,
@@ -204,9 +212,9 @@
 }
 
 /**
- * @param pools The stated pools.
- * @param options The factor on workers.
- * @returns The pools of this run.
+ * @param pools The workload's default pools.
+ * @param options Contains the factor for the number of workers.
+ * @returns The pools with scaled numbers of workers.
  */
 export function scalePools(
   pools: PoolPlan[],
@@ -216,8 +224,8 @@
 }
 
 /**
- * @param options Factors.
- * @returns The factor on rates.
+ * @param options Contains the factors.
+ * @returns The factor for request rates.
  */
 export function rateFactor({ load = 1, scale = 1 }: LoadOptions): number {
   return load * scale;
