--- a/src/bench/_open_loop.ts
+++ b/src/bench/_open_loop.ts
@@ -1,4 +1,4 @@
-/** Open-loop load: requests are sent at their scheduled times, however long earlier ones take. */
+/** Open-loop load generator: sends requests on schedule, even while earlier ones are in flight. */
 import { seededRandom } from "../base/random.ts";
 import { setTimeout as delay } from "node:timers/promises";
 import hdr, { type Histogram } from "hdr-histogram-js";
@@ -7,25 +7,26 @@
 const UNITS_PER_MS = 1000;
 const EVENT_END = Buffer.from("\n\n");
 const DONE = Buffer.from("data: [DONE]");
+/** Longest wait for requests in flight after the last one was sent. */
 const DRAIN_MS = 60_000;
 
-/** One series of requests. */
+/** Options of one load run. */
 export interface LoadOptions {
-  /** Base URL with an OpenAI-compatible interface. */
+  /** Base URL of an OpenAI-compatible API. */
   url: string;
   headers: Record<string, string>;
   requestsPerSecond: number;
   durationMs: number;
   seed: number;
-  /** @param index Number of the request. @returns Its body. */
+  /** @param index Zero-based request number. @returns The JSON body of that request. */
   body: (index: number) => Record<string, unknown>;
 }
 
-/** What a series gave. Times are in µs in the histograms. */
+/** Result of a load run. The histograms hold microseconds. */
 export interface LoadResult {
-  /** From the scheduled time to the first piece. */
+  /** Time to first token, counted from the scheduled send time. */
   ttft: Histogram;
-  /** Between two pieces of a stream. */
+  /** Time between two consecutive events of a stream. */
   gap: Histogram;
   requests: number;
   pieces: number;
@@ -33,7 +34,7 @@
   elapsedMs: number;
 }
 
-/** Quantiles of a histogram, in ms. */
+/** Latency quantiles, in ms. */
 export interface Quantiles {
   p50Ms: number;
   p95Ms: number;
@@ -41,66 +42,78 @@
 }
 
 /**
- * Sends streamed chat requests with exponential gaps between them.
+ * Sends streamed chat requests as a Poisson process: the gaps between them are exponential.
  *
- * @param options Where, how many and what.
- * @returns Times and counts, after all answers.
+ * @param options Target, rate, duration and request bodies.
+ * @returns Latencies and counts, once all requests have ended or {@link DRAIN_MS} has passed.
  */
 export async function runLoad(options: LoadOptions): Promise<LoadResult> {
   const result = emptyResult();
   const dispatcher = new Agent({ connections: null, pipelining: 1 });
   const random = seededRandom(options.seed);
   const startMs = performance.now();
-  const running = new Set<Promise<void>>();
-  let atMs = startMs;
-  for (let index = 0; atMs - startMs < options.durationMs; index++) {
-    const waitMs = atMs - performance.now();
+  const inFlight = new Set<Promise<void>>();
+  let scheduledMs = startMs;
+  for (let index = 0; scheduledMs - startMs < options.durationMs; index++) {
+    const waitMs = scheduledMs - performance.now();
     if (waitMs > 0) await delay(waitMs);
-    const sent = sendOne(options, { index, atMs, dispatcher, result });
-    running.add(sent);
-    void sent.finally(() => running.delete(sent));
-    atMs += -Math.log(1 - random()) * 1000 / options.requestsPerSecond;
+    const pending = sendRequest(options, {
+      index,
+      scheduledMs: scheduledMs,
+      dispatcher,
+      result,
+    });
+    inFlight.add(pending);
+    void pending.finally(() => inFlight.delete(pending));
+    scheduledMs += -Math.log(1 - random()) * 1000 / options.requestsPerSecond;
   }
   await Promise.race([
-    Promise.all(running),
+    Promise.all(inFlight),
     delay(DRAIN_MS, undefined, { ref: false }),
   ]);
-  if (running.size > 0) result.failures.push(`${running.size} without an end`);
+  if (inFlight.size > 0) result.failures.push(`${inFlight.size} timed out`);
   result.elapsedMs = performance.now() - startMs;
   await dispatcher.destroy();
   return result;
 }
 
 /**
- * @param histogram Times in µs.
- * @returns The usual quantiles, in ms.
+ * @param histogram Durations in µs.
+ * @returns The 50th, 95th and 99th percentile, in ms.
  */
 export function quantilesOf(histogram: Histogram): Quantiles {
-  const at = (percentile: number) =>
+  const quantileMs = (percentile: number) =>
     histogram.getValueAtPercentile(percentile) / UNITS_PER_MS;
-  return { p50Ms: at(50), p95Ms: at(95), p99Ms: at(99) };
+  return {
+    p50Ms: quantileMs(50),
+    p95Ms: quantileMs(95),
+    p99Ms: quantileMs(99),
+  };
 }
 
-interface Sending {
+interface ScheduledRequest {
   index: number;
-  atMs: number;
+  scheduledMs: number;
   dispatcher: Agent;
   result: LoadResult;
 }
 
-async function sendOne(options: LoadOptions, sending: Sending): Promise<void> {
-  const { result } = sending;
+async function sendRequest(
+  options: LoadOptions,
+  scheduled: ScheduledRequest,
+): Promise<void> {
+  const { result } = scheduled;
   try {
-    await streamOne(options, sending);
+    await streamRequest(options, scheduled);
     result.requests += 1;
   } catch (error) {
     result.failures.push(error instanceof Error ? error.message : "unknown");
   }
 }
 
-async function streamOne(
+async function streamRequest(
   options: LoadOptions,
-  { index, atMs, dispatcher, result }: Sending,
+  { index, scheduledMs: atMs, dispatcher, result }: ScheduledRequest,
 ): Promise<void> {
   const { statusCode, body } = await request(
     `${options.url}/v1/chat/completions`,
@@ -131,10 +144,10 @@
 
 function countEvents(chunk: Buffer): number {
   let events = 0;
-  let at = chunk.indexOf(EVENT_END);
-  while (at >= 0) {
+  let endIndex = chunk.indexOf(EVENT_END);
+  while (endIndex >= 0) {
     events += 1;
-    at = chunk.indexOf(EVENT_END, at + EVENT_END.length);
+    endIndex = chunk.indexOf(EVENT_END, endIndex + EVENT_END.length);
   }
   return events;
 }
--- a/src/bench/latency.ts
+++ b/src/bench/latency.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench`: what the path through entry and agent adds to the stand-in engine alone, and what
- * it costs. Each part is its own process; requests are sent in an open loop.
+ * `npm run bench`: measures the latency that entry and agent add to a direct call to a stand-in
+ * engine, and their CPU time and memory. Each component runs in its own process; load is open-loop.
  */
 import { writeFileSync } from "node:fs";
 import { cpus } from "node:os";
@@ -25,10 +25,10 @@
 const IDLE_MS = 5000;
 const BYTES_PER_MB = 1_000_000;
 
-/** Failed requests by message. */
+/** Number of failed requests by error message. */
 type FailureCounts = Record<string, number>;
 
-/** How a series is sent. */
+/** Options of one series of requests. */
 interface SeriesOptions {
   requestsPerSecond: number;
   tokens: number;
@@ -36,7 +36,7 @@
   seed: number;
 }
 
-/** Time added by the path. */
+/** Latency of direct and routed requests, and the difference between the two. */
 interface AddedLatency {
   requestsPerSecond: number;
   tokens: number;
@@ -47,7 +47,7 @@
   failures: FailureCounts;
 }
 
-/** What a series cost entry and agents. */
+/** CPU time and memory that entry and agents used during a series. */
 interface PathCost {
   requestsPerSecond: number;
   tokens: number;
@@ -59,6 +59,7 @@
   agents: RoleCost;
 }
 
+/** CPU time and memory of all processes of one role. */
 interface RoleCost {
   cpuSeconds: number;
   requestsPerCoreSecond: number;
@@ -66,7 +67,7 @@
   residentMb: number;
 }
 
-/** All figures of a run. */
+/** Results of a benchmark run, as printed in JSON. */
 interface Report {
   machine: { cores: number; node: string };
   latency: AddedLatency;
@@ -76,11 +77,11 @@
 }
 
 const args = await yargs(hideBin(process.argv))
-  .option("json", { type: "string", describe: "File for the figures" })
+  .option("json", { type: "string", describe: "File to write the results to" })
   .option("seconds", {
     type: "number",
     default: 20,
-    describe: "Length of each series, in s",
+    describe: "Duration of each series, in s",
   })
   .option("seed", { type: "number", default: 1 })
   .strict()
@@ -140,7 +141,7 @@
   }
 }
 
-/** Direct and routed requests run at the same time, so both meet the same engine. */
+/** Runs direct and routed requests concurrently, so that both see the same engine load. */
 async function measureLatency(
   fleet: Fleet,
   entry: RunningEntry,
@@ -150,15 +151,15 @@
     send(fleet, fleet.seats[0]!.serverUrl, options),
     send(fleet, entry.url, { ...options, seed: options.seed + 1 }),
   ]);
-  const ofDirect = describeLoad(direct);
-  const ofRouted = describeLoad(routed);
+  const directStats = describeLoad(direct);
+  const routedStats = describeLoad(routed);
   return {
     requestsPerSecond: options.requestsPerSecond,
     tokens: options.tokens,
-    direct: ofDirect,
-    routed: ofRouted,
-    addedTtft: difference(ofRouted.ttft, ofDirect.ttft),
-    addedGap: difference(ofRouted.gap, ofDirect.gap),
+    direct: directStats,
+    routed: routedStats,
+    addedTtft: subtractQuantiles(routedStats.ttft, directStats.ttft),
+    addedGap: subtractQuantiles(routedStats.gap, directStats.gap),
     failures: countFailures([...direct.failures, ...routed.failures]),
   };
 }
@@ -173,7 +174,7 @@
   const agentsBefore = totalCpu(agents);
   const load = await send(fleet, entry.url, options);
   const { requests, pieces } = load;
-  const cost = (cpuSeconds: number, children: Child[]): RoleCost => ({
+  const roleCost = (cpuSeconds: number, children: Child[]): RoleCost => ({
     cpuSeconds: round(cpuSeconds),
     requestsPerCoreSecond: Math.round(requests / cpuSeconds),
     piecesPerCoreSecond: Math.round(pieces / cpuSeconds),
@@ -189,8 +190,8 @@
     pieces,
     failures: countFailures(load.failures),
     ttft: quantilesOf(load.ttft),
-    entry: cost(entry.child.cpuSeconds() - entryBefore, [entry.child]),
-    agents: cost(totalCpu(agents) - agentsBefore, agents),
+    entry: roleCost(entry.child.cpuSeconds() - entryBefore, [entry.child]),
+    agents: roleCost(totalCpu(agents) - agentsBefore, agents),
   };
 }
 
@@ -201,10 +202,10 @@
   const { agent } = fleet.seats[0]!;
   const before = [entry.child.cpuSeconds(), agent.cpuSeconds()] as const;
   await new Promise((resolve) => setTimeout(resolve, IDLE_MS));
-  const share = (seconds: number) => round(seconds * 1000 / IDLE_MS);
+  const coreShare = (seconds: number) => round(seconds * 1000 / IDLE_MS);
   return {
-    entryCoreShare: share(entry.child.cpuSeconds() - before[0]),
-    agentCoreShare: share(agent.cpuSeconds() - before[1]),
+    entryCoreShare: coreShare(entry.child.cpuSeconds() - before[0]),
+    agentCoreShare: coreShare(agent.cpuSeconds() - before[1]),
   };
 }
 
@@ -238,7 +239,7 @@
   return { ttft: quantilesOf(ttft), gap: quantilesOf(gap), requests };
 }
 
-function difference(a: Quantiles, b: Quantiles): Quantiles {
+function subtractQuantiles(a: Quantiles, b: Quantiles): Quantiles {
   return {
     p50Ms: round(a.p50Ms - b.p50Ms),
     p95Ms: round(a.p95Ms - b.p95Ms),
--- a/src/capacity/_event_engine.ts
+++ b/src/capacity/_event_engine.ts
@@ -1,4 +1,4 @@
-/** A scripted engine that runs nothing, to measure what its cache events cost an agent. */
+/** Fake engine that only publishes cache events, to measure an agent's cost of handling them. */
 import { once } from "node:events";
 import { createServer, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
@@ -6,9 +6,9 @@
 import { cacheSalt } from "../placement/chain.ts";
 import type { CacheEvent } from "../backends/engine.ts";
 
-/** Whose blocks the events speak of. */
+/** Team that owns the blocks of all published events. */
 export const TEAM = "lakeshore";
-/** {@link TEAM}'s workspace. */
+/** Workspace of {@link TEAM} that owns the blocks. */
 export const WORKSPACE = "duluth-salon";
 
 const BATCH_MS = 100;
@@ -16,21 +16,21 @@
 const BLOCK_BYTES = 256;
 const MODEL = { model: SAMPLE_MODEL, adapter: "", weightsVersion: "1" };
 
-/** An engine that runs nothing and publishes cache events at a set rate. */
+/** Engine API that serves no requests and publishes cache events at a fixed rate. */
 export class EventEngine {
   readonly #server: Server;
-  #reader: ServerResponse | undefined;
+  #subscriber: ServerResponse | undefined;
   #nextSeq = 1;
 
   private constructor() {
     this.#server = createServer((request, response) => {
       const path = request.url?.split("?")[0];
-      if (path === "/cache_events") return this.#follow(response);
-      response.end(JSON.stringify(this.#answerTo(path)));
+      if (path === "/cache_events") return this.#subscribe(response);
+      response.end(JSON.stringify(this.#responseFor(path)));
     });
   }
 
-  /** @returns An engine that listens on a free port. */
+  /** @returns An engine that listens on a free local port. */
   static async create(): Promise<EventEngine> {
     const engine = new EventEngine();
     engine.#server.listen(0, "127.0.0.1");
@@ -38,19 +38,21 @@
     return engine;
   }
 
-  /** Base URL. */
+  /** Base URL of the engine. */
   get url(): string {
     const { port } = this.#server.address() as AddressInfo;
     return `http://127.0.0.1:${port}`;
   }
 
   /**
-   * @param rate Events a second.
-   * @returns Ends it.
+   * Publishes cache events, and a heartbeat every 500 ms.
+   *
+   * @param rate Events per second; 0 sends heartbeats only.
+   * @returns Function that stops publishing.
    */
   publishAtRate(rate: number): () => void {
     const heartbeat = setInterval(
-      () => this.#reader?.write("\n"),
+      () => this.#subscriber?.write("\n"),
       HEARTBEAT_MS,
     );
     if (rate === 0) return () => clearInterval(heartbeat);
@@ -66,26 +68,26 @@
     };
   }
 
-  /** Closes at once. */
+  /** Closes the server and all open connections immediately. */
   close(): void {
     this.#server.closeAllConnections();
     this.#server.close();
   }
 
-  #follow(response: ServerResponse): void {
-    this.#reader = response;
+  #subscribe(response: ServerResponse): void {
+    this.#subscriber = response;
     response.write(`${JSON.stringify({ incarnation: "e" })}\n`);
   }
 
   #publish(count: number): void {
     const lines: string[] = [];
     for (let index = 0; index < count; index++) {
-      lines.push(JSON.stringify(cacheEvent(this.#nextSeq++)) + "\n");
+      lines.push(JSON.stringify(cacheEventAt(this.#nextSeq++)) + "\n");
     }
-    this.#reader?.write(lines.join(""));
+    this.#subscriber?.write(lines.join(""));
   }
 
-  #answerTo(path: string | undefined): unknown {
+  #responseFor(path: string | undefined): unknown {
     const incarnation = "e";
     if (path === "/cache") {
       return { incarnation, nextSeq: this.#nextSeq, blocks: [] };
@@ -104,8 +106,8 @@
   }
 }
 
-/** By turns a block that is stored and the same one removed. */
-function cacheEvent(seq: number): CacheEvent {
+/** Alternates between storing a block (odd `seq`) and removing the same block (even `seq`). */
+function cacheEventAt(seq: number): CacheEvent {
   const blockKey = `block-${Math.ceil(seq / 2)}`;
   if (seq % 2 === 0) return { kind: "removed", seq, blockKey };
   return {
--- a/src/capacity/_forwarder.ts
+++ b/src/capacity/_forwarder.ts
@@ -1,4 +1,4 @@
-/** Counts the bytes between two processes of a measurement. */
+/** TCP proxy that counts the bytes exchanged by two processes of a measurement. */
 import { once } from "node:events";
 import {
   createConnection,
@@ -7,7 +7,7 @@
   type Socket,
 } from "node:net";
 
-/** Forwards TCP connections to a port and counts the bytes of both directions. */
+/** Forwards TCP connections to a local port and counts the bytes of both directions. */
 export class Forwarder {
   bytes = 0;
   readonly port: number;
@@ -22,9 +22,11 @@
 
   static async create(targetPort: number): Promise<Forwarder> {
     const sockets = new Set<Socket>();
-    const server = createServer((near) => {
-      const far = createConnection(targetPort, "127.0.0.1");
-      for (const [from, to] of [[near, far], [far, near]] as const) {
+    const server = createServer((inbound) => {
+      const outbound = createConnection(targetPort, "127.0.0.1");
+      for (
+        const [from, to] of [[inbound, outbound], [outbound, inbound]] as const
+      ) {
         sockets.add(from);
         from.setNoDelay(true);
         from.on("data", (chunk) => {
--- a/src/capacity/_idle.ts
+++ b/src/capacity/_idle.ts
@@ -1,3 +1,3 @@
-/** A Node process that does nothing, to compare others with. */
+/** Idle Node process: the baseline for the memory of an agent and an entry. */
 process.stdout.write("{}\n");
 setInterval(() => {}, 60_000);
--- a/src/capacity/_measure.ts
+++ b/src/capacity/_measure.ts
@@ -1,4 +1,4 @@
-/** Helpers of the measurements: processor time and heap as functions of a count. */
+/** Measures CPU time and heap size as functions of a count. */
 import {
   fitSlope,
   type Point,
@@ -8,17 +8,17 @@
 
 const RUNS = 5;
 
-/** A measurement over a few counts. */
+/** A measurement that is repeated for several counts. */
 export interface Series extends SlopeDescription {
   counts: number[];
 }
 
 /**
- * Processor time of `work(count)` over the counts, in us.
+ * Measures how CPU time, in µs, grows with the count.
  *
- * @param series What is measured; each run does every count once.
- * @param prepare Makes what the work needs for this count, outside of the measured time.
- * @returns The slope.
+ * @param series Description and counts; each run measures every count once.
+ * @param prepare Sets up the work for a count, outside the measured time, and returns the work.
+ * @returns The slope of CPU time over the count.
  */
 export async function processorSlope(
   series: Series,
@@ -34,31 +34,31 @@
       await work();
       points.push({ x: count, y: processorUs() - before });
     }
-    // The first run warms the compiler up.
+    // The first run only warms up the JIT compiler.
     if (run > 0) runs.push(points);
   }
   return fitSlope(description, runs);
 }
 
 /**
- * Heap that `make(count)` keeps, in bytes.
+ * Measures how the heap retained by `allocate(count)`, in bytes, grows with the count.
  *
- * @param series What is measured.
- * @param make Makes what is kept.
- * @returns The slope.
+ * @param series Description and counts.
+ * @param allocate Returns the object whose heap size is measured.
+ * @returns The slope of heap size over the count.
  */
 export function heapSlope(
   series: Series,
-  make: (count: number) => unknown,
+  allocate: (count: number) => unknown,
 ): Slope {
   const { counts, ...description } = series;
   const runs: Point[][] = [];
   for (let run = 0; run < RUNS; run++) {
     const points = counts.map((count): Point => {
       const before = heapBytes();
-      const kept = make(count);
+      const allocated = allocate(count);
       const y = heapBytes() - before;
-      keepAlive(kept);
+      keepAlive(allocated);
       return { x: count, y };
     });
     runs.push(points);
@@ -66,25 +66,26 @@
   return fitSlope(description, runs);
 }
 
-/** @returns Processor time of this process so far, in us. */
+/** @returns CPU time that this process has used since its start, in µs. */
 export function processorUs(): number {
   const { user, system } = process.cpuUsage();
   return user + system;
 }
 
-/** @returns Heap and buffers in use after a collection, in bytes. */
+/** @returns Heap and external buffers in use after garbage collection, in bytes. */
 export function heapBytes(): number {
-  if (!globalThis.gc) throw new ReferenceError("Run with --expose-gc");
+  if (!globalThis.gc) throw new ReferenceError("Run node with --expose-gc");
   globalThis.gc();
   globalThis.gc();
   const { heapUsed, external } = process.memoryUsage();
   return heapUsed + external;
 }
 
-let last: unknown;
+let retained: unknown;
 
+/** Keeps `value` reachable until here, so that it is not collected before the measurement. */
 function keepAlive(value: unknown): void {
-  last = value;
-  if (last === undefined) throw new TypeError("Expected something to keep");
-  last = undefined;
+  retained = value;
+  if (retained === undefined) throw new TypeError("Expected a value");
+  retained = undefined;
 }
--- a/src/capacity/_role_lines.ts
+++ b/src/capacity/_role_lines.ts
@@ -1,4 +1,4 @@
-/** What each role holds, sends and spends, line by line. */
+/** Estimates of CPU, memory, network and store use: one line per component of each role. */
 import { type CapacityLine, Resource, Role, type SlopeTable } from "./line.ts";
 import {
   ASSUMED,
@@ -17,7 +17,7 @@
 const TEAMS = PLAN.workspaces / ASSUMED.workspacesPerTeam;
 const ENTRIES_PER_REGION = PLAN.entries / PLAN.regions;
 const CLAIMS = PLAN.requestsPerSecond * ASSUMED.atMostOnceShare;
-/** Points of `process_resident_bytes`. */
+/** The `x` values of `process_resident_bytes`, each a kind of process. */
 const RESIDENT_NODE = 0;
 const RESIDENT_AGENT = 1;
 const RESIDENT_ENTRY = 2;
@@ -25,9 +25,9 @@
 const BYTES_PER_MB = 1_000_000;
 const BYTES_PER_KB = 1_000;
 
-/** @returns Lines of an entry. */
+/** @returns Estimated resource use of one entry. */
 export function entryLines(table: SlopeTable): CapacityLine[] {
-  const { core, memory, network } = linesOf(Role.Entry);
+  const { core, memory, network } = lineBuilders(Role.Entry);
   const connections = Math.min(
     ASSUMED.membersPerEntry,
     ENTRY_ASKS * ASSUMED.connectionIdleS,
@@ -124,9 +124,9 @@
   ];
 }
 
-/** @returns Lines of an agent. */
+/** @returns Estimated resource use of one agent. */
 export function agentLines(table: SlopeTable): CapacityLine[] {
-  const { core, memory, network } = linesOf(Role.Agent);
+  const { core, memory, network } = lineBuilders(Role.Agent);
   return [
     core(
       "answering asks",
@@ -181,9 +181,9 @@
   ];
 }
 
-/** @returns Lines of the key-value service. */
+/** @returns Estimated load on the key-value service. */
 export function storeLines(table: SlopeTable): CapacityLine[] {
-  const { line } = linesOf(Role.Store);
+  const { line } = lineBuilders(Role.Store);
   const claimsPerOwner = CLAIMS / ASSUMED.journalOwners;
   const journalCommits = ASSUMED.journalOwners *
     Math.min(
@@ -237,12 +237,13 @@
   ];
 }
 
+/** @returns Resident memory of a process beyond that of an idle Node process, in bytes. */
 function residentAboveNode(table: SlopeTable, process: number): number {
   const resident = (x: number) => table.point("process_resident_bytes", x);
   return resident(process) - resident(RESIDENT_NODE);
 }
 
-function linesOf(role: Role) {
+function lineBuilders(role: Role) {
   const line = (
     resource: Resource,
     what: string,
@@ -259,11 +260,11 @@
   ) => line(resource, what, mechanism, amount / divisor, slopes);
   return {
     line,
-    /** Amount in us of processor time a second. */
+    /** Takes the amount in µs of CPU time per second. */
     core: scaled(Resource.Processor, US_PER_CORE_PERCENT),
-    /** Amount in bytes. */
+    /** Takes the amount in bytes. */
     memory: scaled(Resource.Memory, BYTES_PER_MB),
-    /** Amount in bytes a second. */
+    /** Takes the amount in bytes per second. */
     network: scaled(Resource.Network, BYTES_PER_KB),
   };
 }
--- a/src/capacity/line.ts
+++ b/src/capacity/line.ts
@@ -1,5 +1,5 @@
-/** A line of the capacity page, and the table of slopes it is worked out from. */
-/** Who bears a cost. */
+/** Types of the capacity model: a line of the page and the table of measured slopes. */
+/** Component that consumes a resource. */
 export const Role = {
   Entry: "entry",
   Agent: "agent",
@@ -8,7 +8,7 @@
 /** One of {@link Role}. */
 export type Role = (typeof Role)[keyof typeof Role];
 
-/** What is spent. */
+/** Resource, written as its unit. */
 export const Resource = {
   Processor: "% of a core",
   Memory: "MB",
@@ -19,23 +19,23 @@
 /** One of {@link Resource}. */
 export type Resource = (typeof Resource)[keyof typeof Resource];
 
-/** One line of the page. */
+/** Estimated use of one resource by one part of a role. */
 export interface CapacityLine {
   role: Role;
   resource: Resource;
   what: string;
   mechanism: string;
   amount: number;
-  /** Names of the slopes it was worked out from. */
+  /** Names of the slopes that the amount is computed from. */
   slopes: string[];
 }
 
-/** Looks up a measured slope by name. */
+/** Computes costs from measured slopes, looked up by name. */
 export interface SlopeTable {
-  /** Cost of `x` units at the slope alone. */
+  /** Cost of `x` units: slope times `x`, without the intercept. */
   cost(name: string, x: number): number;
-  /** Cost of `x` units with the fixed part. */
+  /** Cost of `x` units: intercept plus slope times `x`. */
   costWithBase(name: string, x: number): number;
-  /** The measured point at `x`. */
+  /** Measured value at `x`. */
   point(name: string, x: number): number;
 }
--- a/src/capacity/lines.ts
+++ b/src/capacity/lines.ts
@@ -1,4 +1,4 @@
-/** The capacity model: what each role holds, sends and spends at the size to design for. */
+/** The capacity model: resource use of each role at the planned size, compared with budgets. */
 import { agentLines, entryLines, storeLines } from "./_role_lines.ts";
 import { type CapacityLine, Resource, Role, type SlopeTable } from "./line.ts";
 import { BUDGET } from "./sizes.ts";
@@ -6,7 +6,7 @@
 
 const BYTES_PER_KB = 1_000;
 
-/** Sum of the lines of one role and resource beside its budget. */
+/** Sum of all lines of one role and resource, with its budget. */
 export interface CapacityTotal {
   role: Role;
   resource: Resource;
@@ -16,7 +16,7 @@
 
 /**
  * @param slopes The measured slopes.
- * @returns A table that throws for a name that was not measured.
+ * @returns A table that throws a RangeError for an unknown slope or point.
  */
 export function createSlopeTable(slopes: Slope[]): SlopeTable {
   const byName = new Map(slopes.map((slope) => [slope.name, slope]));
@@ -29,7 +29,7 @@
     cost: (name, x) => find(name).slope * x,
     costWithBase: (name, x) => find(name).intercept + find(name).slope * x,
     point: (name, x) => {
-      const point = find(name).points.find((each) => each.x === x);
+      const point = find(name).points.find((candidate) => candidate.x === x);
       if (!point) throw new RangeError(`Slope ${name} has no point at ${x}`);
       return point.y;
     },
@@ -38,18 +38,18 @@
 
 /**
  * @param table The measured slopes.
- * @returns Every line of the page.
+ * @returns All lines of the capacity page.
  */
 export function capacityLines(table: SlopeTable): CapacityLine[] {
   return [...entryLines(table), ...agentLines(table), ...storeLines(table)];
 }
 
 /**
- * @param lines Lines of the page.
- * @returns Totals beside the budgets.
+ * @param lines All lines of the capacity page.
+ * @returns Total of each role and resource that has a budget.
  */
 export function capacityTotals(lines: CapacityLine[]): CapacityTotal[] {
-  const total = (
+  const totalFor = (
     role: Role,
     resource: Resource,
     budget: number,
@@ -64,9 +64,9 @@
   const totals: CapacityTotal[] = [];
   for (const role of [Role.Entry, Role.Agent]) {
     totals.push(
-      total(role, Resource.Processor, BUDGET.controlCorePercent),
-      total(role, Resource.Memory, BUDGET.controlMemoryMb),
-      total(
+      totalFor(role, Resource.Processor, BUDGET.controlCorePercent),
+      totalFor(role, Resource.Memory, BUDGET.controlMemoryMb),
+      totalFor(
         role,
         Resource.Network,
         BUDGET.controlBytesPerSecond / BYTES_PER_KB,
@@ -74,8 +74,8 @@
     );
   }
   totals.push(
-    total(Role.Store, Resource.Writes, BUDGET.storeWritesPerSecond),
-    total(Role.Store, Resource.Reads, BUDGET.storeReadsPerSecond),
+    totalFor(Role.Store, Resource.Writes, BUDGET.storeWritesPerSecond),
+    totalFor(Role.Store, Resource.Reads, BUDGET.storeReadsPerSecond),
   );
   return totals;
 }
--- a/src/capacity/main.ts
+++ b/src/capacity/main.ts
@@ -1,6 +1,6 @@
 /**
- * Recomputes the tables of docs/CAPACITY.md from docs/data/slopes.json.
- * `node dist/capacity/main.js [--check]`; with `--check` it only says whether the page is current.
+ * Regenerates the tables of docs/CAPACITY.md from docs/data/slopes.json.
+ * `node dist/capacity/main.js [--check]`; `--check` writes nothing and fails if the page is stale.
  */
 import { readFileSync, writeFileSync } from "node:fs";
 import { capacityLines, capacityTotals, createSlopeTable } from "./lines.ts";
@@ -17,16 +17,16 @@
 );
 const lines = capacityLines(createSlopeTable(slopes));
 const page = readFileSync(PAGE, "utf8");
-const current = renderPage(page, {
+const rendered = renderPage(page, {
   slopes,
   lines,
   totals: capacityTotals(lines),
 });
 if (process.argv.includes("--check")) {
-  if (!isSamePage(current, page)) {
-    console.error(`${PAGE} is not what ${DATA} gives; run npm run capacity`);
+  if (!isSamePage(rendered, page)) {
+    console.error(`${PAGE} is out of date with ${DATA}; run npm run capacity`);
     process.exitCode = 1;
   }
 } else {
-  writeFileSync(PAGE, current);
+  writeFileSync(PAGE, rendered);
 }
--- a/src/capacity/measure_agent.ts
+++ b/src/capacity/measure_agent.ts
@@ -1,6 +1,7 @@
 /**
- * Measures what an agent costs beside its engine, each process by itself. Prints slopes as JSON:
- * `node dist/capacity/measure_agent.js`; a number after it sets the seconds of each measurement.
+ * Measures the CPU time and memory of an agent, which runs in a process apart from its engine.
+ * Prints slopes as JSON: `node dist/capacity/measure_agent.js [SECONDS]`, with the seconds of each
+ * measurement (default 60).
  */
 import { setTimeout as delay } from "node:timers/promises";
 import { credentials } from "@grpc/grpc-js";
@@ -22,12 +23,12 @@
 const SETTLE_MS = 8000;
 const MAX_TOKENS = 64;
 const WINDOW_PIECES = 64;
-/** As an entry does: a quarter of the window. */
+/** Pieces between two acknowledgements: a quarter of the window, as in an entry. */
 const ACK_EVERY = WINDOW_PIECES / 4;
 const US_PER_SECOND = 1e6;
 const seconds = Number(process.argv[2] ?? 60);
 
-/** Counts up so that each run id is new. */
+/** Number of runs started so far; makes each run id unique. */
 let runCount = 0;
 
 const resident = await residentSlope();
@@ -39,7 +40,7 @@
   const { listening } = await engine.started<{ listening: string }>();
   const points = await measureRates(`http://${listening}`, {
     rates: REQUEST_RATES,
-    start: (rate, address) => callAtRate(rate, address),
+    start: (rate, address) => startCallsAtRate(rate, address),
   });
   await engine.close();
   return fitSlope({
@@ -56,7 +57,7 @@
   const points = await measureRates(engine.url, {
     rates: EVENT_RATES,
     start: (rate, address) => {
-      askOnce(address);
+      sendAsk(address);
       return engine.publishAtRate(rate);
     },
   });
@@ -70,7 +71,9 @@
   }, [points]);
 }
 
-/** Not a line: 0 is a bare Node process, 1 an agent, 2 an entry. */
+/**
+ * The points are not on a line: `x` is the kind of process (0 bare Node, 1 agent, 2 entry).
+ */
 async function residentSlope(): Promise<Slope> {
   const fleet = await Fleet.create({ engines: 1 });
   const entry = await fleet.startEntry();
@@ -93,15 +96,15 @@
   }, [points]);
 }
 
-interface Rates {
+interface RateSeries {
   rates: number[];
-  /** Begins the load; what it returns ends it. */
+  /** Starts the load and returns a function that stops it. */
   start: (rate: number, agentAddress: string) => () => void;
 }
 
 async function measureRates(
   engineUrl: string,
-  { rates, start }: Rates,
+  { rates, start }: RateSeries,
 ): Promise<Point[]> {
   const agent = startAgent(engineUrl);
   const { listening } = await agent.started<{ listening: { agent: string } }>();
@@ -112,9 +115,12 @@
     const before = agent.cpuSeconds();
     const startMs = performance.now();
     await delay(seconds * 1000);
-    const took = (performance.now() - startMs) / 1000;
-    const used = agent.cpuSeconds() - before;
-    points.push({ x: rate, y: Math.round(used / took * US_PER_SECOND) });
+    const elapsedSeconds = (performance.now() - startMs) / 1000;
+    const cpuSeconds = agent.cpuSeconds() - before;
+    points.push({
+      x: rate,
+      y: Math.round(cpuSeconds / elapsedSeconds * US_PER_SECOND),
+    });
     stop();
   }
   await agent.close();
@@ -128,17 +134,17 @@
   return Child.create({ program: "cli/main", args });
 }
 
-function callAtRate(rate: number, address: string): () => void {
+function startCallsAtRate(rate: number, address: string): () => void {
   if (rate === 0) return () => {};
   const client = new AgentClient(address, credentials.createInsecure());
-  const timer = setInterval(() => callOnce(client), 1000 / rate);
+  const timer = setInterval(() => startCall(client), 1000 / rate);
   return () => {
     clearInterval(timer);
     client.close();
   };
 }
 
-function callOnce(client: AgentClient): void {
+function startCall(client: AgentClient): void {
   const stream = client.run();
   let ackedSeq = 0;
   stream.on("error", () => {});
@@ -151,23 +157,23 @@
     ackedSeq = nextSeq;
     stream.write({ step: { $case: "ack", value: { nextSeq } } });
   });
-  stream.write({ step: { $case: "start", value: typicalStart() } });
+  stream.write({ step: { $case: "start", value: sampleStartRun() } });
 }
 
-/** So that the agent knows whose blocks the events speak of. */
-function askOnce(address: string): void {
+/** Sends one `Ask`, so that the agent knows the team and workspace that own the events' blocks. */
+function sendAsk(address: string): void {
   const client = new AgentClient(address, credentials.createInsecure());
-  client.ask(typicalStart().ask!, () => client.close());
+  client.ask(sampleStartRun().ask!, () => client.close());
 }
 
-function typicalStart(): StartRun {
-  const number = ++runCount;
-  const content = `Request ${number} ${"coat ".repeat(300)}`;
+function sampleStartRun(): StartRun {
+  const runNumber = ++runCount;
+  const content = `Request ${runNumber} ${"coat ".repeat(300)}`;
   const messages = [{ role: "user", content }];
   const body = { model: SAMPLE_MODEL, messages, max_tokens: MAX_TOKENS };
   return {
     ask: AskRequest.fromPartial({
-      runId: `run-${number}`,
+      runId: `run-${runNumber}`,
       team: TEAM,
       workspace: WORKSPACE,
       model: SAMPLE_MODEL,
--- a/src/capacity/measure_journal.ts
+++ b/src/capacity/measure_journal.ts
@@ -1,5 +1,5 @@
 /**
- * Turns the output of the journal's bench into a slope: `node dist/journal/_bench.js |
+ * Converts the output of the journal benchmark to a slope: `node dist/journal/_bench.js |
  * node dist/capacity/measure_journal.js`.
  */
 import { createInterface } from "node:readline";
@@ -11,7 +11,7 @@
   commitsPerSecond: z.number(),
   shards: z.number(),
 });
-/** Above this rate claims wait for each other's commit, and the line bends. */
+/** Highest claim rate of the fit. Above it claims share commits, so the rate is no longer linear. */
 const MAX_UNSHARED_RATE = 10;
 
 const runs = new Map<number, Point[]>();
--- a/src/capacity/measure_state.ts
+++ b/src/capacity/measure_state.ts
@@ -1,6 +1,6 @@
 /**
- * Measures what one more member, block, hint, branch or KB of prompt costs. Prints slopes as JSON:
- * `node --expose-gc dist/capacity/measure_state.js`.
+ * Measures the CPU time or heap of each additional member, cached block, hint, KB of branch and KB
+ * of prompt. Prints slopes as JSON: `node --expose-gc dist/capacity/measure_state.js`.
  */
 import { CacheView } from "../agent/cache_view.ts";
 import { BranchSet } from "../config/branch_set.ts";
@@ -21,7 +21,7 @@
 
 const COMMAND = "node --expose-gc dist/capacity/measure_state.js";
 const REPEATS = 2_000;
-const SCOPE = {
+const SAMPLE_SCOPE = {
   team: "lakeshore",
   workspace: "duluth",
   model: "notes",
@@ -29,7 +29,7 @@
   weightsVersion: "1",
 };
 
-const OFFER = {
+const SAMPLE_OFFER = {
   holdId: "",
   matchedTokens: 0,
   recomputeTokens: 0,
@@ -42,41 +42,44 @@
 };
 
 const slopes: Slope[] = [
-  await candidates(),
-  await chain(),
-  members(),
-  hints(),
-  await branchApply(),
-  branchBytes(),
-  await cacheEvents(),
-  cacheBlocks(),
+  await candidatesSlope(),
+  await chainSlope(),
+  memberSlope(),
+  hintSlope(),
+  await branchApplySlope(),
+  branchBytesSlope(),
+  await cacheEventSlope(),
+  cacheBlockSlope(),
 ];
 console.log(JSON.stringify(slopes, null, 2));
 
-async function candidates(): Promise<Slope> {
+async function candidatesSlope(): Promise<Slope> {
   const series = describe(
     "candidates_us",
     "Processor time of choosing candidates",
     "us",
     "member",
   );
-  const requests = Array.from({ length: 50 }, (_, at) => requestOf(at));
+  const requests = Array.from(
+    { length: 50 },
+    (_, index) => sampleRequest(index),
+  );
   const slope = await processorSlope(
     { ...series, counts: [100, 1_000, 2_400, 12_000] },
     (count) => {
       const table = MemberTable.create(memberRows(count));
       const policy = newPolicy();
       return () => {
-        for (let at = 0; at < REPEATS; at++) {
-          policy.candidates(requests[at % 50]!, table);
+        for (let index = 0; index < REPEATS; index++) {
+          policy.candidates(requests[index % 50]!, table);
         }
       };
     },
   );
-  return dividedBy(slope, REPEATS);
+  return divideSlope(slope, REPEATS);
 }
 
-async function chain(): Promise<Slope> {
+async function chainSlope(): Promise<Slope> {
   const series = describe(
     "chain_us_per_kb",
     "Processor time of rendering and hashing a prompt",
@@ -86,16 +89,16 @@
   const slope = await processorSlope(
     { ...series, counts: [2, 8, 16, 32] },
     (kb) => {
-      const body = bodyOf("x".repeat(kb * 500), "y".repeat(kb * 500));
+      const body = chatBody("x".repeat(kb * 500), "y".repeat(kb * 500));
       return () => {
-        for (let at = 0; at < REPEATS; at++) placementOf(body);
+        for (let index = 0; index < REPEATS; index++) placementRequest(body);
       };
     },
   );
-  return dividedBy(slope, REPEATS);
+  return divideSlope(slope, REPEATS);
 }
 
-function members(): Slope {
+function memberSlope(): Slope {
   const series = describe(
     "member_bytes",
     "Heap of a row of the list of instances",
@@ -108,7 +111,7 @@
   );
 }
 
-function hints(): Slope {
+function hintSlope(): Slope {
   const series = describe(
     "hint_bytes",
     "Heap of a request's hints and load counts",
@@ -118,21 +121,21 @@
   const table = MemberTable.create(memberRows(50));
   return heapSlope({ ...series, counts: [500, 1_000, 2_000] }, (count) => {
     const policy = newPolicy();
-    for (let at = 0; at < count; at++) {
-      const request = requestOf(at);
+    for (let index = 0; index < count; index++) {
+      const request = sampleRequest(index);
       const [member] = policy.candidates(request, table);
       policy.learn({
         kind: "placed",
         request,
         memberId: member!.id,
-        offer: OFFER,
+        offer: SAMPLE_OFFER,
       });
     }
     return policy;
   });
 }
 
-async function branchApply(): Promise<Slope> {
+async function branchApplySlope(): Promise<Slope> {
   const series = describe(
     "branch_apply_us",
     "Processor time of taking a branch into force",
@@ -143,19 +146,23 @@
   const slope = await processorSlope(
     { ...series, counts: [2, 6, 24] },
     (kb) => {
-      const json = branchOf(kb);
+      const json = encodeSampleBranch(kb);
       return () => {
         const branches = BranchSet.create();
-        for (let at = 1; at <= times; at++) {
-          branches.apply({ team: "lakeshore", revision: BigInt(at), json });
+        for (let revision = 1; revision <= times; revision++) {
+          branches.apply({
+            team: "lakeshore",
+            revision: BigInt(revision),
+            json,
+          });
         }
       };
     },
   );
-  return dividedBy(slope, times);
+  return divideSlope(slope, times);
 }
 
-function branchBytes(): Slope {
+function branchBytesSlope(): Slope {
   const series = describe(
     "branch_bytes",
     "Heap of a branch in force",
@@ -165,19 +172,19 @@
   const teams = 200;
   const slope = heapSlope({ ...series, counts: [2, 6, 24] }, (kb) => {
     const branches = BranchSet.create();
-    for (let at = 0; at < teams; at++) {
+    for (let index = 0; index < teams; index++) {
       branches.apply({
-        team: `team-${at}`,
-        revision: BigInt(at + 1),
-        json: branchOf(kb),
+        team: `team-${index}`,
+        revision: BigInt(index + 1),
+        json: encodeSampleBranch(kb),
       });
     }
     return branches;
   });
-  return dividedBy(slope, teams);
+  return divideSlope(slope, teams);
 }
 
-async function cacheEvents(): Promise<Slope> {
+async function cacheEventSlope(): Promise<Slope> {
   const series = describe(
     "cache_event_us",
     "Processor time of one cache event",
@@ -188,12 +195,12 @@
     { ...series, counts: [10_000, 20_000, 40_000] },
     (count) => {
       const events = storedEvents(count);
-      return () => followAll(events);
+      return () => applyEvents(events);
     },
   );
 }
 
-function cacheBlocks(): Slope {
+function cacheBlockSlope(): Slope {
   const series = describe(
     "cache_block_bytes",
     "Heap of one cached block in view",
@@ -202,13 +209,13 @@
   );
   return heapSlope(
     { ...series, counts: [10_000, 40_000, 90_000] },
-    (count) => followAll(storedEvents(count)),
+    (count) => applyEvents(storedEvents(count)),
   );
 }
 
-function followAll(events: CacheEvent[]): CacheView {
+function applyEvents(events: CacheEvent[]): CacheView {
   const view = CacheView.create();
-  view.learnOwner(SCOPE.team, SCOPE.workspace);
+  view.learnOwner(SAMPLE_SCOPE.team, SAMPLE_SCOPE.workspace);
   view.restart({
     kind: "snapshot",
     incarnation: "one",
@@ -221,31 +228,31 @@
 
 function storedEvents(count: number): CacheEvent[] {
   const chainLength = 64;
-  return Array.from({ length: count }, (_, at): CacheEvent => ({
+  return Array.from({ length: count }, (_, index): CacheEvent => ({
     kind: "stored",
-    seq: at + 1,
-    blockKey: `block-${at}`,
-    parentKey: at % chainLength === 0 ? "" : `block-${at - 1}`,
-    cacheSalt: cacheSalt(SCOPE.team, SCOPE.workspace),
+    seq: index + 1,
+    blockKey: `block-${index}`,
+    parentKey: index % chainLength === 0 ? "" : `block-${index - 1}`,
+    cacheSalt: cacheSalt(SAMPLE_SCOPE.team, SAMPLE_SCOPE.workspace),
     model: {
-      model: SCOPE.model,
-      adapter: SCOPE.adapter,
-      weightsVersion: SCOPE.weightsVersion,
+      model: SAMPLE_SCOPE.model,
+      adapter: SAMPLE_SCOPE.adapter,
+      weightsVersion: SAMPLE_SCOPE.weightsVersion,
     },
-    content: String(at).padStart(CHAIN_BLOCK_BYTES, "-"),
+    content: String(index).padStart(CHAIN_BLOCK_BYTES, "-"),
   }));
 }
 
-function branchOf(kb: number): Buffer {
+function encodeSampleBranch(kb: number): Buffer {
   const workspaces: Record<string, unknown> = {};
-  const wanted = kb * 1_000;
-  let size = 300;
-  for (let at = 0; size < wanted; at++) {
-    workspaces[`salon-${at}`] = {
+  const targetBytes = kb * 1_000;
+  let estimatedBytes = 300;
+  for (let index = 0; estimatedBytes < targetBytes; index++) {
+    workspaces[`salon-${index}`] = {
       defaultClass: "desk",
       keys: [{ id: "first", sha256: "0".repeat(64) }],
     };
-    size += 130;
+    estimatedBytes += 130;
   }
   const branch = {
     format: 1,
@@ -269,21 +276,21 @@
 
 function memberRows(count: number): Member[] {
   const zones = ["a", "b", "c"];
-  return Array.from({ length: count }, (_, at) => ({
-    id: `worker-${String(at).padStart(5, "0")}`,
-    zone: zones[at % zones.length]!,
-    address: `10.0.${at >> 8}.${at & 255}:7070`,
+  return Array.from({ length: count }, (_, index) => ({
+    id: `worker-${String(index).padStart(5, "0")}`,
+    zone: zones[index % zones.length]!,
+    address: `10.0.${index >> 8}.${index & 255}:7070`,
     state: "live",
   }));
 }
 
-function requestOf(at: number): PlacementRequest {
-  return placementOf(
-    bodyOf(`salon ${at % 20}`.padEnd(4_000), `pet ${at}`.padEnd(4_000)),
+function sampleRequest(index: number): PlacementRequest {
+  return placementRequest(
+    chatBody(`salon ${index % 20}`.padEnd(4_000), `pet ${index}`.padEnd(4_000)),
   );
 }
 
-function bodyOf(first: string, second: string): Record<string, unknown> {
+function chatBody(first: string, second: string): Record<string, unknown> {
   return {
     messages: [{ role: "system", content: first }, {
       role: "user",
@@ -295,9 +302,9 @@
   };
 }
 
-function placementOf(body: Record<string, unknown>): PlacementRequest {
+function placementRequest(body: Record<string, unknown>): PlacementRequest {
   return describePrompt(body, {
-    scope: SCOPE,
+    scope: SAMPLE_SCOPE,
     api: "chat",
     recomputePriceMs: 0,
   });
@@ -312,12 +319,12 @@
   return { name, what, unit, per, command: COMMAND };
 }
 
-function dividedBy(slope: Slope, times: number): Slope {
+function divideSlope(slope: Slope, divisor: number): Slope {
   return {
     ...slope,
-    points: slope.points.map(({ x, y }) => ({ x, y: y / times })),
-    slope: slope.slope / times,
-    intercept: slope.intercept / times,
-    spread: [slope.spread[0] / times, slope.spread[1] / times],
+    points: slope.points.map(({ x, y }) => ({ x, y: y / divisor })),
+    slope: slope.slope / divisor,
+    intercept: slope.intercept / divisor,
+    spread: [slope.spread[0] / divisor, slope.spread[1] / divisor],
   };
 }
--- a/src/capacity/measure_wire.ts
+++ b/src/capacity/measure_wire.ts
@@ -1,6 +1,7 @@
 /**
- * Measures what one `Ask` and one idle connection cost, between two processes over a forwarder that
- * counts bytes. Prints slopes as JSON: `node dist/capacity/measure_wire.js`.
+ * Measures CPU time and bytes of one `Ask` and memory of one idle connection, between two processes.
+ * A forwarder counts the bytes. Prints slopes as JSON:
+ * `node --expose-gc dist/capacity/measure_wire.js`.
  */
 import { type ChildProcess, fork } from "node:child_process";
 import { once } from "node:events";
@@ -26,12 +27,12 @@
 const IN_FLIGHT = 8;
 const RUNS = 5;
 
-interface Usage {
+interface ProcessUsage {
   cpuUs: number;
   rssBytes: number;
 }
 
-interface AskRun {
+interface AskUsage {
   count: number;
   clientUs: number;
   serverUs: number;
@@ -44,19 +45,19 @@
 async function serve(): Promise<void> {
   const server = new GrpcServer();
   server.addService(AgentService, {
-    ask: (_call: unknown, answer: (error: null, reply: AskReply) => void) =>
-      answer(null, offer()),
+    ask: (_call: unknown, respond: (error: null, reply: AskReply) => void) =>
+      respond(null, sampleOfferReply()),
   });
   const port = await new Promise<number>((resolve, reject) =>
     server.bindAsync(
       "127.0.0.1:0",
       ServerCredentials.createInsecure(),
-      (error, bound) => error ? reject(error) : resolve(bound),
+      (error, boundPort) => error ? reject(error) : resolve(boundPort),
     )
   );
   process.on("message", () => {
     globalThis.gc?.();
-    process.send!(usage());
+    process.send!(processUsage());
   });
   process.send!(port);
   process.on("disconnect", () => process.exit(0));
@@ -69,7 +70,7 @@
   const [port] = await once(child, "message") as [number];
   const forwarder = await Forwarder.create(port);
   try {
-    await askMany(port, 2_000, child, forwarder);
+    await measureAsks(port, 2_000, child, forwarder);
     const slopes = [
       ...await askSlopes(child, port, forwarder),
       ...await connectionSlopes(child, port),
@@ -86,11 +87,13 @@
   port: number,
   forwarder: Forwarder,
 ): Promise<Slope[]> {
-  const runs: AskRun[][] = [];
-  const counted: AskRun[][] = [];
+  const directRuns: AskUsage[][] = [];
+  const forwardedRuns: AskUsage[][] = [];
   for (let run = 0; run < RUNS; run++) {
-    runs.push(await askSeries(port, child, forwarder));
-    counted.push(await askSeries(forwarder.port, child, forwarder));
+    directRuns.push(await measureAskCounts(port, child, forwarder));
+    forwardedRuns.push(
+      await measureAskCounts(forwarder.port, child, forwarder),
+    );
   }
   const describe = (name: string, what: string, unit: string) => ({
     name,
@@ -99,12 +102,12 @@
     per: "ask",
     command: COMMAND,
   });
-  const points = (of: AskRun[][], y: (run: AskRun) => number) =>
-    of.map((run) => run.map((ask): Point => ({ x: ask.count, y: y(ask) })));
+  const points = (series: AskUsage[][], y: (run: AskUsage) => number) =>
+    series.map((run) => run.map((ask): Point => ({ x: ask.count, y: y(ask) })));
   return [
     fitSlope(
       describe("ask_client_us", "Processor time of an ask, asking side", "us"),
-      points(runs, (ask) => ask.clientUs),
+      points(directRuns, (ask) => ask.clientUs),
     ),
     fitSlope(
       describe(
@@ -112,47 +115,47 @@
         "Processor time of an ask, answering side",
         "us",
       ),
-      points(runs, (ask) => ask.serverUs),
+      points(directRuns, (ask) => ask.serverUs),
     ),
     fitSlope(
       describe("ask_bytes", "TCP payload of an ask, both ways", "bytes"),
-      points(counted, (ask) => ask.bytes),
+      points(forwardedRuns, (ask) => ask.bytes),
     ),
   ];
 }
 
-async function askSeries(
+async function measureAskCounts(
   port: number,
   child: ChildProcess,
   forwarder: Forwarder,
-): Promise<AskRun[]> {
-  const asks: AskRun[] = [];
+): Promise<AskUsage[]> {
+  const asks: AskUsage[] = [];
   for (const count of ASK_COUNTS) {
-    asks.push(await askMany(port, count, child, forwarder));
+    asks.push(await measureAsks(port, count, child, forwarder));
   }
   return asks;
 }
 
-async function askMany(
+async function measureAsks(
   port: number,
   count: number,
   child: ChildProcess,
   forwarder: Forwarder,
-): Promise<AskRun> {
+): Promise<AskUsage> {
   const client = connect(port);
-  await ask(client, 0);
+  await sendAsk(client, 0);
   const before = {
-    client: usage(),
+    client: processUsage(),
     server: await childUsage(child),
     bytes: forwarder.bytes,
   };
   let next = 0;
   const worker = async () => {
-    while (next < count) await ask(client, next++);
+    while (next < count) await sendAsk(client, next++);
   };
   await Promise.all(Array.from({ length: IN_FLIGHT }, worker));
   const after = {
-    client: usage(),
+    client: processUsage(),
     server: await childUsage(child),
     bytes: forwarder.bytes,
   };
@@ -179,7 +182,7 @@
       while (clients.length < count) {
         const client = connect(port);
         clients.push(client);
-        await ask(client, clients.length);
+        await sendAsk(client, clients.length);
       }
       globalThis.gc?.();
       clientPoints.push({ x: count, y: heapBytes() });
@@ -220,8 +223,11 @@
   });
 }
 
-function ask(client: AgentClient, number: number): Promise<AskReply> {
-  const request = typicalAsk(number);
+function sendAsk(
+  client: AgentClient,
+  requestNumber: number,
+): Promise<AskReply> {
+  const request = sampleAskRequest(requestNumber);
   return new Promise((resolve, reject) =>
     client.ask(
       request,
@@ -230,13 +236,13 @@
   );
 }
 
-function typicalAsk(number: number): AskRequest {
-  const points = Array.from({ length: 8 }, (_, at) => ({
-    blocks: 2 ** at,
-    key: BigInt(number + 1) * 0x9e3779b97f4a7c15n & 0xffffffffffffffffn,
+function sampleAskRequest(requestNumber: number): AskRequest {
+  const points = Array.from({ length: 8 }, (_, index) => ({
+    blocks: 2 ** index,
+    key: BigInt(requestNumber + 1) * 0x9e3779b97f4a7c15n & 0xffffffffffffffffn,
   }));
   return AskRequest.fromPartial({
-    runId: `0190a6c0-0000-7000-8000-${String(number).padStart(12, "0")}`,
+    runId: `0190a6c0-0000-7000-8000-${String(requestNumber).padStart(12, "0")}`,
     team: "lakeshore",
     workspace: "duluth-salon",
     model: "notes-large",
@@ -250,7 +256,7 @@
   });
 }
 
-function offer(): AskReply {
+function sampleOfferReply(): AskReply {
   return {
     verdict: {
       $case: "offer",
@@ -271,13 +277,13 @@
   };
 }
 
-async function childUsage(child: ChildProcess): Promise<Usage> {
+async function childUsage(child: ChildProcess): Promise<ProcessUsage> {
   child.send("usage");
-  const [answer] = await once(child, "message") as [Usage];
+  const [answer] = await once(child, "message") as [ProcessUsage];
   return answer;
 }
 
-function usage(): Usage {
+function processUsage(): ProcessUsage {
   const { user, system } = process.cpuUsage();
   return { cpuUs: user + system, rssBytes: process.memoryUsage.rss() };
 }
--- a/src/capacity/page.ts
+++ b/src/capacity/page.ts
@@ -1,10 +1,10 @@
-/** Renders the tables of docs/CAPACITY.md between their markers. */
+/** Renders the tables of docs/CAPACITY.md. */
 import type { CapacityLine } from "./line.ts";
 import type { CapacityTotal } from "./lines.ts";
 import { ASSUMED, PLAN } from "./sizes.ts";
 import type { Slope } from "./slopes.ts";
 
-/** What the page shows. */
+/** Data shown on the page. */
 export interface PageContent {
   slopes: Slope[];
   lines: CapacityLine[];
@@ -12,11 +12,11 @@
 }
 
 /**
- * Replaces the tables between `<!-- name -->` and `<!-- /name -->`, and leaves the rest.
+ * Replaces the tables between `<!-- name -->` and `<!-- /name -->` and keeps all other text.
  *
- * @param page Text of the page.
- * @param content What to show.
- * @returns The page with current tables.
+ * @param page Current text of the page.
+ * @param content Data for the tables.
+ * @returns The page with updated tables.
  */
 export function renderPage(page: string, content: PageContent): string {
   const tables = {
@@ -25,27 +25,29 @@
     slopes: slopesTable(content.slopes),
     assumed: assumedTable(),
   };
-  let text = page;
+  let updated = page;
   for (const [name, table] of Object.entries(tables)) {
     const pattern = new RegExp(`(<!-- ${name} -->\\n)[^]*?(<!-- /${name} -->)`);
-    text = text.replace(
+    updated = updated.replace(
       pattern,
       (_all, open: string, close: string) => `${open}\n${table}\n${close}`,
     );
   }
-  return text;
+  return updated;
 }
 
 /**
- * @param one A page.
- * @param other The same page, formatted or not.
- * @returns Whether they differ by the padding of tables at most.
+ * Compares two pages, ignoring the table padding that the formatter adds.
+ *
+ * @param left Text of a page.
+ * @param right Text of another page.
+ * @returns Whether the pages are equal except for padding.
  */
-export function isSamePage(one: string, other: string): boolean {
-  return withoutPadding(one) === withoutPadding(other);
+export function isSamePage(left: string, right: string): boolean {
+  return stripPadding(left) === stripPadding(right);
 }
 
-function withoutPadding(page: string): string {
+function stripPadding(page: string): string {
   return page.replace(/ +/g, " ").replace(/-{3,}/g, "---");
 }
 
--- a/src/capacity/page_test.ts
+++ b/src/capacity/page_test.ts
@@ -14,7 +14,7 @@
   command: "c",
 };
 
-test("capacity page shows what the slopes give", () => {
+test("capacity page matches the recorded slopes", () => {
   const page = readFileSync(new URL("docs/CAPACITY.md", ROOT), "utf8");
   const json = readFileSync(new URL("docs/data/slopes.json", ROOT), "utf8");
   const slopes = parseSlopes(json).unwrapOr([]);
@@ -27,7 +27,7 @@
   assert.ok(isSamePage(current, page), "Run npm run capacity");
 });
 
-test("slope of a line is exact", () => {
+test("fitted slope of an exact line is the median, with its spread", () => {
   const run = (slope: number) =>
     [1, 2, 3].map((x) => ({ x, y: 3 + slope * x }));
   const fit = fitSlope(DESCRIPTION, [run(5), run(2), run(9)]);
@@ -36,7 +36,7 @@
   assert.deepEqual(fit.spread, [2, 9]);
 });
 
-test("slope that was not measured is named", () => {
+test("error for an unknown slope contains its name", () => {
   const table = createSlopeTable([]);
   assert.throws(() => table.cost("ask_bytes", 1), /ask_bytes/);
 });
--- a/src/capacity/sizes.ts
+++ b/src/capacity/sizes.ts
@@ -1,8 +1,8 @@
-/** The size to design for, from the users' two-year plan, and the budgets that go with it. */
+/** Planned size of the system, from the users' two-year plan, and the resource budgets. */
 
 import { DEFAULT_TUNING } from "../entry/tuning.ts";
 
-/** Counts and rates of the plan. */
+/** Counts and rates from the users' plan. */
 export const PLAN = {
   entries: 360,
   workers: 12_000,
@@ -20,7 +20,7 @@
   restartsPerDay: 2_600,
 } as const;
 
-/** What control may cost a node, and what the platform's key-value service handles. */
+/** Limits for the control processes of a node and for calls to the platform's key-value service. */
 export const BUDGET = {
   controlCorePercent: 1,
   controlMemoryMb: 64,
@@ -31,54 +31,54 @@
 } as const;
 
 /**
- * What the plan leaves open and this project assumes; each is a line of docs/CAPACITY.md, so that a
- * reader can object.
+ * Assumptions about values that the plan does not give. docs/CAPACITY.md lists them all, so that
+ * readers can challenge them.
  */
 export const ASSUMED = {
-  /** Candidates asked for a request. */
+  /** `Ask` calls per request. */
   asksPerRequest: 3,
-  /** Share of requests that carry an idempotency key or a call that may not be repeated. */
+  /** Share of requests with an idempotency key or with a call that must not be repeated. */
   atMostOnceShare: 0.05,
-  /** Mean prompt, in KB of UTF-8. */
+  /** Mean prompt size, in KB of UTF-8. */
   promptKb: 16,
-  /** Mean size of a team's branch as stored, in KB. */
+  /** Mean stored size of a team's configuration branch, in KB. */
   branchKb: 6,
-  /** Workspaces of a team, so that 2,600 workspaces make 325 branches. */
+  /** Mean workspaces per team: the planned 2,600 workspaces give 325 branches. */
   workspacesPerTeam: 8,
-  /** Rows of the list that an entry keeps: its own region's workers. */
+  /** Members in an entry's list of instances: the workers of its own region. */
   membersPerEntry: 12_000 / 5,
-  /** Seconds an unused connection to an agent is kept. */
+  /** Idle timeout of a connection to an agent, in s. */
   connectionIdleS: DEFAULT_TUNING.channelIdleMs / 1000,
-  /** Connections to agents that an entry keeps at most. */
+  /** Maximum number of open connections from an entry to agents. */
   connectionLimit: DEFAULT_TUNING.maxChannels,
-  /** Hints that an entry keeps at most. */
+  /** Maximum number of hints in an entry's table. */
   hintLimit: 8_192,
-  /** Digest exchanges with peers a second that a node asks for; it answers as many. */
+  /** Digest exchanges per second that a node starts with its peers; it answers as many. */
   exchangesPerSecond: 2,
-  /** Bytes of one row of the list of instances. */
+  /** Size of one row of the list of instances, in bytes. */
   instanceRowBytes: 150,
-  /** Agents beside plain services whose calls may not be repeated. */
+  /** Agents of plain services whose calls must not be repeated; each owns journal shards. */
   journalOwners: 200,
-  /** Commits a second at which an owner's journal levels off, from `journal_commits`. */
+  /** Maximum commits per second of one owner's journal, from `journal_commits`. */
   commitsPerOwner: 39,
-  /** Teams whose requests one agent takes. */
+  /** Number of teams that send requests to one agent. */
   teamsPerAgent: 20,
-  /** Journal shards that one agent owns. */
+  /** Journal shards per owner. */
   shardsPerOwner: 2,
-  /** Pools with a lease holder that plans models. */
+  /** Pools with a model planner, each elected by a lease. */
   pools: 60,
-  /** Renewals of one lease a minute. */
+  /** Renewals of one lease per minute. */
   leaseRenewalsPerMinute: 12,
 } as const;
 
 const DAY_S = 86_400;
 
-/** @returns Changes of configuration a second. */
+/** @returns Configuration changes per second. */
 export function configChangesPerSecond(): number {
   return PLAN.configChangesPerDay / DAY_S;
 }
 
-/** @returns Instances that come or go a second. */
+/** @returns Instances that start or stop per second. */
 export function instanceChangesPerSecond(): number {
   return (PLAN.failuresPerDay + PLAN.restartsPerDay) * 2 / DAY_S;
 }
--- a/src/capacity/slopes.ts
+++ b/src/capacity/slopes.ts
@@ -1,36 +1,36 @@
-/** Measured slopes: what one more of something costs, with the run that gave the figure. */
+/** Measured slopes: the cost of each additional unit, with the command that measured it. */
 import { Result } from "true-myth";
 import { z } from "zod";
 
 const POINT = z.strictObject({ x: z.number(), y: z.number() });
 
 const SLOPE = z.strictObject({
-  /** Key by which the capacity model refers to it. */
+  /** Key of the slope in the capacity model. */
   name: z.string(),
-  /** What was measured, in a sentence. */
+  /** Short description of the measured quantity. */
   what: z.string(),
   unit: z.string(),
-  /** Command that repeats the measurement. */
+  /** Command that runs the measurement. */
   command: z.string(),
-  /** Unit of x. */
+  /** Unit of `x`. */
   per: z.string(),
   points: z.array(POINT),
-  /** Least-squares slope of y over x. */
+  /** Least-squares slope of `y` over `x`, from the median run. */
   slope: z.number(),
   intercept: z.number(),
   /** Lowest and highest slope over the runs. */
   spread: z.tuple([z.number(), z.number()]),
 });
 
-/** Schema of a file of slopes. */
+/** Schema of docs/data/slopes.json. */
 export const SLOPES = z.array(SLOPE);
 
-/** One measured slope. */
+/** A measured slope with its points. */
 export type Slope = z.infer<typeof SLOPE>;
-/** A measured point. */
+/** One measurement: `y` at count or rate `x`. */
 export type Point = z.infer<typeof POINT>;
 
-/** What a slope is made from. */
+/** Name, units and command of a slope. */
 export interface SlopeDescription {
   name: string;
   what: string;
@@ -39,15 +39,15 @@
   command: string;
 }
 
-/** Why a file of slopes could not be read. */
+/** Validation error of a slopes file. */
 export type SlopesFailure = { kind: "invalid_slopes"; message: string };
 
 /**
- * Fits a line to each run's points; the slope is the median run's.
+ * Fits a line to the points of each run and takes the run with the median slope.
  *
- * @param description What was measured.
+ * @param description Name, units and command of the slope.
  * @param runs Points of each run; at least one run, each with at least two points.
- * @returns The slope with its spread over the runs.
+ * @returns The slope, with the lowest and highest slope of all runs as its spread.
  */
 export function fitSlope(
   description: SlopeDescription,
@@ -66,8 +66,8 @@
 }
 
 /**
- * @param json Text of a file of slopes.
- * @returns The slopes, or what is wrong with the file.
+ * @param json Text of a slopes file; a SyntaxError is thrown if it is not JSON.
+ * @returns The slopes, or a description of the validation errors.
  */
 export function parseSlopes(json: string): Result<Slope[], SlopesFailure> {
   const parsed = SLOPES.safeParse(JSON.parse(json));
