--- a/src/bench/_open_loop.ts
+++ b/src/bench/_open_loop.ts
@@ -59,7 +59,7 @@
     if (waitMs > 0) await delay(waitMs);
     const pending = sendRequest(options, {
       index,
-      scheduledMs: scheduledMs,
+      scheduledMs,
       dispatcher,
       result,
     });
@@ -81,7 +81,7 @@
  * @param histogram Durations in µs.
  * @returns The 50th, 95th and 99th percentile, in ms.
  */
-export function quantilesOf(histogram: Histogram): Quantiles {
+export function latencyQuantiles(histogram: Histogram): Quantiles {
   const quantileMs = (percentile: number) =>
     histogram.getValueAtPercentile(percentile) / UNITS_PER_MS;
   return {
@@ -113,7 +113,7 @@
 
 async function streamRequest(
   options: LoadOptions,
-  { index, scheduledMs: atMs, dispatcher, result }: ScheduledRequest,
+  { index, scheduledMs, dispatcher, result }: ScheduledRequest,
 ): Promise<void> {
   const { statusCode, body } = await request(
     `${options.url}/v1/chat/completions`,
@@ -132,7 +132,7 @@
   for await (const chunk of body) {
     const nowMs = performance.now();
     for (let events = countEvents(chunk); events > 0; events--) {
-      if (previousMs === 0) record(result.ttft, nowMs - atMs);
+      if (previousMs === 0) record(result.ttft, nowMs - scheduledMs);
       else record(result.gap, nowMs - previousMs);
       previousMs = nowMs;
       result.pieces += 1;
--- a/src/bench/latency.ts
+++ b/src/bench/latency.ts
@@ -10,9 +10,9 @@
 import type { Child } from "../e2e/_child.ts";
 import { Fleet, type RunningEntry } from "../e2e/_fleet.ts";
 import {
+  latencyQuantiles,
   type LoadResult,
   type Quantiles,
-  quantilesOf,
   runLoad,
 } from "./_open_loop.ts";
 
@@ -189,7 +189,7 @@
     requests,
     pieces,
     failures: countFailures(load.failures),
-    ttft: quantilesOf(load.ttft),
+    ttft: latencyQuantiles(load.ttft),
     entry: roleCost(entry.child.cpuSeconds() - entryBefore, [entry.child]),
     agents: roleCost(totalCpu(agents) - agentsBefore, agents),
   };
@@ -236,7 +236,7 @@
 
 function describeLoad(load: LoadResult): AddedLatency["direct"] {
   const { ttft, gap, requests } = load;
-  return { ttft: quantilesOf(ttft), gap: quantilesOf(gap), requests };
+  return { ttft: latencyQuantiles(ttft), gap: latencyQuantiles(gap), requests };
 }
 
 function subtractQuantiles(a: Quantiles, b: Quantiles): Quantiles {
--- a/src/capacity/_measure.ts
+++ b/src/capacity/_measure.ts
@@ -20,7 +20,7 @@
  * @param prepare Sets up the work for a count, outside the measured time, and returns the work.
  * @returns The slope of CPU time over the count.
  */
-export async function processorSlope(
+export async function measureCpuSlope(
   series: Series,
   prepare: (count: number) => () => unknown,
 ): Promise<Slope> {
@@ -47,7 +47,7 @@
  * @param allocate Returns the object whose heap size is measured.
  * @returns The slope of heap size over the count.
  */
-export function heapSlope(
+export function measureHeapSlope(
   series: Series,
   allocate: (count: number) => unknown,
 ): Slope {
@@ -83,7 +83,7 @@
 
 let retained: unknown;
 
-/** Keeps `value` reachable until here, so that it is not collected before the measurement. */
+/** Keeps `value` reachable up to this call, so that the garbage collector counts it as in use. */
 function keepAlive(value: unknown): void {
   retained = value;
   if (retained === undefined) throw new TypeError("Expected a value");
--- a/src/capacity/_role_lines.ts
+++ b/src/capacity/_role_lines.ts
@@ -1,7 +1,7 @@
 /** Estimates of CPU, memory, network and store use: one line per component of each role. */
 import { type CapacityLine, Resource, Role, type SlopeTable } from "./line.ts";
 import {
-  ASSUMED,
+  ASSUMPTIONS,
   configChangesPerSecond,
   instanceChangesPerSecond,
   PLAN,
@@ -9,14 +9,14 @@
 
 const ENTRY_REQUESTS = PLAN.requestsPerSecond / PLAN.entries;
 const AGENT_REQUESTS = PLAN.requestsPerSecond / PLAN.workers;
-const ASKS_PER_REQUEST = ASSUMED.asksPerRequest;
+const ASKS_PER_REQUEST = ASSUMPTIONS.asksPerRequest;
 const ENTRY_ASKS = ENTRY_REQUESTS * ASKS_PER_REQUEST;
 const AGENT_ASKS = AGENT_REQUESTS * ASKS_PER_REQUEST;
 const BLOCKS_PER_WORKER = PLAN.cachedBlocks / PLAN.workers;
 const EVENTS_PER_WORKER = PLAN.cacheEventsPerSecond / PLAN.workers;
-const TEAMS = PLAN.workspaces / ASSUMED.workspacesPerTeam;
+const TEAMS = PLAN.workspaces / ASSUMPTIONS.workspacesPerTeam;
 const ENTRIES_PER_REGION = PLAN.entries / PLAN.regions;
-const CLAIMS = PLAN.requestsPerSecond * ASSUMED.atMostOnceShare;
+const CLAIMS = PLAN.requestsPerSecond * ASSUMPTIONS.atMostOnceShare;
 /** The `x` values of `process_resident_bytes`, each a kind of process. */
 const RESIDENT_NODE = 0;
 const RESIDENT_AGENT = 1;
@@ -29,9 +29,9 @@
 export function entryLines(table: SlopeTable): CapacityLine[] {
   const { core, memory, network } = lineBuilders(Role.Entry);
   const connections = Math.min(
-    ASSUMED.membersPerEntry,
-    ENTRY_ASKS * ASSUMED.connectionIdleS,
-    ASSUMED.connectionLimit,
+    ASSUMPTIONS.membersPerEntry,
+    ENTRY_ASKS * ASSUMPTIONS.connectionIdleS,
+    ASSUMPTIONS.connectionLimit,
   );
   return [
     core(
@@ -44,27 +44,27 @@
       "computing candidates",
       "rendezvous hashing over the region's members",
       ENTRY_REQUESTS *
-        table.costWithBase("candidates_us", ASSUMED.membersPerEntry),
+        table.costWithIntercept("candidates_us", ASSUMPTIONS.membersPerEntry),
       ["candidates_us"],
     ),
     core(
       "hashing prompts",
       "chain of blocks, sparse points on the wire",
-      table.cost("chain_us_per_kb", ENTRY_REQUESTS * ASSUMED.promptKb),
+      table.cost("chain_us_per_kb", ENTRY_REQUESTS * ASSUMPTIONS.promptKb),
       ["chain_us_per_kb"],
     ),
     core(
       "applying branches",
       "one watch, highest revision wins",
       configChangesPerSecond() *
-        table.costWithBase("branch_apply_us", ASSUMED.branchKb),
+        table.costWithIntercept("branch_apply_us", ASSUMPTIONS.branchKb),
       ["branch_apply_us"],
     ),
     core(
       "comparing versions with peers",
       "digest exchange with two peers a second, each taken as an ask; team limits ride along",
       (table.cost("ask_client_us", 1) + table.cost("ask_server_us", 1)) *
-        ASSUMED.exchangesPerSecond,
+        ASSUMPTIONS.exchangesPerSecond,
       ["ask_client_us", "ask_server_us"],
     ),
     memory(
@@ -76,25 +76,25 @@
     memory(
       "members",
       "the region's rows of the list, as deltas",
-      table.cost("member_bytes", ASSUMED.membersPerEntry),
+      table.cost("member_bytes", ASSUMPTIONS.membersPerEntry),
       ["member_bytes"],
     ),
     memory(
       "team branches",
       "every branch, parsed once",
-      TEAMS * table.costWithBase("branch_bytes", ASSUMED.branchKb),
+      TEAMS * table.costWithIntercept("branch_bytes", ASSUMPTIONS.branchKb),
       ["branch_bytes"],
     ),
     memory(
       "connections to agents",
-      `opened on demand, closed when idle, at most ${ASSUMED.connectionLimit}`,
+      `opened on demand, closed when idle, at most ${ASSUMPTIONS.connectionLimit}`,
       table.cost("connection_client_bytes", connections),
       ["connection_client_bytes"],
     ),
     memory(
       "hints",
       "bounded table of own traffic",
-      table.cost("hint_bytes", ASSUMED.hintLimit),
+      table.cost("hint_bytes", ASSUMPTIONS.hintLimit),
       ["hint_bytes"],
     ),
     network(
@@ -106,19 +106,19 @@
     network(
       "branches",
       "one watch of the store, a change once",
-      configChangesPerSecond() * ASSUMED.branchKb * BYTES_PER_KB,
+      configChangesPerSecond() * ASSUMPTIONS.branchKb * BYTES_PER_KB,
       [],
     ),
     network(
       "version digests",
       "hash of all versions; pairs only when it differs",
-      table.cost("ask_bytes", 2 * ASSUMED.exchangesPerSecond),
+      table.cost("ask_bytes", 2 * ASSUMPTIONS.exchangesPerSecond),
       ["ask_bytes"],
     ),
     network(
       "list of instances",
       "deltas by long poll",
-      instanceChangesPerSecond() / PLAN.regions * ASSUMED.instanceRowBytes,
+      instanceChangesPerSecond() / PLAN.regions * ASSUMPTIONS.instanceRowBytes,
       [],
     ),
   ];
@@ -137,7 +137,7 @@
     core(
       "watching the engine and its cache events",
       "followed beside the engine, never sent on",
-      table.costWithBase("agent_event_us", EVENTS_PER_WORKER),
+      table.costWithIntercept("agent_event_us", EVENTS_PER_WORKER),
       ["agent_event_us"],
     ),
     memory(
@@ -161,8 +161,8 @@
     memory(
       "team branches",
       "only teams that send requests here",
-      ASSUMED.teamsPerAgent *
-        table.costWithBase("branch_bytes", ASSUMED.branchKb),
+      ASSUMPTIONS.teamsPerAgent *
+        table.costWithIntercept("branch_bytes", ASSUMPTIONS.branchKb),
       ["branch_bytes"],
     ),
     network(
@@ -174,8 +174,8 @@
     network(
       "branches",
       "pushed with the first request under a new version",
-      configChangesPerSecond() * ASSUMED.teamsPerAgent / TEAMS *
-        ASSUMED.branchKb * BYTES_PER_KB,
+      configChangesPerSecond() * ASSUMPTIONS.teamsPerAgent / TEAMS *
+        ASSUMPTIONS.branchKb * BYTES_PER_KB,
       [],
     ),
   ];
@@ -184,11 +184,11 @@
 /** @returns Estimated load on the key-value service. */
 export function storeLines(table: SlopeTable): CapacityLine[] {
   const { line } = lineBuilders(Role.Store);
-  const claimsPerOwner = CLAIMS / ASSUMED.journalOwners;
-  const journalCommits = ASSUMED.journalOwners *
+  const claimsPerOwner = CLAIMS / ASSUMPTIONS.journalOwners;
+  const journalCommits = ASSUMPTIONS.journalOwners *
     Math.min(
       table.cost("journal_commits", claimsPerOwner),
-      ASSUMED.commitsPerOwner,
+      ASSUMPTIONS.commitsPerOwner,
     );
   return [
     line(
@@ -209,7 +209,7 @@
       Resource.Writes,
       "leases of model planners",
       "one lease a pool",
-      ASSUMED.pools * ASSUMED.leaseRenewalsPerMinute / 60,
+      ASSUMPTIONS.pools * ASSUMPTIONS.leaseRenewalsPerMinute / 60,
       [],
     ),
     line(
@@ -231,7 +231,7 @@
       "journal takeovers",
       "one list for each shard of a lost owner",
       (PLAN.failuresPerDay + PLAN.restartsPerDay) / 86_400 *
-        ASSUMED.shardsPerOwner,
+        ASSUMPTIONS.shardsPerOwner,
       [],
     ),
   ];
@@ -239,7 +239,7 @@
 
 /** @returns Resident memory of a process beyond that of an idle Node process, in bytes. */
 function residentAboveNode(table: SlopeTable, process: number): number {
-  const resident = (x: number) => table.point("process_resident_bytes", x);
+  const resident = (x: number) => table.valueAt("process_resident_bytes", x);
   return resident(process) - resident(RESIDENT_NODE);
 }
 
@@ -251,7 +251,7 @@
     amount: number,
     slopes: string[],
   ): CapacityLine => ({ role, resource, what, mechanism, amount, slopes });
-  const scaled = (resource: Resource, divisor: number) =>
+  const scaledLine = (resource: Resource, divisor: number) =>
   (
     what: string,
     mechanism: string,
@@ -261,10 +261,10 @@
   return {
     line,
     /** Takes the amount in µs of CPU time per second. */
-    core: scaled(Resource.Processor, US_PER_CORE_PERCENT),
+    core: scaledLine(Resource.Processor, US_PER_CORE_PERCENT),
     /** Takes the amount in bytes. */
-    memory: scaled(Resource.Memory, BYTES_PER_MB),
+    memory: scaledLine(Resource.Memory, BYTES_PER_MB),
     /** Takes the amount in bytes per second. */
-    network: scaled(Resource.Network, BYTES_PER_KB),
+    network: scaledLine(Resource.Network, BYTES_PER_KB),
   };
 }
--- a/src/capacity/line.ts
+++ b/src/capacity/line.ts
@@ -35,7 +35,7 @@
   /** Cost of `x` units: slope times `x`, without the intercept. */
   cost(name: string, x: number): number;
   /** Cost of `x` units: intercept plus slope times `x`. */
-  costWithBase(name: string, x: number): number;
+  costWithIntercept(name: string, x: number): number;
   /** Measured value at `x`. */
-  point(name: string, x: number): number;
+  valueAt(name: string, x: number): number;
 }
--- a/src/capacity/lines.ts
+++ b/src/capacity/lines.ts
@@ -27,8 +27,8 @@
   };
   return {
     cost: (name, x) => find(name).slope * x,
-    costWithBase: (name, x) => find(name).intercept + find(name).slope * x,
-    point: (name, x) => {
+    costWithIntercept: (name, x) => find(name).intercept + find(name).slope * x,
+    valueAt: (name, x) => {
       const point = find(name).points.find((candidate) => candidate.x === x);
       if (!point) throw new RangeError(`Slope ${name} has no point at ${x}`);
       return point.y;
--- a/src/capacity/measure_state.ts
+++ b/src/capacity/measure_state.ts
@@ -16,7 +16,7 @@
   PolicyName,
 } from "../placement/mod.ts";
 import type { CacheEvent } from "../backends/engine.ts";
-import { heapSlope, processorSlope, type Series } from "./_measure.ts";
+import { measureCpuSlope, measureHeapSlope, type Series } from "./_measure.ts";
 import type { Slope } from "./slopes.ts";
 
 const COMMAND = "node --expose-gc dist/capacity/measure_state.js";
@@ -64,7 +64,7 @@
     { length: 50 },
     (_, index) => sampleRequest(index),
   );
-  const slope = await processorSlope(
+  const slope = await measureCpuSlope(
     { ...series, counts: [100, 1_000, 2_400, 12_000] },
     (count) => {
       const table = MemberTable.create(memberRows(count));
@@ -86,7 +86,7 @@
     "us",
     "KB",
   );
-  const slope = await processorSlope(
+  const slope = await measureCpuSlope(
     { ...series, counts: [2, 8, 16, 32] },
     (kb) => {
       const body = chatBody("x".repeat(kb * 500), "y".repeat(kb * 500));
@@ -105,7 +105,7 @@
     "bytes",
     "row",
   );
-  return heapSlope(
+  return measureHeapSlope(
     { ...series, counts: [1_000, 2_400, 12_000] },
     (count) => MemberTable.create(memberRows(count)),
   );
@@ -119,20 +119,23 @@
     "request",
   );
   const table = MemberTable.create(memberRows(50));
-  return heapSlope({ ...series, counts: [500, 1_000, 2_000] }, (count) => {
-    const policy = newPolicy();
-    for (let index = 0; index < count; index++) {
-      const request = sampleRequest(index);
-      const [member] = policy.candidates(request, table);
-      policy.learn({
-        kind: "placed",
-        request,
-        memberId: member!.id,
-        offer: SAMPLE_OFFER,
-      });
-    }
-    return policy;
-  });
+  return measureHeapSlope(
+    { ...series, counts: [500, 1_000, 2_000] },
+    (count) => {
+      const policy = newPolicy();
+      for (let index = 0; index < count; index++) {
+        const request = sampleRequest(index);
+        const [member] = policy.candidates(request, table);
+        policy.learn({
+          kind: "placed",
+          request,
+          memberId: member!.id,
+          offer: SAMPLE_OFFER,
+        });
+      }
+      return policy;
+    },
+  );
 }
 
 async function branchApplySlope(): Promise<Slope> {
@@ -143,7 +146,7 @@
     "KB",
   );
   const times = 200;
-  const slope = await processorSlope(
+  const slope = await measureCpuSlope(
     { ...series, counts: [2, 6, 24] },
     (kb) => {
       const json = encodeSampleBranch(kb);
@@ -170,7 +173,7 @@
     "KB",
   );
   const teams = 200;
-  const slope = heapSlope({ ...series, counts: [2, 6, 24] }, (kb) => {
+  const slope = measureHeapSlope({ ...series, counts: [2, 6, 24] }, (kb) => {
     const branches = BranchSet.create();
     for (let index = 0; index < teams; index++) {
       branches.apply({
@@ -191,7 +194,7 @@
     "us",
     "event",
   );
-  return await processorSlope(
+  return await measureCpuSlope(
     { ...series, counts: [10_000, 20_000, 40_000] },
     (count) => {
       const events = storedEvents(count);
@@ -207,7 +210,7 @@
     "bytes",
     "block",
   );
-  return heapSlope(
+  return measureHeapSlope(
     { ...series, counts: [10_000, 40_000, 90_000] },
     (count) => applyEvents(storedEvents(count)),
   );
--- a/src/capacity/page.ts
+++ b/src/capacity/page.ts
@@ -1,7 +1,7 @@
 /** Renders the tables of docs/CAPACITY.md. */
 import type { CapacityLine } from "./line.ts";
 import type { CapacityTotal } from "./lines.ts";
-import { ASSUMED, PLAN } from "./sizes.ts";
+import { ASSUMPTIONS, PLAN } from "./sizes.ts";
 import type { Slope } from "./slopes.ts";
 
 /** Data shown on the page. */
@@ -100,7 +100,7 @@
 }
 
 function assumedTable(): string {
-  const rows = Object.entries({ ...PLAN, ...ASSUMED });
+  const rows = Object.entries({ ...PLAN, ...ASSUMPTIONS });
   return table(
     ["input", "value", "source"],
     rows.map(([name, value]) => [
--- a/src/capacity/sizes.ts
+++ b/src/capacity/sizes.ts
@@ -34,7 +34,7 @@
  * Assumptions about values that the plan does not give. docs/CAPACITY.md lists them all, so that
  * readers can challenge them.
  */
-export const ASSUMED = {
+export const ASSUMPTIONS = {
   /** `Ask` calls per request. */
   asksPerRequest: 3,
   /** Share of requests with an idempotency key or with a call that must not be repeated. */
