--- a/src/admin/cli_test.ts
+++ b/src/admin/cli_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import yargs from "yargs";
-import { ADMIN_KEY, BRANCH, startTestCluster } from "./_rig.ts";
+import { ADMIN_KEY, BRANCH, startTestCluster } from "./_test_cluster.ts";
 import { addAdminCommands, ADMIN_EXIT, type AdminIo } from "./cli.ts";
 
 /** Exit status and output of a command. */
--- a/src/admin/fuzz_test.ts
+++ b/src/admin/fuzz_test.ts
@@ -3,7 +3,7 @@
 import fc from "fast-check";
 import { systemClock } from "../base/mod.ts";
 import { TEAMS_PREFIX } from "../config/mod.ts";
-import { AGENT, FuzzHarness, NODES, TEAMS } from "./_fuzz_world.ts";
+import { AGENT, FuzzHarness, NODES, TEAMS } from "./_fuzz_harness.ts";
 
 const SEED = Number(process.env.CICADAHITCH_FUZZ_SEED ?? 20_260);
 const RUNS = Number(process.env.CICADAHITCH_FUZZ_RUNS ?? 60);
--- a/src/admin/server_test.ts
+++ b/src/admin/server_test.ts
@@ -9,7 +9,7 @@
   BRANCH,
   startTestCluster,
   type TestCluster,
-} from "./_rig.ts";
+} from "./_test_cluster.ts";
 import type { AdminClientFailure } from "./client.ts";
 
 async function withTestCluster(
--- a/src/agent/plain_server.ts
+++ b/src/agent/plain_server.ts
@@ -164,7 +164,7 @@
     { claimant }: Extract<ClaimAnswer, { kind: "elsewhere" }>,
   ): Promise<void> {
     const end = await this.#options.relay.copy(run, { call, claimant });
-    if (end) this.#options.journal()?.resolve(ref, end);
+    if (end) this.#options.journal()?.recordEnd(ref, end);
   }
 
   async #forward({ run, call, settings }: PlainTask): Promise<void> {
--- a/src/bench/latency.ts
+++ b/src/bench/latency.ts
@@ -147,7 +147,7 @@
   options: SeriesOptions,
 ): Promise<AddedLatency> {
   const [direct, routed] = await Promise.all([
-    send(fleet, fleet.seats[0]!.serverUrl, options),
+    send(fleet, fleet.slots[0]!.serverUrl, options),
     send(fleet, entry.url, { ...options, seed: options.seed + 1 }),
   ]);
   const ofDirect = describeLoad(direct);
@@ -168,7 +168,7 @@
   entry: RunningEntry,
   options: SeriesOptions,
 ): Promise<PathCost> {
-  const agents = fleet.seats.map(({ agent }) => agent);
+  const agents = fleet.slots.map(({ agent }) => agent);
   const entryBefore = entry.child.cpuSeconds();
   const agentsBefore = totalCpu(agents);
   const load = await send(fleet, entry.url, options);
@@ -198,7 +198,7 @@
   fleet: Fleet,
   entry: RunningEntry,
 ): Promise<Report["idle"]> {
-  const { agent } = fleet.seats[0]!;
+  const { agent } = fleet.slots[0]!;
   const before = [entry.child.cpuSeconds(), agent.cpuSeconds()] as const;
   await new Promise((resolve) => setTimeout(resolve, IDLE_MS));
   const share = (seconds: number) => round(seconds * 1000 / IDLE_MS);
--- a/src/capacity/measure_agent.ts
+++ b/src/capacity/measure_agent.ts
@@ -77,7 +77,7 @@
   const bare = Child.create({ program: "capacity/_idle", args: [] });
   await bare.started();
   await delay(SETTLE_MS);
-  const agent = fleet.seats[0]!.agent;
+  const agent = fleet.slots[0]!.agent;
   const points = [bare, agent, entry.child].map((child, x): Point => ({
     x,
     y: child.residentBytes(),
--- a/src/e2e/_fleet.ts
+++ b/src/e2e/_fleet.ts
@@ -51,7 +51,7 @@
   readonly #options: FleetOptions;
   readonly #children: Child[] = [];
   readonly #instances: Instance[] = [];
-  readonly seats: AgentSlot[] = [];
+  readonly slots: AgentSlot[] = [];
   kvAddress = "";
   kvControlUrl = "";
   listUrl = "";
@@ -96,7 +96,10 @@
       ...["--http-address", LOOPBACK, "--peer-address", LOOPBACK],
       ...["--store-address", this.kvAddress],
       ...["--instance-list-url", this.listUrl],
-      ...["--seed-addresses", this.seats.map((s) => s.agentAddress).join(",")],
+      ...[
+        "--seed-addresses",
+        this.slots.map((s) => s.agentAddress).join(","),
+      ],
       ...["--admin-address", LOOPBACK],
       ...["--admin-key-sha256", sha256Hex(SAMPLE_ADMIN_KEY)],
       ...["--unready-ms", "100"],
@@ -154,7 +157,7 @@
     ]);
     const { listening } = await agent.started<DaemonStartLine>();
     const agentAddress = listening["agent"] ?? "";
-    this.seats.push({ id, agent, agentAddress, server, serverUrl });
+    this.slots.push({ id, agent, agentAddress, server, serverUrl });
     await this.#listInstance({
       id,
       role: "agent",
--- a/src/e2e/path_test.ts
+++ b/src/e2e/path_test.ts
@@ -115,7 +115,7 @@
   await client.whole(entry, chatBody("Secret prompt"));
   const addresses = [
     entry.peerAddress,
-    ...fleet.seats.map(({ agentAddress }) => agentAddress),
+    ...fleet.slots.map(({ agentAddress }) => agentAddress),
   ];
   for (const address of addresses) {
     const state = await readState({ flags: { address }, variables: {} });
--- a/src/e2e/stop_test.ts
+++ b/src/e2e/stop_test.ts
@@ -24,7 +24,7 @@
 }
 
 async function busyAgentSlot(fleet: Fleet): Promise<AgentSlot> {
-  for (const slot of fleet.seats) if (await liveRuns(slot) > 0) return slot;
+  for (const slot of fleet.slots) if (await liveRuns(slot) > 0) return slot;
   throw new Error("No agent has a run in progress");
 }
 
@@ -87,7 +87,7 @@
   for (let index = 0; index < 10; index++) {
     await client.whole(entry, chatBody(`Before ${index}`));
   }
-  fleet.seats[0]!.agent.kill("SIGKILL");
+  fleet.slots[0]!.agent.kill("SIGKILL");
   for (let index = 0; index < 20; index++) {
     const body = chatBody(`After ${index}`);
     assert.equal((await client.whole(entry, body)).text, answerTo(body));
--- a/src/e2e/token_test.ts
+++ b/src/e2e/token_test.ts
@@ -14,7 +14,7 @@
   const body = chatBody("With a token");
   const { text } = await Client.create(fleet).whole(entry, body);
   assert.equal(text, answerTo(body));
-  const { agentAddress } = fleet.seats[0]!;
+  const { agentAddress } = fleet.slots[0]!;
   for (const address of [entry.peerAddress, agentAddress]) {
     const readDump = (flags: object) =>
       readState({ flags: { address, ...flags }, variables: {} });
--- a/src/entry/early_disconnect_test.ts
+++ b/src/entry/early_disconnect_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { setImmediate as nextTurn } from "node:timers/promises";
 import { systemClock } from "../base/mod.ts";
-import { askAndLeave, keepBusy } from "../standin/mod.ts";
+import { blockEventLoop, sendAndDisconnect } from "../standin/mod.ts";
 import { HttpServer, type RequestHandler } from "./http_server.ts";
 
 const CALLERS = 40;
@@ -33,9 +33,9 @@
   });
   const address = (await server.start()).unwrapOr("");
   t.after(() => server.close());
-  t.after(keepBusy(TURN_MS));
+  t.after(blockEventLoop(TURN_MS));
   const [ipAddress = "", port] = address.split(":");
-  await askAndLeave({
+  await sendAndDisconnect({
     ipAddress,
     port: Number(port),
     count: CALLERS,
--- a/src/entry/frozen_connection_test.ts
+++ b/src/entry/frozen_connection_test.ts
@@ -41,7 +41,7 @@
     assert.deepEqual(eventsOf(await answer.text()), [...ABC, "[DONE]"]);
   }
   // Frozen connections stay open at the relay.
-  assert.ok(relay.openCount >= 4);
+  assert.ok(relay.connectionCount >= 4);
   await close();
 });
 
--- a/src/journal/_part.ts
+++ b/src/journal/_commit_part.ts
@@ -1,6 +1,6 @@
 /** Builds one shard's part of a commit, and applies or reverts it when the result is known. */
 import type { Expectation, Write } from "../store/store.ts";
-import { type ClaimEntry, isNotRun, keyToDigest } from "./_entry.ts";
+import { type ClaimEntry, isNotRun, keyToDigest } from "./_claim_entry.ts";
 import type { JournalOptions } from "./_options.ts";
 import { headKey, segmentKey } from "./_paths.ts";
 import { encodeHead, encodeSegment, type Head } from "./_records.ts";
--- a/src/journal/_committer.ts
+++ b/src/journal/_committer.ts
@@ -6,7 +6,7 @@
   StoreFailure,
 } from "../store/store.ts";
 import type { ClaimRefusal } from "./claims_journal.ts";
-import type { ClaimEntry } from "./_entry.ts";
+import type { ClaimEntry } from "./_claim_entry.ts";
 import type { JournalOptions } from "./_options.ts";
 import {
   applyPart,
@@ -14,7 +14,7 @@
   type CommitPart,
   isDue,
   requeuePart,
-} from "./_part.ts";
+} from "./_commit_part.ts";
 import { decodeHead, type Head, isSameWriter } from "./_records.ts";
 import type { Shard } from "./_shard.ts";
 import type { StoreHealth } from "./_store_health.ts";
--- a/src/journal/_replay.ts
+++ b/src/journal/_replay.ts
@@ -3,7 +3,11 @@
 import type { KeyValueEntry } from "../store/store.ts";
 import type { ClaimRecord, Segment, UnreadableRecord } from "./_records.ts";
 import { decodeSegment } from "./_records.ts";
-import { type ClaimEntry, createForeignEntry, digestToKey } from "./_entry.ts";
+import {
+  type ClaimEntry,
+  createForeignEntry,
+  digestToKey,
+} from "./_claim_entry.ts";
 import type { StoredSegment } from "./_shard.ts";
 
 /** The segments and claims of a shard, in journal order. */
--- a/src/journal/_shard.ts
+++ b/src/journal/_shard.ts
@@ -1,6 +1,6 @@
 /** An agent's in-memory state of one shard: its claims and the records to be written. */
 import type { ClaimEnd, ClaimRefusal } from "./claims_journal.ts";
-import { type ClaimEntry, isNotRun } from "./_entry.ts";
+import { type ClaimEntry, isNotRun } from "./_claim_entry.ts";
 import type { ShardId } from "./_paths.ts";
 import type { Head } from "./_records.ts";
 
--- a/src/journal/_ticket.ts
+++ b/src/journal/_ticket.ts
@@ -1,7 +1,7 @@
 /** Ticket of a granted claim, which the holder uses to begin and end its call. */
 import type { Clock } from "../base/mod.ts";
 import type { ClaimEnd, ClaimRef, ClaimTicket } from "./claims_journal.ts";
-import { type ClaimEntry, keyToDigest } from "./_entry.ts";
+import { type ClaimEntry, keyToDigest } from "./_claim_entry.ts";
 import type { Shard } from "./_shard.ts";
 
 /** Dependencies of a {@link Ticket}. */
--- a/src/journal/claims_journal.ts
+++ b/src/journal/claims_journal.ts
@@ -113,7 +113,7 @@
 export type NotRunCause = typeof NOT_RUN_CAUSES[keyof typeof NOT_RUN_CAUSES];
 
 /** Status of a claim that this process made. */
-export type ClaimFate =
+export type ClaimStatus =
   /** The claim is undecided, granted or forwarded. */
   | { kind: "running" }
   | { kind: "ended"; end: ClaimEnd }
@@ -161,14 +161,14 @@
    *
    * @param ref Identifies the claim.
    */
-  fate(ref: ClaimRef): ClaimFate;
+  claimStatus(ref: ClaimRef): ClaimStatus;
   /**
    * Records an end that another process reported for its own claim. No other source is reliable.
    *
    * @param ref Identifies the claim, with the run id from the answer `elsewhere`.
    * @param end The outcome of the call.
    */
-  resolve(ref: ClaimRef, end: ClaimEnd): void;
+  recordEnd(ref: ClaimRef, end: ClaimEnd): void;
   /** Returns the state for the state dump. */
   state(): JournalState;
   /**
--- a/src/journal/journal_fuzz_test.ts
+++ b/src/journal/journal_fuzz_test.ts
@@ -8,7 +8,7 @@
   type TestAgent,
   TestCluster,
   WINDOW_MS,
-} from "./_test_world.ts";
+} from "./_test_cluster.ts";
 
 const RUN_COUNT = Number(process.env["JOURNAL_FUZZ_RUNS"] ?? 60);
 const SEED = Number(process.env["JOURNAL_FUZZ_SEED"] ?? 20_260_301);
@@ -180,8 +180,8 @@
     const isClaimant = (other: TestAgent) =>
       other.incarnation === agentIncarnation && other.isRunning;
     const ref = { ...attempt.ref, runId };
-    const fate = cluster.agents.find(isClaimant)?.journal.fate(ref);
-    if (fate?.kind === "ended") attempt.agent.journal.resolve(ref, fate.end);
+    const seen = cluster.agents.find(isClaimant)?.journal.claimStatus(ref);
+    if (seen?.kind === "ended") attempt.agent.journal.recordEnd(ref, seen.end);
   })
 );
 
--- a/src/journal/journal_test.ts
+++ b/src/journal/journal_test.ts
@@ -5,7 +5,7 @@
   runPendingTasks,
   TestCluster,
   WINDOW_MS,
-} from "./_test_world.ts";
+} from "./_test_cluster.ts";
 
 /** Upper bound for the time that the margin for clock rates adds to a quarantine. */
 const CLOCK_MARGIN_MS = 200;
@@ -253,9 +253,9 @@
   ticket.end({ kind: "not_run" });
   await cluster.time.advance(5000);
   assert.equal(await cluster.claimAndWait(1, "aa"), "elsewhere");
-  const fate = cluster.agents[0]!.journal.fate(ticket.ref);
-  assert.deepEqual(fate, { kind: "ended", end: { kind: "not_run" } });
-  cluster.agents[1]!.journal.resolve(ticket.ref, { kind: "not_run" });
+  const status = cluster.agents[0]!.journal.claimStatus(ticket.ref);
+  assert.deepEqual(status, { kind: "ended", end: { kind: "not_run" } });
+  cluster.agents[1]!.journal.recordEnd(ticket.ref, { kind: "not_run" });
   assert.equal(await cluster.claimAndWait(1, "aa"), "granted");
 });
 
--- a/src/journal/store_claims_journal.ts
+++ b/src/journal/store_claims_journal.ts
@@ -5,11 +5,11 @@
 import type {
   ClaimAnswer,
   ClaimEnd,
-  ClaimFate,
   ClaimRef,
   ClaimRefusal,
   ClaimRequest,
   ClaimsJournal,
+  ClaimStatus,
   ClaimTicket,
   JournalState,
   NotRunCause,
@@ -22,8 +22,8 @@
   createOwnEntry,
   type Decision,
   digestToKey,
-} from "./_entry.ts";
-import { ShardAcquirer } from "./_opener.ts";
+} from "./_claim_entry.ts";
+import { ShardAcquirer } from "./_shard_acquirer.ts";
 import {
   CLOCK_RATE_MARGIN,
   type JournalOptions,
@@ -103,13 +103,13 @@
     return this.#refuse("closing");
   }
 
-  fate(ref: ClaimRef): ClaimFate {
+  claimStatus(ref: ClaimRef): ClaimStatus {
     const entry = this.#getShard(ref).ownClaims.get(ref.runId);
     if (entry?.key !== digestToKey(ref.keyDigest)) return { kind: "unknown" };
     return entry.end ? { kind: "ended", end: entry.end } : { kind: "running" };
   }
 
-  resolve(ref: ClaimRef, end: ClaimEnd): void {
+  recordEnd(ref: ClaimRef, end: ClaimEnd): void {
     const shard = this.#getShard(ref);
     const nowMs = this.#options.clock.nowMs();
     const entry = shard.findActive(digestToKey(ref.keyDigest), nowMs);
--- a/src/proof/paused_test.ts
+++ b/src/proof/paused_test.ts
@@ -15,7 +15,7 @@
   chatBody,
 } from "./_calls.ts";
 import { ProofFleet } from "./_fleet.ts";
-import { moveAgentToProcess } from "./_moved_agent.ts";
+import { moveAgentToProcess } from "./_agent_process.ts";
 
 const KEY_COUNT = 24;
 const SLOW_COMMIT_MS = 400;
--- a/src/proof/recovery_main.ts
+++ b/src/proof/recovery_main.ts
@@ -6,7 +6,7 @@
   ProofFleet,
   type ProofFleetOptions,
 } from "./_fleet.ts";
-import { moveAgentToProcess } from "./_moved_agent.ts";
+import { moveAgentToProcess } from "./_agent_process.ts";
 
 const RUNS = 5;
 const RETRY_MS = 5;
--- a/src/router/_long_timeout_kit.ts
+++ b/src/router/_long_timeout_kit.ts
@@ -6,14 +6,14 @@
 import type { TestContext } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
 import {
-  ask,
-  type Asked,
-  attemptOf,
+  attemptIdOf,
+  type ClientResponse,
+  completeStreamBody,
   configWith,
-  headersOf,
-  PROMPT,
-  type StandinPlatformWorker,
-  streamOf,
+  MODEL_REQUEST_HEADERS,
+  sendClientRequest,
+  type StandinBackendServer,
+  toRequestHeaders,
 } from "../standin/mod.ts";
 import { type LogLine, recordedLog } from "./_kit.ts";
 import {
@@ -29,8 +29,8 @@
 export const LONG_TIMEOUT_MS = 30_000;
 /** Headers of a model request with the timeout {@link LONG_TIMEOUT_MS}. */
 export const LONG_TIMEOUT_HEADERS: Record<string, string> = {
-  ...PROMPT,
-  ...headersOf({ timeMs: LONG_TIMEOUT_MS }),
+  ...MODEL_REQUEST_HEADERS,
+  ...toRequestHeaders({ timeMs: LONG_TIMEOUT_MS }),
 };
 
 /** Pause of clients between retries. */
@@ -94,14 +94,14 @@
     headers?: Record<string, string>;
     entry?: TestEntry;
   } = {},
-): Promise<Asked> {
-  const id = attemptOf(headers) ?? "attempt-1";
+): Promise<ClientResponse> {
+  const id = attemptIdOf(headers) ?? "attempt-1";
   const hasRun = () =>
     world.workers.some(({ runs }) =>
-      runs.some((run) => attemptOf(run.headers) === id)
+      runs.some((run) => attemptIdOf(run.headers) === id)
     );
   while (true) {
-    const asked = await ask(entry, path, headers);
+    const asked = await sendClientRequest(entry, path, headers);
     if (asked.status !== 503 || hasRun()) return asked;
     await sleep(RETRY_PAUSE_MS);
   }
@@ -119,10 +119,10 @@
   world: World,
   i: number,
   entry: TestEntry = world,
-): Promise<Asked> {
+): Promise<ClientResponse> {
   const headers = {
     ...LONG_TIMEOUT_HEADERS,
-    ...headersOf({ id: `other-${i}`, prompt: i }),
+    ...toRequestHeaders({ id: `other-${i}`, prompt: i }),
   };
   return askUntilAccepted(world, `/stream/other-${i}`, { headers, entry });
 }
@@ -135,13 +135,13 @@
  * @param options Number of events of a complete stream.
  */
 export function assertComplete(
-  { isWhole, body, status }: Asked,
+  { isComplete, body, status }: ClientResponse,
   what?: string,
   { events = 4 }: { events?: number } = {},
 ): void {
   assert.equal(status, 200, what);
-  assert.ok(isWhole, what);
-  assert.equal(body, streamOf(events), what);
+  assert.ok(isComplete, what);
+  assert.equal(body, completeStreamBody(events), what);
 }
 
 /**
@@ -153,15 +153,15 @@
  */
 export function assertAllComplete(
   world: LongTimeoutSetup,
-  asked: Asked[],
+  asked: ClientResponse[],
   options: { events?: number; requests?: number } = {},
 ): void {
   for (const answer of asked) {
-    const { status, isWhole, body } = answer;
+    const { status, isComplete, body } = answer;
     const eventCount = body.split("\n\n").length - 1;
     const seen = {
       status,
-      isWhole,
+      isComplete,
       eventCount,
       entry: requestsOf(world.lines),
     };
@@ -186,16 +186,16 @@
  * @param worker The server.
  * @param forMs How long.
  */
-export function refuseFor(worker: StandinPlatformWorker, forMs: number): void {
+export function refuseFor(worker: StandinBackendServer, forMs: number): void {
   worker.faults.refuse = Infinity;
   setTimeout(() => worker.faults.refuse = 0, forMs);
 }
 
 /** Two engines, each with a running stream. */
 export interface StreamPerEngine {
-  engines: StandinPlatformWorker[];
+  engines: StandinBackendServer[];
   /** In the order of the engines. */
-  answers: Promise<Asked>[];
+  answers: Promise<ClientResponse>[];
 }
 
 /** Number of events of the streams of a {@link StreamPerEngine}. */
@@ -212,14 +212,14 @@
  */
 export async function startStreamPerEngine(
   world: World,
-  { route = "stream", headers = PROMPT }: {
+  { route = "stream", headers = MODEL_REQUEST_HEADERS }: {
     route?: string;
     headers?: Record<string, string>;
   } = {},
 ): Promise<StreamPerEngine> {
   const slow = { model: "m", events: LONG_EVENTS, eventMs: 25 };
-  const askAt = async (engine: StandinPlatformWorker, prompt: number) => {
-    const own = headersOf({ id: `long-${prompt}`, prompt });
+  const askAt = async (engine: StandinBackendServer, prompt: number) => {
+    const own = toRequestHeaders({ id: `long-${prompt}`, prompt });
     const answer = askUntilAccepted(world, `/${route}/${prompt}`, {
       headers: { ...headers, ...own },
     });
--- a/src/router/_paused_stream.ts
+++ b/src/router/_paused_stream.ts
@@ -2,11 +2,11 @@
 import assert from "node:assert/strict";
 import type { TestContext } from "node:test";
 import {
-  type Asked,
-  headersOf,
+  type ClientResponse,
   NO_FAULTS,
-  type StandinPlatformWorker,
-  type StandinPlatformWorkerFaults,
+  type StandinBackendServer,
+  type StandinBackendServerFaults,
+  toRequestHeaders,
 } from "../standin/mod.ts";
 import {
   askOtherRequest,
@@ -28,19 +28,19 @@
 export const EVERY_TIME = 99;
 
 /** Faults of an engine other than the pausing one. */
-export type OtherFaults = Partial<StandinPlatformWorkerFaults>;
+export type OtherFaults = Partial<StandinBackendServerFaults>;
 
 /** A stream in flight whose engine pauses. */
 export interface Paused {
   world: LongTimeoutSetup;
-  pausing: StandinPlatformWorker;
-  others: StandinPlatformWorker[];
-  answer: Promise<Asked>;
+  pausing: StandinBackendServer;
+  others: StandinBackendServer[];
+  answer: Promise<ClientResponse>;
 }
 
 /** Options of a {@link Paused} stream. */
 export interface PausedOptions extends LongTimeoutSetupOptions {
-  stall?: StandinPlatformWorkerFaults["stall"];
+  stall?: StandinBackendServerFaults["stall"];
   path?: string;
   timeMs?: number;
 }
@@ -67,13 +67,13 @@
     { afterEvent: 2, pauseMs: PAUSE_MS };
   const headers = {
     ...LONG_TIMEOUT_HEADERS,
-    ...headersOf({ timeMs: options.timeMs }),
+    ...toRequestHeaders({ timeMs: options.timeMs }),
   };
   const answer = askUntilAccepted(world, options.path ?? "/stream/a", {
     headers,
   });
   await until(() => pausing.runs.length > 0);
-  const made: StandinPlatformWorker[] = [];
+  const made: StandinBackendServer[] = [];
   for (const [i, faults] of others.entries()) {
     const own = { ...NO_FAULTS, ...faults };
     made.push(await world.worker(`i-${i + 2}`, { model: "m", faults: own }));
--- a/src/router/_world.ts
+++ b/src/router/_world.ts
@@ -6,10 +6,10 @@
 import { type Clock, type Logger, systemClock } from "../base/mod.ts";
 import {
   CONFIG,
-  readiness,
+  fetchReadinessStatus,
+  StandinBackendServer,
+  type StandinBackendServerOptions,
   StandinPlatformStore,
-  StandinPlatformWorker,
-  type StandinPlatformWorkerOptions,
   TcpRelay,
 } from "../standin/mod.ts";
 import { silentLog } from "./_kit.ts";
@@ -39,14 +39,14 @@
   store: StandinPlatformStore;
   entries: TestEntry[];
   /** Backend servers in order of creation. */
-  workers: StandinPlatformWorker[];
+  workers: StandinBackendServer[];
   /** Starts a backend server and waits until the first entry has discovered it. */
   worker(
     id: string,
-    options?: Partial<StandinPlatformWorkerOptions>,
-  ): Promise<StandinPlatformWorker>;
+    options?: Partial<StandinBackendServerOptions>,
+  ): Promise<StandinBackendServer>;
   /** Like {@link World.worker}, for an engine that serves model `m`. */
-  engine(id: string): Promise<StandinPlatformWorker>;
+  engine(id: string): Promise<StandinBackendServer>;
   /** Starts a new router with the settings of a stopped entry. */
   restart(entry: TestEntry): Promise<TestEntry>;
 }
@@ -92,9 +92,11 @@
   options: WorldOptions = {},
 ): Promise<World> {
   const world = await openBareWorld(t, options);
-  await world.store.configure(CONFIG);
+  await world.store.putConfig(CONFIG);
   for (const { ipAddress, readinessPort } of world.entries) {
-    await until(async () => await readiness(readinessPort, ipAddress) === 200);
+    await until(async () =>
+      await fetchReadinessStatus(readinessPort, ipAddress) === 200
+    );
   }
   return world;
 }
@@ -117,7 +119,7 @@
   const store = await StandinPlatformStore.create();
   const entries: TestEntry[] = [];
   const links: TcpRelay[] = [];
-  const workers: StandinPlatformWorker[] = [];
+  const workers: StandinBackendServer[] = [];
   // Registered before anything else can fail, since open sockets keep the test process alive.
   t.after(async () => {
     for (const { router } of entries) await router.stop();
@@ -185,7 +187,7 @@
   const [first] = entries;
   assert.ok(first);
   const worker: World["worker"] = async (id, options = {}) => {
-    const made = await StandinPlatformWorker.create({ id, ...options });
+    const made = await StandinBackendServer.create({ id, ...options });
     workers.push(made);
     const service = options.model ? "engines" : "plain";
     await store.put(`servers/${id}`, made.entry(service));
@@ -220,7 +222,7 @@
   world: World,
   config: typeof CONFIG,
 ): Promise<void> {
-  await world.store.configure(config);
+  await world.store.putConfig(config);
   await until(() => stateContains(world, `"configVersion":${config.version}`));
 }
 
--- a/src/router/broken_answer_test.ts
+++ b/src/router/broken_answer_test.ts
@@ -3,11 +3,11 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { test, type TestContext } from "node:test";
 import {
-  ask,
-  type Asked,
+  type ClientResponse,
+  completeStreamBody,
   NO_FAULTS,
-  type StandinPlatformWorker,
-  streamOf,
+  sendClientRequest,
+  type StandinBackendServer,
 } from "../standin/mod.ts";
 import {
   askOtherRequest,
@@ -40,8 +40,8 @@
 
 interface Open {
   world: LongTimeoutSetup;
-  engine: StandinPlatformWorker;
-  answer: Promise<Asked>;
+  engine: StandinBackendServer;
+  answer: Promise<ClientResponse>;
   /** Once opened, the engine breaks the stream off after two events. */
   gate: Gate;
 }
@@ -100,7 +100,7 @@
     await until(() => takers.every((entry) => stateContains(entry, "i-1")));
     const busy = askAt(BUSY_COUNT, 100);
     await until(() => left.runs.length === BUSY_COUNT);
-    const ending: StandinPlatformWorker[] = [];
+    const ending: StandinBackendServer[] = [];
     for (const id of ["i-2", "i-3", "i-4", "i-5"]) {
       ending.push(await world.worker(id, slow));
       await until(() => takers.every((entry) => stateContains(entry, id)));
@@ -122,7 +122,7 @@
   const other = await world.engine("i-2");
   other.faults.pauseS = UNAVAILABLE_MS / 1000;
   gate.open();
-  await until(() => other.turnedAway > 0);
+  await until(() => other.pauseRejections > 0);
   await sleep(UNAVAILABLE_MS);
   other.faults.pauseS = undefined;
   assertAllComplete(world, [await answer]);
@@ -162,7 +162,10 @@
   engine.faults.refuse = Infinity;
   for (const i of [1, 2, 3]) {
     const headers = { ...LONG_TIMEOUT_HEADERS, "attempt-id": `refused-${i}` };
-    assert.equal((await ask(world, "/stream/b", headers)).status, 503);
+    assert.equal(
+      (await sendClientRequest(world, "/stream/b", headers)).status,
+      503,
+    );
   }
   engine.faults.refuse = 0;
   await world.engine("i-2");
@@ -201,9 +204,9 @@
     const { world, answer, gate } = opened;
     await world.engine("i-2");
     gate.open();
-    const { isWhole, body } = await answer;
-    assert.ok(!isWhole);
-    assert.equal(body, streamOf(2));
+    const { isComplete, body } = await answer;
+    assert.ok(!isComplete);
+    assert.equal(body, completeStreamBody(2));
     assert.equal(runsOf(world), 1);
     await world.router.stop();
   }
@@ -268,7 +271,7 @@
   const world = await openLongTimeoutSetup(t, { maxAttempts: 3 });
   const hangs = { ...NO_FAULTS, hang: 1 };
   const first = await world.worker("i-1", { model: "m", faults: hangs });
-  const answer = ask(world, "/stream/a", LONG_TIMEOUT_HEADERS);
+  const answer = sendClientRequest(world, "/stream/a", LONG_TIMEOUT_HEADERS);
   await until(() => first.runs.length > 0);
   const refuses = { ...NO_FAULTS, refuse: 3 };
   const other = await world.worker("i-2", { model: "m", faults: refuses });
@@ -285,6 +288,6 @@
     const faults = { ...NO_FAULTS, cutAfterEvents: 1 };
     await world.worker(id, { model: "m", faults });
   }
-  assert.ok(!(await askUntilAccepted(world, "/stream/a")).isWhole);
+  assert.ok(!(await askUntilAccepted(world, "/stream/a")).isComplete);
   assert.equal(runsOf(world), 2);
 });
--- a/src/router/dead_server_gossip_test.ts
+++ b/src/router/dead_server_gossip_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { ask, StandinPlatformWorker } from "../standin/mod.ts";
+import { sendClientRequest, StandinBackendServer } from "../standin/mod.ts";
 import { openWorld, stateContains, until } from "./_world.ts";
 
 /*
@@ -12,14 +12,14 @@
 test("server whose address belongs to another one is dropped by all entries", async (t) => {
   const world = await openWorld(t, { entryCount: 2 });
   const [near, far] = world.entries;
-  const other = await StandinPlatformWorker.create({ id: "i-2" });
+  const other = await StandinBackendServer.create({ id: "i-2" });
   t.after(() => other.close());
   await world.store.put("servers/i-1", other.entry("plain"));
   await until(() =>
     world.entries.every((entry) => stateContains(entry, '"i-1"'))
   );
   await until(() => stateContains(near!, '"entries":2'));
-  assert.equal((await ask(near!, "/look/a")).status, 503);
+  assert.equal((await sendClientRequest(near!, "/look/a")).status, 503);
   await until(() => !stateContains(far!, '"i-1"'));
   assert.equal(other.runs.length, 0);
 });
@@ -33,6 +33,6 @@
   );
   await until(() => stateContains(near!, '"entries":2'));
   await dead.down();
-  assert.equal((await ask(near!, "/look/a")).status, 503);
+  assert.equal((await sendClientRequest(near!, "/look/a")).status, 503);
   await until(() => stateContains(far!, '"isDown":true'));
 });
--- a/src/router/fuzz_test.ts
+++ b/src/router/fuzz_test.ts
@@ -3,13 +3,13 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { seededRandom } from "../base/random.ts";
 import {
-  ask,
-  type Asked,
+  type ClientResponse,
+  completeStreamBody,
   CONFIG,
-  PLAIN_BODY,
-  PROMPT,
-  StandinPlatformWorker,
-  streamOf,
+  MODEL_REQUEST_HEADERS,
+  PLAIN_ANSWER_BODY,
+  sendClientRequest,
+  StandinBackendServer,
 } from "../standin/mod.ts";
 import { openWorld, until, type World } from "./_world.ts";
 
@@ -42,19 +42,19 @@
 interface Sent {
   id: string;
   path: typeof PATHS[number];
-  answer: Promise<Asked | undefined>;
+  answer: Promise<ClientResponse | undefined>;
 }
 
 /** A world and its backend servers. */
 interface Setup {
   world: World;
-  workers: StandinPlatformWorker[];
+  workers: StandinBackendServer[];
 }
 
 /** Applies random steps to a world: requests, faults, new weights and configurations, lost links. */
 class Fuzz {
   readonly #world: World;
-  readonly #workers: StandinPlatformWorker[];
+  readonly #workers: StandinBackendServer[];
   readonly #random: () => number;
   readonly sent: Sent[] = [];
   #configVersion = 1;
@@ -91,7 +91,7 @@
     }
     if (roll < 0.95) {
       const version = ++this.#configVersion;
-      return await store.configure({ ...CONFIG, version });
+      return await store.putConfig({ ...CONFIG, version });
     }
     const { link } = this.#pick(entries);
     if (this.#random() < 0.5) link.down();
@@ -115,7 +115,7 @@
     if (isHeardOf) await this.#register(worker);
   }
 
-  #register(worker: StandinPlatformWorker): Promise<void> {
+  #register(worker: StandinBackendServer): Promise<void> {
     const entry = worker.entry(worker.model ? "engines" : "plain");
     return this.#world.store.put(`servers/${worker.id}`, entry);
   }
@@ -124,12 +124,18 @@
     const path = this.#pick(PATHS);
     const id = `r${this.sent.length}`;
     const part = Math.floor(this.#random() * 3);
-    const answer = ask(this.#pick(this.#world.entries), `${path}${id}`, {
-      ...(path === "/stream/" || path === "/once/" ? PROMPT : {}),
-      "prompt-prefix": `a${part}:1000,${id}:200`,
-      "attempt-id": id,
-      "deadline-ms": "1500",
-    }).catch(() => undefined);
+    const answer = sendClientRequest(
+      this.#pick(this.#world.entries),
+      `${path}${id}`,
+      {
+        ...(path === "/stream/" || path === "/once/"
+          ? MODEL_REQUEST_HEADERS
+          : {}),
+        "prompt-prefix": `a${part}:1000,${id}:200`,
+        "attempt-id": id,
+        "deadline-ms": "1500",
+      },
+    ).catch(() => undefined);
     this.sent.push({ id, path, answer });
   }
 
@@ -150,8 +156,8 @@
 /** Checks one answer against the runs that the servers recorded. */
 function checkAnswer(
   { id, path }: Sent,
-  asked: Asked | undefined,
-  workers: StandinPlatformWorker[],
+  asked: ClientResponse | undefined,
+  workers: StandinBackendServer[],
 ): void {
   const runs = workers.flatMap(({ runs }) => runs).filter((run) =>
     run.headers["attempt-id"] === id
@@ -171,16 +177,16 @@
   assert.ok(asked.headers["server-seal"], `${id} is not signed`);
   assert.equal(asked.headers["attempt-id"], id);
   if (path === "/book/" || path === "/look/") {
-    assert.equal(asked.body, PLAIN_BODY);
-    assert.ok(asked.isWhole);
+    assert.equal(asked.body, PLAIN_ANSWER_BODY);
+    assert.ok(asked.isComplete);
     return;
   }
-  if (asked.isWhole) assert.equal(asked.body, streamOf(EVENTS));
-  else assert.ok(streamOf(EVENTS).startsWith(asked.body));
+  if (asked.isComplete) assert.equal(asked.body, completeStreamBody(EVENTS));
+  else assert.ok(completeStreamBody(EVENTS).startsWith(asked.body));
 }
 
 /** Checks that fencing tokens never decrease at a server, and that each has a single holder. */
-function checkOrders(workers: StandinPlatformWorker[]): void {
+function checkOrders(workers: StandinBackendServer[]): void {
   const holders = new Map<number, string>();
   for (const { orders } of workers) {
     let highest = 0;
@@ -219,7 +225,9 @@
   checkOrders(workers);
   // After the faults are cleared, every entry serves again.
   for (const entry of world.entries) {
-    await until(async () => (await ask(entry, "/look/end")).status === 200);
+    await until(async () =>
+      (await sendClientRequest(entry, "/look/end")).status === 200
+    );
   }
 }
 
--- a/src/router/intake_test.ts
+++ b/src/router/intake_test.ts
@@ -1,7 +1,12 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { setImmediate as nextTurn } from "node:timers/promises";
-import { askAndLeave, HOST, keepBusy, KEY } from "../standin/mod.ts";
+import {
+  blockEventLoop,
+  HOST,
+  KEY,
+  sendAndDisconnect,
+} from "../standin/mod.ts";
 import { TestClock } from "./_kit.ts";
 import { openWorld } from "./_world.ts";
 import { Intake } from "./intake.ts";
@@ -77,7 +82,7 @@
 test("request whose client left before it was accepted reaches no server", async (t) => {
   const world = await openWorld(t);
   const server = await world.worker("i-1");
-  t.after(keepBusy(TURN_MS));
+  t.after(blockEventLoop(TURN_MS));
   const request = [
     "GET /book/a HTTP/1.1",
     `Host: ${HOST}`,
@@ -88,7 +93,12 @@
     "",
   ].join("\r\n");
   const { ipAddress, clientPort } = world;
-  await askAndLeave({ ipAddress, port: clientPort, count: CLIENTS, request });
+  await sendAndDisconnect({
+    ipAddress,
+    port: clientPort,
+    count: CLIENTS,
+    request,
+  });
   const runsWhenLeft = server.runs.length;
   // Each turn accepts one connection; the other turns read the sockets and notice disconnects.
   for (let turn = 0; turn < 3 * CLIENTS; turn++) await nextTurn();
--- a/src/router/invalid_responses_test.ts
+++ b/src/router/invalid_responses_test.ts
@@ -4,7 +4,11 @@
 import process from "node:process";
 import { test, type TestContext } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
-import { ask, type Asked, PROMPT } from "../standin/mod.ts";
+import {
+  type ClientResponse,
+  MODEL_REQUEST_HEADERS,
+  sendClientRequest,
+} from "../standin/mod.ts";
 import { openWorld, stateContains, until, type World } from "./_world.ts";
 
 /** Writes raw bytes as the response to the nth request; may close the connection itself. */
@@ -79,9 +83,9 @@
   world: World,
   path: string,
   headers: Record<string, string> = {},
-): Promise<Asked> {
+): Promise<ClientResponse> {
   while (true) {
-    const asked = await ask(world, path, headers);
+    const asked = await sendClientRequest(world, path, headers);
     const isRejected = asked.status === 503 &&
       asked.headers["attempt-id"] === undefined;
     if (!isRejected) return asked;
@@ -288,13 +292,13 @@
     const world = await openWorld(t);
     const asked = await serveBroken(t, world, resumed);
     const read = await Promise.race([
-      askUntilAccepted(world, "/stream/a", PROMPT),
+      askUntilAccepted(world, "/stream/a", MODEL_REQUEST_HEADERS),
       sleep(3000),
     ]);
     assert.deepEqual(rejections, []);
     assert.ok(read, "the stream did not end in time");
     assert.equal(asked.count, 2);
-    assert.equal(read.isWhole, false);
+    assert.equal(read.isComplete, false);
     assert.equal(read.body, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
   });
 }
@@ -308,8 +312,12 @@
     (id) =>
       `${SEALED_HEAD}attempt-id: ${id}\r\ncontent-length: ${events.length}\r\n\r\n${events}`,
   );
-  const read = await askUntilAccepted(world, "/stream/a", PROMPT);
-  assert.equal(read.isWhole, false);
+  const read = await askUntilAccepted(
+    world,
+    "/stream/a",
+    MODEL_REQUEST_HEADERS,
+  );
+  assert.equal(read.isComplete, false);
   assert.equal(read.body, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
 });
 
@@ -325,6 +333,10 @@
         events.length.toString(16)
       }\r\n${events}\r\n`,
   );
-  const read = await askUntilAccepted(world, "/stream/a", PROMPT);
-  assert.equal(read.isWhole, false);
+  const read = await askUntilAccepted(
+    world,
+    "/stream/a",
+    MODEL_REQUEST_HEADERS,
+  );
+  assert.equal(read.isComplete, false);
 });
--- a/src/router/leaving_test.ts
+++ b/src/router/leaving_test.ts
@@ -1,7 +1,10 @@
 import assert from "node:assert/strict";
 import { test, type TestContext } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
-import { ask, type StandinPlatformWorker } from "../standin/mod.ts";
+import {
+  sendClientRequest,
+  type StandinBackendServer,
+} from "../standin/mod.ts";
 import {
   openWorld,
   stateContains,
@@ -26,7 +29,7 @@
 async function openLeaving(
   t: TestContext,
   entryCount: number,
-): Promise<{ world: World; leaving: StandinPlatformWorker }> {
+): Promise<{ world: World; leaving: StandinBackendServer }> {
   const world = await openWorld(t, { entryCount });
   const leaving = await world.worker("i-1");
   await until(() =>
@@ -38,7 +41,7 @@
     )
   );
   leaving.faults.leaving = true;
-  assert.equal((await ask(world, "/book/a")).status, 200);
+  assert.equal((await sendClientRequest(world, "/book/a")).status, 200);
   await world.worker("i-2");
   await until(() =>
     world.entries.every((entry) => stateContains(entry, '"i-2"'))
@@ -49,7 +52,7 @@
 
 async function askRepeatedly(entry: TestEntry): Promise<void> {
   for (let i = 0; i < ASK_COUNT; i++) {
-    assert.equal((await ask(entry, "/book/a")).status, 200);
+    assert.equal((await sendClientRequest(entry, "/book/a")).status, 200);
   }
 }
 
@@ -91,19 +94,19 @@
   const world = await openWorld(t);
   const pausing = await world.worker("i-1");
   pausing.faults.pauseS = 60;
-  await ask(world, "/book/a");
-  pausing.turnedAway = 0;
+  await sendClientRequest(world, "/book/a");
+  pausing.pauseRejections = 0;
   await sleep(GOSSIP_MS * 2);
-  for (let i = 0; i < ASK_COUNT; i++) await ask(world, "/book/a");
-  assert.ok(pausing.turnedAway <= MAX_DURING_PAUSE);
+  for (let i = 0; i < ASK_COUNT; i++) await sendClientRequest(world, "/book/a");
+  assert.ok(pausing.pauseRejections <= MAX_DURING_PAUSE);
 });
 
 test("caller gets a time to retry at which a server accepts requests again", async (t) => {
   const world = await openWorld(t);
   const pausing = await world.worker("i-1");
   pausing.faults.pauseS = 60;
-  await ask(world, "/book/a");
-  const { status, headers } = await ask(world, "/book/a", {
+  await sendClientRequest(world, "/book/a");
+  const { status, headers } = await sendClientRequest(world, "/book/a", {
     "deadline-ms": "600000",
   });
   assert.equal(status, 503);
--- a/src/router/loop_lag_test.ts
+++ b/src/router/loop_lag_test.ts
@@ -2,7 +2,7 @@
 import { once } from "node:events";
 import { connect } from "node:net";
 import { test } from "node:test";
-import { ask, HOST, KEY } from "../standin/mod.ts";
+import { HOST, KEY, sendClientRequest } from "../standin/mod.ts";
 import { openWorld, until } from "./_world.ts";
 
 /** Longer than an event-loop turn of a process without backlog. */
@@ -26,7 +26,10 @@
 test("entry with a large event-loop lag refuses requests without running them", async (t) => {
   const world = await openWorld(t);
   const worker = await world.worker("i-1");
-  const asked = Array.from({ length: 40 }, () => ask(world, "/book/a"));
+  const asked = Array.from(
+    { length: 40 },
+    () => sendClientRequest(world, "/book/a"),
+  );
   setImmediate(() => blockEventLoop(BLOCK_MS * 2));
   const answers = await Promise.all(asked);
   const refused = answers.filter(({ status }) => status === 503);
@@ -39,7 +42,10 @@
   const world = await openWorld(t);
   const worker = await world.worker("i-1");
   // Leaves open connections to the server, over which a request would be sent at once.
-  const asked = Array.from({ length: CLIENTS }, () => ask(world, "/book/a"));
+  const asked = Array.from(
+    { length: CLIENTS },
+    () => sendClientRequest(world, "/book/a"),
+  );
   await Promise.all(asked);
   const { length } = worker.runs;
   const sockets = Array.from(
@@ -57,6 +63,8 @@
     sockets.map((socket) => socket.closed || once(socket, "close")),
   );
   // The entry may refuse the first requests while its lag is still high.
-  await until(async () => (await ask(world, "/open/a")).status === 200);
+  await until(async () =>
+    (await sendClientRequest(world, "/open/a")).status === 200
+  );
   assert.equal(worker.runs.length, length + 1);
 });
--- a/src/router/malformed_test.ts
+++ b/src/router/malformed_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { ask, CONFIG } from "../standin/mod.ts";
+import { CONFIG, sendClientRequest } from "../standin/mod.ts";
 import { openBareWorld, openWorld, stateContains, until } from "./_world.ts";
 import { LAST_ROLL_KEY, ROLL_LEASE_KEY } from "./roll_lease.ts";
 
@@ -14,11 +14,11 @@
   const [, other] = world.entries;
   const spoilt = { value: 7 };
   for (const key of ["servers/i-x", "elsewhere"]) {
-    world.store.spoilt.set(key, spoilt);
+    world.store.fieldOverrides.set(key, spoilt);
     await world.store.put(key, {});
   }
   await world.worker("i-1");
-  assert.equal((await ask(world, "/book/a")).status, 200);
+  assert.equal((await sendClientRequest(world, "/book/a")).status, 200);
   await other!.router.stop();
   const again = await world.restart(other!);
   await until(() => stateContains(again, "i-1"));
@@ -29,15 +29,15 @@
   const world = await openWorld(t);
   const workers = [await world.worker("i-1"), await world.worker("i-2")];
   const [first, second] = workers;
-  world.store.spoilt.set("servers/i-1", { value: "%%%%" });
+  world.store.fieldOverrides.set("servers/i-1", { value: "%%%%" });
   await world.store.put("servers/i-1", first!.entry("plain"));
   await until(() => !stateContains(world, "i-1"));
   for (let i = 0; i < 4; i++) {
-    assert.equal((await ask(world, "/book/a")).status, 200);
+    assert.equal((await sendClientRequest(world, "/book/a")).status, 200);
   }
   assert.equal(first!.runs.length, 0);
   assert.equal(second!.runs.length, 4);
-  world.store.spoilt.clear();
+  world.store.fieldOverrides.clear();
   await world.store.put("servers/i-1", first!.entry("plain"));
   await until(() => stateContains(world, "i-1"));
 });
@@ -51,7 +51,7 @@
   for (const key of [ROLL_LEASE_KEY, LAST_ROLL_KEY]) {
     await world.store.put(`${key}.other`, {});
   }
-  await world.store.configure(CONFIG);
+  await world.store.putConfig(CONFIG);
   const worker = await world.engine("i-1");
   await world.store.put("op/version/m", { model: "m", version: 2 });
   await until(() => worker.version === 2);
--- a/src/router/moved_runs_test.ts
+++ b/src/router/moved_runs_test.ts
@@ -1,7 +1,7 @@
 /** Streams that are moved while the weights of their engines change. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { type Asked, streamOf } from "../standin/mod.ts";
+import { type ClientResponse, completeStreamBody } from "../standin/mod.ts";
 import { LONG_EVENTS, startStreamPerEngine } from "./_long_timeout_kit.ts";
 import { openWorld, until, type World } from "./_world.ts";
 
@@ -12,9 +12,9 @@
     for (const { faults } of engines) faults.moveFull = moveFull;
     await world.store.put("op/version/m", { model: "m", version: 2 });
     for (const answer of answers) {
-      const { isWhole, body } = await answer;
-      assert.equal(body, streamOf(LONG_EVENTS));
-      assert.ok(isWhole);
+      const { isComplete, body } = await answer;
+      assert.equal(body, completeStreamBody(LONG_EVENTS));
+      assert.ok(isComplete);
     }
     const runs = engines.flatMap(({ runs }) => runs);
     const resumed = runs.filter((run) => run.headers["last-event-id"]);
@@ -32,20 +32,20 @@
   // With this many entries, the initial share of each is one resend.
   const world = await openWorld(t, { entryCount: 16 });
   const answers = await answersOfMovedRuns(world);
-  for (const { isWhole, body } of answers) {
-    assert.ok(isWhole);
-    assert.equal(body, streamOf(LONG_EVENTS));
+  for (const { isComplete, body } of answers) {
+    assert.ok(isComplete);
+    assert.equal(body, completeStreamBody(LONG_EVENTS));
   }
 });
 
 test("copy that the target engine refuses is freed, and the run is resumed", async (t) => {
   const world = await openWorld(t);
   const answers = await answersOfMovedRuns(world);
-  for (const { isWhole, body } of answers) {
-    assert.ok(isWhole);
-    assert.equal(body, streamOf(LONG_EVENTS));
+  for (const { isComplete, body } of answers) {
+    assert.ok(isComplete);
+    assert.equal(body, completeStreamBody(LONG_EVENTS));
   }
-  const freed = world.workers.flatMap(({ freedCopies }) => freedCopies);
+  const freed = world.workers.flatMap(({ freedCopyIds }) => freedCopyIds);
   assert.equal(freed.length, 1);
 });
 
@@ -56,13 +56,13 @@
   });
   await world.store.put("op/version/m", { model: "m", version: 2 });
   for (const answer of answers) {
-    assert.equal((await answer).body, streamOf(LONG_EVENTS));
+    assert.equal((await answer).body, completeStreamBody(LONG_EVENTS));
   }
   assert.equal(engines.flatMap(({ runs }) => runs).length, 2);
 });
 
 /** Runs two streams while their weights change; each engine refuses its next run. */
-async function answersOfMovedRuns(world: World): Promise<Asked[]> {
+async function answersOfMovedRuns(world: World): Promise<ClientResponse[]> {
   const { engines, answers } = await startStreamPerEngine(world);
   for (const { faults } of engines) faults.refuse = 1;
   await world.store.put("op/version/m", { model: "m", version: 2 });
--- a/src/router/multiple_entries_test.ts
+++ b/src/router/multiple_entries_test.ts
@@ -1,7 +1,14 @@
 import assert from "node:assert/strict";
 import { connect, type Socket } from "node:net";
 import { test } from "node:test";
-import { ask, CONFIG, HOST, KEY, PROMPT, streamOf } from "../standin/mod.ts";
+import {
+  completeStreamBody,
+  CONFIG,
+  HOST,
+  KEY,
+  MODEL_REQUEST_HEADERS,
+  sendClientRequest,
+} from "../standin/mod.ts";
 import { openWorld, stateContains, type TestEntry, until } from "./_world.ts";
 
 const OTHER_KEY = { authorization: "Bearer other" };
@@ -12,14 +19,14 @@
   const worker = await world.worker("i-1");
   await until(() => stateContains(far!, "i-1"));
   far!.link.down();
-  await world.store.configure({ ...CONFIG, version: 2 });
+  await world.store.putConfig({ ...CONFIG, version: 2 });
   await until(() => stateContains(far!, '"configVersion":2'));
   await world.worker("i-2");
   await until(() => stateContains(far!, "i-2"));
   await world.store.delete("servers/i-1");
   await until(() => !stateContains(far!, "i-1"));
   worker.runs.length = 0;
-  assert.equal((await ask(far!, "/book/a")).status, 200);
+  assert.equal((await sendClientRequest(far!, "/book/a")).status, 200);
   assert.equal(worker.runs.length, 0);
 });
 
@@ -31,7 +38,7 @@
   // Wait until the peer has had store contact long enough to vouch for the store's state.
   for (const version of [2, 3, 4]) {
     for (const { clock } of world.entries) clock.aheadMs += 1000;
-    await world.store.configure({ ...CONFIG, version });
+    await world.store.putConfig({ ...CONFIG, version });
     await until(() =>
       world.entries.every((entry) =>
         stateContains(entry, `"configVersion":${version}`)
@@ -43,7 +50,7 @@
   await world.store.delete("servers/i-1");
   await until(() => !stateContains(away!, "i-1"));
   assert.ok(stateContains(away!, '"storeConnected":false'));
-  assert.equal((await ask(away!, "/book/a")).status, 503);
+  assert.equal((await sendClientRequest(away!, "/book/a")).status, 503);
   assert.equal(leaving.runs.length, 0);
 });
 
@@ -55,23 +62,29 @@
   await second!.router.stop();
   const again = await world.restart(second!);
   await until(() => stateContains(again, "i-1"));
-  assert.equal((await ask(again, "/book/a")).status, 200);
-  assert.equal((await ask(again, "/book/a", OTHER_KEY)).status, 401);
+  assert.equal((await sendClientRequest(again, "/book/a")).status, 200);
+  assert.equal(
+    (await sendClientRequest(again, "/book/a", OTHER_KEY)).status,
+    401,
+  );
 });
 
 test("entry without store contact refuses unknown keys as unavailable", async (t) => {
   const world = await openWorld(t);
   await world.worker("i-1");
-  assert.equal((await ask(world, "/book/a", OTHER_KEY)).status, 401);
-  assert.equal((await ask(world, "/none/a")).status, 404);
+  assert.equal(
+    (await sendClientRequest(world, "/book/a", OTHER_KEY)).status,
+    401,
+  );
+  assert.equal((await sendClientRequest(world, "/none/a")).status, 404);
   world.link.down();
   world.entries[0]!.clock.aheadMs = 5000;
   for (const path of ["/book/a", "/none/a"]) {
-    const asked = await ask(world, path, OTHER_KEY);
+    const asked = await sendClientRequest(world, path, OTHER_KEY);
     assert.equal(asked.status, 503);
     assert.ok(Number(asked.headers["retry-after"]) > 0);
   }
-  assert.equal((await ask(world, "/book/a")).status, 200);
+  assert.equal((await sendClientRequest(world, "/book/a")).status, 200);
 });
 
 test("lease holder without store contact is succeeded under a higher fencing number", async (t) => {
@@ -130,7 +143,9 @@
   for (const worker of workers) worker.faults.loseAnswer = 1000;
   const rounds = 20;
   for (let i = 0; i < rounds; i++) {
-    await Promise.all(world.entries.map((entry) => ask(entry, "/look/a")));
+    await Promise.all(
+      world.entries.map((entry) => sendClientRequest(entry, "/look/a")),
+    );
   }
   const requests = rounds * world.entries.length;
   const arrivals = workers.flatMap(({ runs }) => runs).length;
@@ -164,7 +179,9 @@
       await meet(entries);
     }
     for (let i = 0; i < rounds; i++) {
-      await Promise.all(entries.map((entry) => ask(entry, "/look/a")));
+      await Promise.all(
+        entries.map((entry) => sendClientRequest(entry, "/look/a")),
+      );
     }
   }
   const requests = 2 * rounds * entries.length;
@@ -180,7 +197,7 @@
     eventMs: 20,
   });
   await world.worker("i-2");
-  const stream = ask(world, "/stream/a", PROMPT);
+  const stream = sendClientRequest(world, "/stream/a", MODEL_REQUEST_HEADERS);
   await until(() => slow.runs.length === 1);
   const silent = await ClientConnection.open(world);
   const kept = await ClientConnection.open(world);
@@ -192,8 +209,8 @@
   assert.match(kept.text, /connection: close/i);
   await Promise.all([kept.closed, silent.closed]);
   const asked = await stream;
-  assert.ok(asked.isWhole);
-  assert.equal(asked.body, streamOf(40));
+  assert.ok(asked.isComplete);
+  assert.equal(asked.body, completeStreamBody(40));
   await stopped;
 });
 
--- a/src/router/open_answer_test.ts
+++ b/src/router/open_answer_test.ts
@@ -4,7 +4,11 @@
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { ask, headersOf, NO_FAULTS } from "../standin/mod.ts";
+import {
+  NO_FAULTS,
+  sendClientRequest,
+  toRequestHeaders,
+} from "../standin/mod.ts";
 import {
   askOtherRequest,
   askUntilAccepted,
@@ -80,7 +84,7 @@
   for (const afterEvent of [0, 2]) {
     const { world, answer } = await pausedStream(
       t,
-      [{ stall: { afterEvent, pauseMs: GONE_MS, isBehindHead: true } }],
+      [{ stall: { afterEvent, pauseMs: GONE_MS, isAfterHeaders: true } }],
       {
         stall: { afterEvent, pauseMs: PAUSE_MS },
         timeMs: 9000,
@@ -105,7 +109,10 @@
   const before = askOtherRequest(world, 1);
   await until(() => first.runs.length === 1);
   faults.hang = 1;
-  const headers = { ...LONG_TIMEOUT_HEADERS, ...headersOf({ timeMs: 9000 }) };
+  const headers = {
+    ...LONG_TIMEOUT_HEADERS,
+    ...toRequestHeaders({ timeMs: 9000 }),
+  };
   const answer = askUntilAccepted(world, "/stream/a", { headers });
   await until(() => first.runs.length === 2);
   gate.open();
@@ -133,7 +140,7 @@
     const stall = { afterEvent, pauseMs: 0, opened: gate.opened };
     const { world, pausing, others, answer } = await pausedStream(
       t,
-      [{ stall: { ...stall, isBehindHead: true } }],
+      [{ stall: { ...stall, isAfterHeaders: true } }],
       { stall },
     );
     await until(() => others[0]!.runs.length > 0);
@@ -169,7 +176,7 @@
     const faults = { ...NO_FAULTS, refuse: Infinity };
     await world.worker(id, { model: "m", faults });
   }
-  const { status, headers } = await ask(
+  const { status, headers } = await sendClientRequest(
     world,
     "/stream/a",
     LONG_TIMEOUT_HEADERS,
--- a/src/router/open_call_test.ts
+++ b/src/router/open_call_test.ts
@@ -3,8 +3,8 @@
 import { test, type TestContext } from "node:test";
 import {
   NO_FAULTS,
-  PLAIN_BODY,
-  type StandinPlatformWorkerFaults,
+  PLAIN_ANSWER_BODY,
+  type StandinBackendServerFaults,
 } from "../standin/mod.ts";
 import { recordedLog } from "./_kit.ts";
 import { askUntilAccepted, requestsOf, runsOf } from "./_long_timeout_kit.ts";
@@ -18,7 +18,7 @@
 const EVERY_TIME = 99;
 const ASKED = { "deadline-ms": "4500" };
 
-type Faults = Partial<StandinPlatformWorkerFaults>;
+type Faults = Partial<StandinBackendServerFaults>;
 
 /**
  * Sends a call that reaches the first server before the others join, and asserts that the client gets
@@ -43,7 +43,7 @@
   const { status, body } = await answer;
   const seen = JSON.stringify({ status, entry: requestsOf(lines) });
   assert.equal(status, 200, seen);
-  assert.equal(body, PLAIN_BODY, seen);
+  assert.equal(body, PLAIN_ANSWER_BODY, seen);
   await world.router.stop();
   return runsOf(world);
 }
--- a/src/router/outage_test.ts
+++ b/src/router/outage_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test, type TestContext } from "node:test";
-import { ask, CONFIG } from "../standin/mod.ts";
+import { CONFIG, sendClientRequest } from "../standin/mod.ts";
 import {
   openWorld,
   stateContains,
@@ -70,7 +70,7 @@
   await world.store.delete("servers/i-1");
   // The configuration written after the deletion is applied, so the entry has received both.
   await useConfig(world, { ...CONFIG, version: 4 });
-  assert.equal((await ask(world, "/book/a")).status, 503);
+  assert.equal((await sendClientRequest(world, "/book/a")).status, 503);
   assert.equal(leaving.runs.length, 0);
 });
 
@@ -83,13 +83,13 @@
     await world.store.delete("servers/i-2");
   });
   await useConfig(world, { ...CONFIG, version: 4 });
-  assert.equal((await ask(world, "/book/a")).status, 200);
+  assert.equal((await sendClientRequest(world, "/book/a")).status, 200);
   await world.store.put("servers/i-1", returning.entry("plain"));
   await useConfig(world, { ...CONFIG, version: 5 });
   world.clock.aheadMs += OUTAGE_MS;
   await until(() => !stateContains(world, "i-2"));
   assert.ok(stateContains(world, "i-1"));
-  assert.equal((await ask(world, "/book/a")).status, 200);
+  assert.equal((await sendClientRequest(world, "/book/a")).status, 200);
 });
 
 test("entry that is still without the store keeps a server whose lapse a peer relays", async (t) => {
@@ -108,9 +108,9 @@
   let version = 1;
   await until(async () => {
     // Each change makes the peer report its revision.
-    await world.store.configure({ ...CONFIG, version: ++version });
+    await world.store.putConfig({ ...CONFIG, version: ++version });
     return !stateContains(far, '"configVersion":1,');
   });
   assert.ok(stateContains(far, '"storeConnected":false'));
-  assert.equal((await ask(far, "/book/a")).status, 200);
+  assert.equal((await sendClientRequest(far, "/book/a")).status, 200);
 });
--- a/src/router/peer_gossip_test.ts
+++ b/src/router/peer_gossip_test.ts
@@ -4,7 +4,7 @@
 import { test, type TestContext } from "node:test";
 import { setImmediate as nextTurn } from "node:timers/promises";
 import fc from "fast-check";
-import { ask, type Asked } from "../standin/mod.ts";
+import { type ClientResponse, sendClientRequest } from "../standin/mod.ts";
 import { openWorld, stateContains, until, type World } from "./_world.ts";
 import { silentLog, TestClock } from "./_kit.ts";
 import { gossipIntervalFor } from "./gossip_interval.ts";
@@ -107,9 +107,9 @@
  * Sends a request until it is not refused by the entry itself. An entry that lags behind the store
  * answers 503 without a server, and with a time to retry after.
  */
-async function askUntilAccepted(world: World): Promise<Asked> {
+async function askUntilAccepted(world: World): Promise<ClientResponse> {
   while (true) {
-    const answer = await ask(world, "/look/a");
+    const answer = await sendClientRequest(world, "/look/a");
     const isRefusedByEntry = answer.status === 503 &&
       answer.headers["attempt-id"] === undefined;
     if (!isRefusedByEntry) return answer;
@@ -242,12 +242,12 @@
   const world = await openWithRelayedDeletion(t, {
     storeServedMs: OUTAGE_MS + 1000,
   });
-  assert.equal((await ask(world, "/book/a")).status, 200);
+  assert.equal((await sendClientRequest(world, "/book/a")).status, 200);
 });
 
 test("deletion relayed by a peer with current store contact drops the server", async (t) => {
   const world = await openWithRelayedDeletion(t, { storeServedMs: 0 });
-  assert.equal((await ask(world, "/book/a")).status, 503);
+  assert.equal((await sendClientRequest(world, "/book/a")).status, 503);
 });
 
 /*
--- a/src/router/poison_request_test.ts
+++ b/src/router/poison_request_test.ts
@@ -1,7 +1,11 @@
 import assert from "node:assert/strict";
 import { test, type TestContext } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
-import { ask, NO_FAULTS, PROMPT } from "../standin/mod.ts";
+import {
+  MODEL_REQUEST_HEADERS,
+  NO_FAULTS,
+  sendClientRequest,
+} from "../standin/mod.ts";
 import {
   openWorld,
   stateContains,
@@ -52,8 +56,8 @@
   { path, times }: { path: string; times: number },
 ): Promise<void> {
   for (let i = 0; i < times; i++) {
-    await ask(entries[i % entries.length]!, path, {
-      ...PROMPT,
+    await sendClientRequest(entries[i % entries.length]!, path, {
+      ...MODEL_REQUEST_HEADERS,
       "attempt-id": `attempt-${i}`,
     });
     await sleep(GOSSIP_MS);
--- a/src/router/quarantine_test.ts
+++ b/src/router/quarantine_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
 import { Metrics } from "../base/mod.ts";
-import { ask, PROMPT } from "../standin/mod.ts";
+import { MODEL_REQUEST_HEADERS, sendClientRequest } from "../standin/mod.ts";
 import { recordedLog, silentLog, TestClock } from "./_kit.ts";
 import { openWorld, stateContains, until } from "./_world.ts";
 import { Quarantine } from "./quarantine.ts";
@@ -84,7 +84,7 @@
   }
   const statuses: number[] = [];
   for (let i = 0; i < 12; i++) {
-    statuses.push((await ask(world, "/book/a")).status);
+    statuses.push((await sendClientRequest(world, "/book/a")).status);
     await sleep(INVESTIGATION_MS / 4);
   }
   assert.equal(statuses.at(-1), 200);
@@ -99,7 +99,9 @@
       events: 1000,
       eventMs: 20,
     });
-    const asked = ask(world, "/once/long", { ...PROMPT });
+    const asked = sendClientRequest(world, "/once/long", {
+      ...MODEL_REQUEST_HEADERS,
+    });
     await until(() => worker.runs.length > 0);
     await world.store.put(`servers/i-${i}`, {
       ...worker.entry("engines"),
@@ -112,5 +114,9 @@
     await until(() => !stateContains(world, `"i-${i}"`));
   }
   await world.engine("i-5");
-  assert.equal((await ask(world, "/once/long", PROMPT)).status, 200);
+  assert.equal(
+    (await sendClientRequest(world, "/once/long", MODEL_REQUEST_HEADERS))
+      .status,
+    200,
+  );
 });
--- a/src/router/quotas_test.ts
+++ b/src/router/quotas_test.ts
@@ -1,6 +1,10 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { ask, CONFIG, PROMPT } from "../standin/mod.ts";
+import {
+  CONFIG,
+  MODEL_REQUEST_HEADERS,
+  sendClientRequest,
+} from "../standin/mod.ts";
 import {
   openWorld,
   stateContains,
@@ -33,8 +37,15 @@
   const world = await openWorld(t);
   const engine = await world.engine("i-1");
   await useConfig(world, limited(2, 100));
-  assert.equal((await ask(world, "/stream/a", PROMPT)).status, 200);
-  const refused = await ask(world, "/stream/a", PROMPT);
+  assert.equal(
+    (await sendClientRequest(world, "/stream/a", MODEL_REQUEST_HEADERS)).status,
+    200,
+  );
+  const refused = await sendClientRequest(
+    world,
+    "/stream/a",
+    MODEL_REQUEST_HEADERS,
+  );
   assert.equal(refused.status, 429);
   assert.ok(Number(refused.headers["retry-after"]) > 1);
   assert.equal(engine.runs.length, 1);
@@ -57,10 +68,18 @@
     await until(() => stateContains(entry, '"i-1"'));
   }
   await until(() => level(first!) > 50);
-  assert.equal((await ask(first!, "/stream/a", PROMPT)).status, 200);
+  assert.equal(
+    (await sendClientRequest(first!, "/stream/a", MODEL_REQUEST_HEADERS))
+      .status,
+    200,
+  );
   for (const entry of others) {
     await until(() => level(entry) < 0);
-    assert.equal((await ask(entry, "/stream/a", PROMPT)).status, 429);
+    assert.equal(
+      (await sendClientRequest(entry, "/stream/a", MODEL_REQUEST_HEADERS))
+        .status,
+      429,
+    );
   }
 });
 
@@ -72,12 +91,19 @@
   await until(() => level(first!) === 1000);
   await useConfig(world, limited(3, 10, 1000));
   await until(() => stateContains(second!, '"configVersion":3'));
-  assert.equal((await ask(first!, "/stream/a", PROMPT)).status, 200);
+  assert.equal(
+    (await sendClientRequest(first!, "/stream/a", MODEL_REQUEST_HEADERS))
+      .status,
+    200,
+  );
   await until(() => level(second!) < 0);
   await second!.router.stop();
   const again = await world.restart(second!);
   await until(() => level(again) < 0);
-  assert.equal((await ask(again, "/stream/a", PROMPT)).status, 429);
+  assert.equal(
+    (await sendClientRequest(again, "/stream/a", MODEL_REQUEST_HEADERS)).status,
+    429,
+  );
 });
 
 test("unreachable seeds get no share of a limit", async (t) => {
@@ -92,7 +118,10 @@
   const world = await openWorld(t);
   await useConfig(world, limited(2, 1000, 100_000));
   const before = level(world);
-  assert.equal((await ask(world, "/stream/a", PROMPT)).status, 503);
+  assert.equal(
+    (await sendClientRequest(world, "/stream/a", MODEL_REQUEST_HEADERS)).status,
+    503,
+  );
   assert.ok(level(world) >= before);
 });
 
@@ -105,7 +134,7 @@
   await useConfig(world, limited(2, 1, 100_000));
   const before = level(world);
   first.faults.cutAfterEvents = second.faults.cutAfterEvents = 1;
-  await ask(world, "/stream/a", PROMPT);
+  await sendClientRequest(world, "/stream/a", MODEL_REQUEST_HEADERS);
   assert.ok(level(world) <= before - 2 * PROMPT_COST + 10);
 });
 
@@ -114,7 +143,7 @@
   await world.worker("i-1");
   await useConfig(world, limited(2, 1, 100_000));
   const before = level(world);
-  assert.equal((await ask(world, "/look/a")).status, 200);
+  assert.equal((await sendClientRequest(world, "/look/a")).status, 200);
   assert.ok(Math.abs(before - level(world) - 200) <= 10);
 });
 
@@ -122,7 +151,7 @@
   const world = await openWorld(t);
   await world.worker("i-1");
   for (let i = 0; i < 20; i++) {
-    assert.equal((await ask(world, "/look/a")).status, 200);
+    assert.equal((await sendClientRequest(world, "/look/a")).status, 200);
   }
   assert.ok(stateContains(world, '"quotas":[]'));
 });
--- a/src/router/refusals_during_pause_test.ts
+++ b/src/router/refusals_during_pause_test.ts
@@ -30,7 +30,7 @@
 
   // The same after the head: this wait is bounded as the one between events.
   test(`pause between head and first event, other engine refuses, ${entryCount} entries`, async (t) => {
-    const stall = { afterEvent: 0, pauseMs: PAUSE_MS, isBehindHead: true };
+    const stall = { afterEvent: 0, pauseMs: PAUSE_MS, isAfterHeaders: true };
     await assertSurvivesPause(t, [{ refuse: EVERY_TIME }], {
       entryCount,
       stall,
--- a/src/router/replaced_weights_test.ts
+++ b/src/router/replaced_weights_test.ts
@@ -5,7 +5,11 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { setTimeout as sleep } from "node:timers/promises";
-import { ask, PROMPT, streamOf } from "../standin/mod.ts";
+import {
+  completeStreamBody,
+  MODEL_REQUEST_HEADERS,
+  sendClientRequest,
+} from "../standin/mod.ts";
 import {
   openWorld,
   stateContains,
@@ -42,7 +46,11 @@
     stateContains(again, `"entries":2`)
   );
   for (const entry of [first!, again]) {
-    const asked = await ask(entry, "/stream/a", PROMPT);
+    const asked = await sendClientRequest(
+      entry,
+      "/stream/a",
+      MODEL_REQUEST_HEADERS,
+    );
     assert.equal(asked.status, 503, entry.name);
     assert.ok(Number(asked.headers["retry-after"]) > 0);
   }
@@ -57,7 +65,10 @@
   await until(() => knowsNewVersion(again) && stateContains(again, "i-1"));
   // An entry that had observed the publication would use the engine for much longer.
   again.clock.aheadMs = RETIRED_MS / 3;
-  assert.equal((await ask(again, "/stream/a", PROMPT)).status, 503);
+  assert.equal(
+    (await sendClientRequest(again, "/stream/a", MODEL_REQUEST_HEADERS)).status,
+    503,
+  );
   assert.equal(engine.runs.length, 0);
 });
 
@@ -71,7 +82,9 @@
   // Much less than the time after which the entry itself would stop using the engine.
   for (let i = 0; i < 40 && status === 200; i++) {
     await sleep(100);
-    status = (await ask(suspended!, "/stream/a", PROMPT)).status;
+    status =
+      (await sendClientRequest(suspended!, "/stream/a", MODEL_REQUEST_HEADERS))
+        .status;
   }
   assert.equal(status, 503);
 });
@@ -89,7 +102,10 @@
   // The version gets its maximum age, so that the replaced one is used as long as one of unknown
   // age.
   world.entries[0]!.clock.aheadMs += RETIRED_MS / 3;
-  assert.equal((await ask(world, "/stream/a", PROMPT)).status, 503);
+  assert.equal(
+    (await sendClientRequest(world, "/stream/a", MODEL_REQUEST_HEADERS)).status,
+    503,
+  );
   assert.equal(engine.runs.length, 0);
 });
 
@@ -101,7 +117,7 @@
   const engine = await world.engine("i-1");
   engine.faults.refuseOrder = Infinity;
   engine.faults.hang = 1;
-  const asked = ask(world, "/once/a", PROMPT);
+  const asked = sendClientRequest(world, "/once/a", MODEL_REQUEST_HEADERS);
   await until(() => engine.runs.length === 1);
   await world.store.put("op/version/m", { model: "m", version: 2 });
   // If the request waited until the client's deadline, the status would be 504.
@@ -117,8 +133,11 @@
   const world = await openWorld(t, { weightsBoundMs: boundMs });
   const engine = await replaceWeights(world);
   world.entries[0]!.clock.aheadMs = ageMs;
-  const headers = { ...PROMPT, "deadline-ms": "15000" };
-  assert.equal((await ask(world, "/stream/a", headers)).status, 200);
+  const headers = { ...MODEL_REQUEST_HEADERS, "deadline-ms": "15000" };
+  assert.equal(
+    (await sendClientRequest(world, "/stream/a", headers)).status,
+    200,
+  );
   const [run] = engine.runs;
   assert.ok(Number(run?.headers["deadline-ms"]) < boundMs - ageMs);
 });
@@ -135,8 +154,8 @@
   for (const engine of engines) engine.faults.refuseOrder = Infinity;
   await world.store.put("op/version/m", { model: "m", version: 2 });
   await until(() => world.entries.every(knowsNewVersion));
-  const asked = ask(world, "/stream/a", {
-    ...PROMPT,
+  const asked = sendClientRequest(world, "/stream/a", {
+    ...MODEL_REQUEST_HEADERS,
     "token-usage": "1200,20",
   });
   await until(() => engines.some(({ runs }) => runs.length > 0));
@@ -145,7 +164,7 @@
   other.faults.refuseOrder = 0;
   const answer = await asked;
   assert.equal(answer.status, 200);
-  assert.equal(answer.body, streamOf(40));
+  assert.equal(answer.body, completeStreamBody(40));
   assert.equal(other.runs.length, 1);
 });
 
@@ -155,7 +174,7 @@
   const world = await openWorld(t);
   const engine = await replaceWeights(world);
   engine.faults.refuseWeights = 1;
-  await ask(world, "/stream/a", PROMPT);
+  await sendClientRequest(world, "/stream/a", MODEL_REQUEST_HEADERS);
   assert.equal(engine.faults.refuseWeights, 0);
   engine.faults.refuseOrder = 0;
   await until(() => engine.version === 2);
--- a/src/router/restarted_server_test.ts
+++ b/src/router/restarted_server_test.ts
@@ -1,10 +1,10 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import {
-  ask,
-  PROMPT,
-  type StandinPlatformWorker,
-  streamOf,
+  completeStreamBody,
+  MODEL_REQUEST_HEADERS,
+  sendClientRequest,
+  type StandinBackendServer,
 } from "../standin/mod.ts";
 import {
   openWorld,
@@ -20,7 +20,7 @@
 /** Restarts a server and waits until all entries know the new start. */
 async function restart(
   world: World,
-  worker: StandinPlatformWorker,
+  worker: StandinBackendServer,
   { service, listenAddress }: { service: string; listenAddress?: string },
 ): Promise<void> {
   await worker.restart(listenAddress);
@@ -52,7 +52,11 @@
     const worker = await world.engine("i-1");
     await until(() => stateContains(peer!, "i-1"));
     const { address } = worker;
-    assert.equal((await ask(world, "/stream/a", PROMPT)).status, 200);
+    assert.equal(
+      (await sendClientRequest(world, "/stream/a", MODEL_REQUEST_HEADERS))
+        .status,
+      200,
+    );
     for (const entry of world.entries) {
       await until(async () => (await expectedCaches(entry)).includes("i-1"));
     }
@@ -61,8 +65,12 @@
       assert.deepEqual(await expectedCaches(entry), []);
     }
     assert.equal(worker.address === address, listenAddress === undefined);
-    const asked = await ask(world, "/stream/a", PROMPT);
-    assert.equal(asked.body, streamOf(4));
+    const asked = await sendClientRequest(
+      world,
+      "/stream/a",
+      MODEL_REQUEST_HEADERS,
+    );
+    assert.equal(asked.body, completeStreamBody(4));
     assert.equal(worker.runs.length, 2);
     for (const { router } of world.entries) await router.stop();
   }
@@ -96,7 +104,7 @@
   const former = worker.entry("engines");
   await world.store.put("servers/i-1", former);
   await until(async () => {
-    await ask(world, "/stream/a", PROMPT);
+    await sendClientRequest(world, "/stream/a", MODEL_REQUEST_HEADERS);
     return (await expectedCaches(world)).includes("i-1");
   });
   await worker.restart();
@@ -107,7 +115,10 @@
   // A registration of the earlier start is outdated and must be ignored.
   await world.store.put("servers/i-1", { ...former, state: "draining" });
   await world.worker("i-2");
-  assert.equal((await ask(world, "/stream/a", PROMPT)).status, 200);
+  assert.equal(
+    (await sendClientRequest(world, "/stream/a", MODEL_REQUEST_HEADERS)).status,
+    200,
+  );
 });
 
 test("requests that may not be repeated run once despite server restarts", async (t) => {
@@ -116,18 +127,21 @@
   const slow = { model: "m", events: 60, eventMs: 20 };
   const engine = await world.worker("i-2", slow);
   plain.faults.hang = 1;
-  const call = ask(world, "/book/a");
-  const stream = ask(world, "/once/a", { ...PROMPT, "attempt-id": "once" });
+  const call = sendClientRequest(world, "/book/a");
+  const stream = sendClientRequest(world, "/once/a", {
+    ...MODEL_REQUEST_HEADERS,
+    "attempt-id": "once",
+  });
   await until(() => plain.runs.length === 1 && engine.runs.length === 1);
   await Promise.all([
     restart(world, plain, { service: "plain" }),
     restart(world, engine, { service: "engines" }),
   ]);
   assert.equal((await call).status, 502);
-  assert.equal((await stream).isWhole, false);
+  assert.equal((await stream).isComplete, false);
   assert.equal(plain.runs.length, 1);
   assert.equal(engine.runs.length, 1);
-  assert.equal((await ask(world, "/book/b")).status, 200);
+  assert.equal((await sendClientRequest(world, "/book/b")).status, 200);
 });
 
 test("resumable stream resumes on another server when its server restarts", async (t) => {
@@ -137,12 +151,12 @@
     await world.worker("i-1", slow),
     await world.worker("i-2", slow),
   ];
-  const answer = ask(world, "/stream/a", PROMPT);
+  const answer = sendClientRequest(world, "/stream/a", MODEL_REQUEST_HEADERS);
   await until(() => workers.some(({ runs }) => runs.length > 0));
   const ran = workers.find(({ runs }) => runs.length > 0)!;
   await restart(world, ran, { service: "engines" });
-  const { body, isWhole } = await answer;
-  assert.ok(isWhole);
-  assert.equal(body, streamOf(40));
+  const { body, isComplete } = await answer;
+  assert.ok(isComplete);
+  assert.equal(body, completeStreamBody(40));
   assert.equal(workers.flatMap(({ runs }) => runs).length, 2);
 });
--- a/src/router/silent_engine_test.ts
+++ b/src/router/silent_engine_test.ts
@@ -1,11 +1,11 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import {
-  ask,
+  completeStreamBody,
   CONFIG,
   NO_FAULTS,
-  type StandinPlatformWorker,
-  streamOf,
+  sendClientRequest,
+  type StandinBackendServer,
 } from "../standin/mod.ts";
 import {
   assertComplete,
@@ -26,7 +26,7 @@
   world: World,
   id: string,
   afterEvent = 2,
-): Promise<StandinPlatformWorker> {
+): Promise<StandinBackendServer> {
   const stall = { afterEvent, pauseMs: PAUSE_MS };
   return world.worker(id, { model: "m", faults: { ...NO_FAULTS, stall } });
 }
@@ -38,7 +38,7 @@
     const world = await openLongTimeoutSetup(t);
     await startPausingEngine(world, "i-1", afterEvent);
     assertComplete(
-      await ask(world, "/stream/a", LONG_TIMEOUT_HEADERS),
+      await sendClientRequest(world, "/stream/a", LONG_TIMEOUT_HEADERS),
       `after ${afterEvent}`,
     );
     assert.equal(runsOf(world), 1);
@@ -50,7 +50,9 @@
   const world = await openLongTimeoutSetup(t, { maxAttempts: 1 });
   await startPausingEngine(world, "i-1");
   await startPausingEngine(world, "i-2");
-  assertComplete(await ask(world, "/stream/a", LONG_TIMEOUT_HEADERS));
+  assertComplete(
+    await sendClientRequest(world, "/stream/a", LONG_TIMEOUT_HEADERS),
+  );
   assert.equal(runsOf(world), 1);
 });
 
@@ -62,7 +64,9 @@
   for (const id of ["i-1", "i-2", "i-3", "i-4", "i-5"]) {
     await world.worker(id, { model: "m", faults });
   }
-  assertComplete(await ask(world, "/stream/a", LONG_TIMEOUT_HEADERS));
+  assertComplete(
+    await sendClientRequest(world, "/stream/a", LONG_TIMEOUT_HEADERS),
+  );
   assert.equal(runsOf(world), 1);
 });
 
@@ -73,7 +77,9 @@
     maxAttempts: 9,
   });
   for (const id of ["i-1", "i-2", "i-3"]) await startPausingEngine(world, id);
-  assertComplete(await ask(world, "/stream/a", LONG_TIMEOUT_HEADERS));
+  assertComplete(
+    await sendClientRequest(world, "/stream/a", LONG_TIMEOUT_HEADERS),
+  );
 });
 
 test("stream that broke and paused on its last engine is complete", async (t) => {
@@ -86,7 +92,9 @@
   };
   await world.worker("i-1", { model: "m", faults });
   await world.worker("i-2", { model: "m", faults });
-  assertComplete(await ask(world, "/stream/a", LONG_TIMEOUT_HEADERS));
+  assertComplete(
+    await sendClientRequest(world, "/stream/a", LONG_TIMEOUT_HEADERS),
+  );
   assert.equal(runsOf(world), 2);
 });
 
@@ -100,16 +108,16 @@
     faults.stall = { afterEvent: 50, pauseMs: PAUSE_MS };
   }
   await world.store.put("op/version/m", { model: "m", version: 2 });
-  for (const { body, isWhole } of await Promise.all(answers)) {
-    assert.ok(isWhole);
-    assert.equal(body, streamOf(LONG_EVENTS));
+  for (const { body, isComplete } of await Promise.all(answers)) {
+    assert.ok(isComplete);
+    assert.equal(body, completeStreamBody(LONG_EVENTS));
   }
 });
 
 test("stream survives a pause during a configuration change", async (t) => {
   const world = await openLongTimeoutSetup(t);
   const engine = await startPausingEngine(world, "i-1");
-  const answer = ask(world, "/stream/a", LONG_TIMEOUT_HEADERS);
+  const answer = sendClientRequest(world, "/stream/a", LONG_TIMEOUT_HEADERS);
   await until(() => engine.runs.length > 0);
   await useConfig(world, { ...CONFIG, version: 3 });
   assertComplete(await answer);
@@ -129,7 +137,7 @@
     await world.worker("i-1", { model: "m", faults });
     await world.worker("i-2", { model: "m", faults });
     assertComplete(
-      await ask(world, "/stream/a", LONG_TIMEOUT_HEADERS),
+      await sendClientRequest(world, "/stream/a", LONG_TIMEOUT_HEADERS),
       `after ${afterEvent}`,
     );
     assert.equal(runsOf(world), 2);
@@ -141,7 +149,9 @@
   const world = await openWorld(t);
   const worker = await world.worker("i-1");
   worker.faults.lateMs = PAUSE_MS;
-  const asked = await ask(world, "/look/a", { "deadline-ms": "4000" });
+  const asked = await sendClientRequest(world, "/look/a", {
+    "deadline-ms": "4000",
+  });
   assert.equal(asked.status, 200);
   assert.equal(worker.runs.length, 1);
 });
@@ -151,7 +161,7 @@
   const world = await openWorld(t);
   const hangs = { ...NO_FAULTS, hang: 1 };
   const first = await world.worker("i-1", { faults: hangs });
-  const answer = ask(world, "/look/a", { "deadline-ms": "4500" });
+  const answer = sendClientRequest(world, "/look/a", { "deadline-ms": "4500" });
   await until(() => first.runs.length > 0);
   await world.worker("i-2", { faults: { ...NO_FAULTS, fail: 1 } });
   assert.equal((await answer).status, 500);
--- a/src/standin/_platform_answer.ts
+++ b/src/standin/_platform_answer.ts
@@ -2,15 +2,15 @@
 import type { HostRequest } from "./_http_host.ts";
 import {
   consumeFault,
-  type StandinPlatformWorkerFaults,
-} from "./platform_worker_options.ts";
+  type StandinBackendServerFaults,
+} from "./backend_server_options.ts";
 
 /** Body of every non-streaming answer. */
-export const PLAIN_BODY = "done";
+export const PLAIN_ANSWER_BODY = "done";
 
 /** Settings of {@link answerCall}. */
 export interface AnswerOptions {
-  faults: StandinPlatformWorkerFaults;
+  faults: StandinBackendServerFaults;
   /** Identifies the backend server in the response headers. */
   seal: string;
 }
@@ -32,7 +32,7 @@
   if (consumeFault(faults, "unframed")) {
     response.socket?.end(
       `HTTP/1.1 200 OK\r\nserver-seal: s\r\nattempt-id: ${id}\r\n\r\n` +
-        PLAIN_BODY,
+        PLAIN_ANSWER_BODY,
     );
     return;
   }
@@ -41,7 +41,7 @@
     "server-seal": seal,
     "attempt-id": id,
   });
-  if (bodyLateMs === 0) return void response.end(PLAIN_BODY);
+  if (bodyLateMs === 0) return void response.end(PLAIN_ANSWER_BODY);
   response.flushHeaders();
-  setTimeout(() => response.end(PLAIN_BODY), bodyLateMs).unref();
+  setTimeout(() => response.end(PLAIN_ANSWER_BODY), bodyLateMs).unref();
 }
--- a/src/standin/_platform_orders.ts
+++ b/src/standin/_platform_orders.ts
@@ -1,7 +1,7 @@
 /** Weight-loading orders of a stand-in backend server. */
 
 /** An order that was accepted. */
-export interface StandinPlatformOrder {
+export interface AcceptedOrder {
   version: number;
   holder: string;
   fencingToken: number;
@@ -22,7 +22,7 @@
 /** Validates and executes orders, one at a time. */
 export class PlatformOrders {
   /** All accepted orders, including those from before a restart. */
-  readonly accepted: StandinPlatformOrder[] = [];
+  readonly accepted: AcceptedOrder[] = [];
   readonly #options: PlatformOrdersOptions;
   #version: number;
   #sequence = 0;
--- a/src/standin/_platform_stream.ts
+++ b/src/standin/_platform_stream.ts
@@ -1,7 +1,7 @@
 /** Event streams of the stand-in for a backend server of the platform. */
 import type { IncomingHttpHeaders, ServerResponse } from "node:http";
 import { setTimeout as sleep } from "node:timers/promises";
-import type { StreamStall } from "./platform_worker_options.ts";
+import type { StreamStall } from "./backend_server_options.ts";
 
 /** A stream in progress. */
 export interface RunningStream {
@@ -51,7 +51,7 @@
   const { response } = stream;
   for (let i = stream.lastEventId + 1; i <= events; i++) {
     if (stall && i === stall.afterEvent + 1) {
-      if (stall.isBehindHead) response.flushHeaders();
+      if (stall.isAfterHeaders) response.flushHeaders();
       await sleep(stall.pauseMs, undefined, { ref: false });
       await stall.opened;
     }
--- a/src/standin/impatient_clients.ts
+++ b/src/standin/aborting_clients.ts
@@ -38,7 +38,7 @@
  * @param clients Target address, number of clients and request.
  * @returns Resolves when all clients have disconnected.
  */
-export async function askAndLeave(
+export async function sendAndDisconnect(
   { ipAddress, port, count, request }: AbortingClients,
 ): Promise<void> {
   const workerData = {
@@ -59,7 +59,7 @@
  * @param turnMs Blocking time per turn.
  * @returns Stops the blocking.
  */
-export function keepBusy(turnMs: number): () => void {
+export function blockEventLoop(turnMs: number): () => void {
   let isBusy = true;
   const blockTurn = () => {
     const endMs = performance.now() + turnMs;
--- a/src/standin/platform_worker.ts
+++ b/src/standin/backend_server.ts
@@ -2,10 +2,7 @@
 import type { IncomingHttpHeaders, ServerResponse } from "node:http";
 import { type HostRequest, HttpHost } from "./_http_host.ts";
 import { answerCall } from "./_platform_answer.ts";
-import {
-  PlatformOrders,
-  type StandinPlatformOrder,
-} from "./_platform_orders.ts";
+import { type AcceptedOrder, PlatformOrders } from "./_platform_orders.ts";
 import {
   endAtDeadline,
   type RunningStream,
@@ -15,12 +12,12 @@
   consumeFault,
   DEFAULT_OPTIONS,
   NO_FAULTS,
-  type StandinPlatformWorkerFaults,
-  type StandinPlatformWorkerOptions,
-} from "./platform_worker_options.ts";
+  type StandinBackendServerFaults,
+  type StandinBackendServerOptions,
+} from "./backend_server_options.ts";
 
 /** A request that was executed. */
-export interface StandinPlatformRun {
+export interface ExecutedRequest {
   method: string;
   target: string;
   headers: IncomingHttpHeaders;
@@ -31,24 +28,24 @@
 const kvCopies = new Map<string, string>();
 
 /** A simulated backend server with fault injection. */
-export class StandinPlatformWorker {
+export class StandinBackendServer {
   /** Executed requests, in order. */
-  readonly runs: StandinPlatformRun[] = [];
+  readonly runs: ExecutedRequest[] = [];
   /** Number of requests rejected with a retry delay, because of the `pauseS` fault. */
-  turnedAway = 0;
+  pauseRejections = 0;
   /** Number of requests rejected as not executed, without a retry delay. */
   refused = 0;
   /** Ids of copies that were freed before a run resumed from them. */
-  readonly freedCopies: string[] = [];
-  readonly faults: StandinPlatformWorkerFaults;
+  readonly freedCopyIds: string[] = [];
+  readonly faults: StandinBackendServerFaults;
   /** Streams in progress, by attempt id. */
   readonly #streams = new Map<string, RunningStream>();
-  readonly #options: StandinPlatformWorkerOptions;
+  readonly #options: StandinBackendServerOptions;
   readonly #orders: PlatformOrders;
   #startedAtMs = Date.now();
   #host!: HttpHost;
 
-  private constructor(options: StandinPlatformWorkerOptions) {
+  private constructor(options: StandinBackendServerOptions) {
     this.#options = options;
     this.faults = options.faults ?? { ...NO_FAULTS };
     this.#orders = new PlatformOrders(options);
@@ -59,9 +56,9 @@
    * @returns A listening server.
    */
   static async create(
-    options: Partial<StandinPlatformWorkerOptions> = {},
-  ): Promise<StandinPlatformWorker> {
-    const worker = new StandinPlatformWorker({
+    options: Partial<StandinBackendServerOptions> = {},
+  ): Promise<StandinBackendServer> {
+    const worker = new StandinBackendServer({
       ...DEFAULT_OPTIONS,
       ...options,
     });
@@ -99,7 +96,7 @@
   }
 
   /** Accepted orders, including those from before a restart. */
-  get orders(): StandinPlatformOrder[] {
+  get orders(): AcceptedOrder[] {
     return this.#orders.accepted;
   }
 
@@ -249,7 +246,7 @@
 
   #freeCopy(id: string, response: ServerResponse): void {
     const isKnown = kvCopies.delete(`${this.address}/${id}`);
-    if (isKnown) this.freedCopies.push(id);
+    if (isKnown) this.freedCopyIds.push(id);
     response.writeHead(isKnown ? 200 : 404);
     response.end();
   }
@@ -300,7 +297,7 @@
   }
 
   #askToPause(response: ServerResponse, pauseS: number): void {
-    this.turnedAway++;
+    this.pauseRejections++;
     response.writeHead(503, {
       "not-executed": "1",
       "retry-after": String(pauseS),
--- a/src/standin/platform_worker_options.ts
+++ b/src/standin/backend_server_options.ts
@@ -1,7 +1,7 @@
 /** Settings and injectable faults of the stand-in for a backend server of the platform. */
 
 /** Settings of a stand-in backend server. */
-export interface StandinPlatformWorkerOptions {
+export interface StandinBackendServerOptions {
   /** `ip:port`; port 0 selects a free port. */
   listenAddress: string;
   /** Instance id; unchanged by a restart. */
@@ -19,7 +19,7 @@
   /** Time that loading weights takes. */
   loadMs: number;
   /** Faults to share with other servers; a fault that occurs once then occurs at only one of them. */
-  faults?: StandinPlatformWorkerFaults;
+  faults?: StandinBackendServerFaults;
 }
 
 /** A pause in a stream. */
@@ -30,11 +30,11 @@
   /** Extends the pause until this promise resolves. */
   opened?: Promise<unknown>;
   /** Whether the response headers are sent before the pause. */
-  isBehindHead?: boolean;
+  isAfterHeaders?: boolean;
 }
 
 /** Faults to inject; a number counts the upcoming requests that are affected, if not stated otherwise. */
-export interface StandinPlatformWorkerFaults {
+export interface StandinBackendServerFaults {
   /** Requests that are rejected as not executed. */
   refuse: number;
   /** Requests that are executed, but whose connection is closed without an answer. */
@@ -70,7 +70,7 @@
 }
 
 /** Default settings. */
-export const DEFAULT_OPTIONS: StandinPlatformWorkerOptions = {
+export const DEFAULT_OPTIONS: StandinBackendServerOptions = {
   listenAddress: "127.0.0.1:0",
   id: "i-standin",
   version: 1,
@@ -81,7 +81,7 @@
 };
 
 /** Disables all faults. */
-export const NO_FAULTS: StandinPlatformWorkerFaults = {
+export const NO_FAULTS: StandinBackendServerFaults = {
   refuse: 0,
   loseAnswer: 0,
   fail: 0,
@@ -102,7 +102,7 @@
 
 /** Faults that count the affected requests. */
 type CountedFault = Exclude<
-  keyof StandinPlatformWorkerFaults,
+  keyof StandinBackendServerFaults,
   | "cutAfterEvents"
   | "stall"
   | "lateMs"
@@ -120,7 +120,7 @@
  * @returns Whether the fault applies.
  */
 export function consumeFault(
-  faults: StandinPlatformWorkerFaults,
+  faults: StandinBackendServerFaults,
   fault: CountedFault,
 ): boolean {
   if (faults[fault] <= 0) return false;
--- a/src/standin/mod.ts
+++ b/src/standin/mod.ts
@@ -20,9 +20,9 @@
 export { StandinEngine } from "./engine_server.ts";
 export {
   type AbortingClients,
-  askAndLeave,
-  keepBusy,
-} from "./impatient_clients.ts";
+  blockEventLoop,
+  sendAndDisconnect,
+} from "./aborting_clients.ts";
 export {
   StandinInstanceList,
   type StandinInstanceListOptions,
@@ -33,35 +33,35 @@
   type StandinKvOptions,
 } from "./kv_server.ts";
 export {
-  ask,
-  type Asked,
-  attemptOf,
+  attemptIdOf,
+  type ClientResponse,
+  completeStreamBody,
   CONFIG,
   configWith,
   type EntryAddress,
-  headersOf,
+  fetchReadinessStatus,
   HOST,
   KEY,
-  PROMPT,
-  readiness,
+  MODEL_REQUEST_HEADERS,
   type RequestOverrides,
   type RouteSettings,
-  streamOf,
+  sendClientRequest,
+  toRequestHeaders,
 } from "./platform_client.ts";
 export {
   StandinPlatformStore,
   type StandinPlatformStoreOptions,
 } from "./platform_store_server.ts";
-export { PLAIN_BODY } from "./_platform_answer.ts";
+export { PLAIN_ANSWER_BODY } from "./_platform_answer.ts";
 export {
-  type StandinPlatformRun,
-  StandinPlatformWorker,
-} from "./platform_worker.ts";
+  type ExecutedRequest,
+  StandinBackendServer,
+} from "./backend_server.ts";
 export {
   NO_FAULTS,
-  type StandinPlatformWorkerFaults,
-  type StandinPlatformWorkerOptions,
-} from "./platform_worker_options.ts";
+  type StandinBackendServerFaults,
+  type StandinBackendServerOptions,
+} from "./backend_server_options.ts";
 export type { CallRate, RateReport } from "./_rate_meter.ts";
 export {
   type ServiceExecution,
@@ -74,4 +74,4 @@
   StandinWeightStore,
   type StandinWeightStoreOptions,
 } from "./weight_store_server.ts";
-export { type StandinPlatformOrder } from "./_platform_orders.ts";
+export { type AcceptedOrder } from "./_platform_orders.ts";
--- a/src/standin/platform_client.ts
+++ b/src/standin/platform_client.ts
@@ -1,6 +1,6 @@
 /** Test client of an entry, with a sample configuration and the load balancer's readiness check. */
 import { request as httpRequest } from "node:http";
-import { StandinPlatformWorker } from "./platform_worker.ts";
+import { StandinBackendServer } from "./backend_server.ts";
 
 /** Host name of all routes. */
 export const HOST = "salon.example";
@@ -56,12 +56,12 @@
 }
 
 /** An answer as received by a client. */
-export interface Asked {
+export interface ClientResponse {
   status: number;
   headers: Record<string, unknown>;
   body: string;
   /** Whether the whole body was received. */
-  isWhole: boolean;
+  isComplete: boolean;
 }
 
 /** Address at which an entry accepts clients. */
@@ -78,11 +78,11 @@
  * @param headers Headers to add to the default ones or to replace them.
  * @returns The answer, possibly incomplete; rejects if no answer begins.
  */
-export function ask(
+export function sendClientRequest(
   { clientPort, ipAddress }: EntryAddress,
   path: string,
   headers: Record<string, string> = {},
-): Promise<Asked> {
+): Promise<ClientResponse> {
   return new Promise((resolve, reject) => {
     const request = httpRequest({
       host: ipAddress,
@@ -99,12 +99,12 @@
       },
     }, (response) => {
       let body = "";
-      const resolveWith = (isWhole: boolean) =>
+      const resolveWith = (isComplete: boolean) =>
         resolve({
           status: response.statusCode ?? 0,
           headers: response.headers,
           body,
-          isWhole,
+          isComplete,
         });
       response.on("data", (chunk) => body += chunk);
       response.on("end", () => resolveWith(response.complete));
@@ -116,13 +116,13 @@
 }
 
 /** Headers of a request for a model. */
-export const PROMPT = {
+export const MODEL_REQUEST_HEADERS = {
   model: "m",
   "token-usage": "1200,80",
   "prompt-prefix": "aa:1000,bb:200",
 };
 
-/** Properties of a request that differ from the defaults of {@link ask}. */
+/** Properties of a request that differ from the defaults of {@link sendClientRequest}. */
 export interface RequestOverrides {
   /** Attempt id. */
   id?: string;
@@ -133,7 +133,7 @@
 }
 
 /** @returns Request headers for these properties. */
-export function headersOf(
+export function toRequestHeaders(
   { id, timeMs, prompt }: RequestOverrides,
 ): Record<string, string> {
   return {
@@ -146,7 +146,7 @@
 }
 
 /** @returns The attempt id in these request headers, or undefined. */
-export function attemptOf(headers: Record<string, unknown>): unknown {
+export function attemptIdOf(headers: Record<string, unknown>): unknown {
   return headers["attempt-id"];
 }
 
@@ -170,8 +170,8 @@
 }
 
 /** @returns The body of a complete stream with this number of events. */
-export function streamOf(events: number): string {
-  return StandinPlatformWorker.streamText("x", events);
+export function completeStreamBody(events: number): string {
+  return StandinBackendServer.streamText("x", events);
 }
 
 /**
@@ -181,7 +181,7 @@
  * @param ipAddress IP address of the entry.
  * @returns HTTP status of the answer.
  */
-export async function readiness(
+export async function fetchReadinessStatus(
   port: number,
   ipAddress = "127.0.0.1",
 ): Promise<number> {
--- a/src/standin/platform_store_server.ts
+++ b/src/standin/platform_store_server.ts
@@ -35,7 +35,7 @@
 export class StandinPlatformStore {
   readonly store = MemoryStore.create();
   /** Fields that replace those of a sent item, by key; simulates malformed items of other writers. */
-  readonly spoilt = new Map<string, object>();
+  readonly fieldOverrides = new Map<string, object>();
   #host!: HttpHost;
 
   private constructor() {}
@@ -77,7 +77,7 @@
    *
    * @param config The new configuration.
    */
-  configure(config: unknown): Promise<void> {
+  putConfig(config: unknown): Promise<void> {
     return this.put("op/config", config);
   }
 
@@ -256,7 +256,7 @@
       revision: Number(entry.modRevision),
       created: Number(entry.createRevision),
       lease: 0,
-      ...this.spoilt.get(entry.key),
+      ...this.fieldOverrides.get(entry.key),
     };
   }
 
--- a/src/standin/tcp_relay.ts
+++ b/src/standin/tcp_relay.ts
@@ -59,7 +59,7 @@
   }
 
   /** Number of open connections. */
-  get openCount(): number {
+  get connectionCount(): number {
     return this.#connections.size;
   }
 
