--- a/src/limits/shared_bucket.ts
+++ b/src/limits/shared_bucket.ts
@@ -30,7 +30,7 @@
 /** Usage of another process, from its reports. */
 interface MemberUsage {
   total: number;
-  /** Exponential moving average of its rate; the estimate between two reports. */
+  /** Exponential moving average of its rate, which estimates its usage between two reports. */
   perMs: number;
   /** When the last report arrived. */
   reportedAtMs: number;
@@ -38,21 +38,21 @@
   silentSinceMs?: number;
 }
 
-/** A process is silent after this time without a report; the longest report interval is 600 ms. */
+/** A process is silent after this time without a report; reports are at most 600 ms apart. */
 export const SILENCE_TIMEOUT_MS = 850;
 /** Interval between checks for silent processes. */
 const SILENCE_CHECK_MS = 50;
 /** Time constant of the moving average of a process's rate. */
 const USAGE_AVERAGE_MS = 1000;
-/** Refill lost to a full bucket offsets late reports, up to this time's refill at the full rate. */
+/** Refill discarded by a full bucket offsets usage reported late, up to this time's full refill. */
 const OVERFLOW_CREDIT_MS = 400;
-/** A process is isolated when its own part of the rate is at most this. */
+/** A process is isolated if silent processes leave it at most this part of the rate. */
 const ISOLATED_SHARE = 0.2;
 /** Largest request that an isolated process admits, as a multiple of its part of the burst. */
 const ISOLATED_MAX_BURSTS = 2;
-/** Bounds what all processes together take between two reports, as a multiple of the level. */
+/** Tokens that all processes together may take between two reports, as a multiple of the level. */
 const UNREPORTED_FACTOR = 3;
-/** Above this part of the burst, tokens taken between two reports are not bounded. */
+/** While the level exceeds this part of the burst, usage between two reports is not bounded. */
 const AMPLE_LEVEL_SHARE = 0.4;
 /** Initial level of the copies of all processes together, as a part of the burst. */
 const INITIAL_BURST_SHARE = 0.25;
@@ -70,7 +70,7 @@
 export class SharedBucket {
   readonly #members: BucketMembers;
   readonly #usages = new Map<string, MemberUsage>();
-  /** Addresses of removed processes, which may return without a restart. */
+  /** Addresses of removed processes, which may report again without having restarted. */
   readonly #forgotten = new Set<string>();
   readonly #createdAtMs: number;
   #limit: RateLimit;
@@ -80,14 +80,14 @@
   /** Estimated rate of all other processes that are not silent. */
   #othersPerMs = 0;
   #checkedAtMs = -Infinity;
-  /** Recent refill that did not fit into the full bucket. */
+  /** Refill that the full bucket discarded, up to {@link OVERFLOW_CREDIT_MS}. */
   #overflow = 0;
   #hasAdoptedLevel = false;
   /** Tokens taken since the last report to the other processes. */
   #unreported = 0;
   /** Part of the rate that is reserved for silent processes. */
   #silentShare = 0;
-  /** Tokens of refused requests that were given a retry time. */
+  /** Tokens needed by refused requests that were told when to retry. */
   #retryBacklog = 0;
 
   private constructor({ limit, members, nowMs }: SharedBucketOptions) {
@@ -137,8 +137,8 @@
   }
 
   /**
-   * Admits a request of any size while the level is positive; the level may then become negative.
-   * Otherwise small requests that use up the refill would starve large ones.
+   * Admits a request of any size while the level is positive, although the level may become
+   * negative: if large requests had to wait for a high level, small ones would starve them.
    *
    * @param count Tokens that the request needs.
    * @param nowMs The current time.
@@ -148,7 +148,7 @@
     const level = this.level(nowMs);
     const isStartingUp = nowMs - this.#createdAtMs < SILENCE_TIMEOUT_MS &&
       this.#unheardCount() > 0;
-    // Processes that start together would otherwise each go into debt with their first request.
+    // Otherwise processes that start together could each take more than their level at once.
     const minLevel = isStartingUp ? Math.min(count, this.#limit.burst) : 0;
     if (level <= 0 || level < minLevel || this.#isTooLarge(count)) return false;
     if (
@@ -195,7 +195,7 @@
    * Applies the report of another process.
    *
    * @param address The process.
-   * @param report Its report; undefined if it sent none for this bucket, and so took nothing.
+   * @param report Its report; undefined if it sent none for this bucket, since it took nothing.
    * @param options The current time, and whether the process started before this one.
    */
   applyReport(
@@ -267,7 +267,7 @@
     if (isReturning) this.#checkSilence();
   }
 
-  /** Tokens deducted for a process since its last report, by estimate. */
+  /** Estimated usage of a process that was deducted from the level since its last report. */
   #assumedUsage({ perMs, reportedAtMs, silentSinceMs }: MemberUsage): number {
     const untilMs = silentSinceMs ?? this.#updatedAtMs;
     const silentForMs = this.#updatedAtMs - untilMs;
@@ -282,7 +282,7 @@
     this.#unreported = Math.max(0, this.#unreported + count);
   }
 
-  /** Refills up to a time, less the estimated usage of the other processes. */
+  /** Adds the refill up to a time and deducts the estimated usage of the other processes. */
   #advance(nowMs: number): void {
     const elapsedMs = nowMs - this.#updatedAtMs;
     if (elapsedMs <= 0) return;
@@ -290,7 +290,7 @@
     if (nowMs - this.#checkedAtMs >= SILENCE_CHECK_MS) this.#checkSilence();
     const { perSecond, burst } = this.#limit;
     const ratePerMs = perSecond / 1000;
-    // Silent processes keep their parts of the burst as well as of the rate.
+    // Part of the burst, not only of the rate, is reserved for silent processes.
     const ownShare = 1 - this.#silentShare;
     const filled = this.#level +
       (ratePerMs * ownShare - this.#othersPerMs) * elapsedMs;
@@ -303,7 +303,7 @@
     this.#retryBacklog = Math.max(0, retryBacklog);
   }
 
-  /** Detects silent processes, and updates their reserved part and the rate of the others. */
+  /** Detects silent processes; updates the rate reserved for them and the others' estimated rate. */
   #checkSilence(): void {
     this.#checkedAtMs = this.#updatedAtMs;
     let silentCount = this.#unheardCount();
@@ -327,7 +327,7 @@
     return available * this.#evenShare() * UNREPORTED_FACTOR;
   }
 
-  /** Whether a request would leave an isolated process a debt that takes seconds to pay off. */
+  /** Whether an isolated process would need seconds to refill what the request takes. */
   #isTooLarge(count: number): boolean {
     const ownShare = 1 - this.#silentShare;
     if (ownShare > ISOLATED_SHARE) return false;
--- a/src/router/broken_answer_test.ts
+++ b/src/router/broken_answer_test.ts
@@ -1,4 +1,4 @@
-/** Streams whose engine breaks off must be resumed as soon as another engine accepts them. */
+/** If an engine breaks off a stream, it must be resumed as soon as another engine accepts it. */
 import assert from "node:assert/strict";
 import { setTimeout as sleep } from "node:timers/promises";
 import { test, type TestContext } from "node:test";
@@ -31,11 +31,11 @@
 /** Time for which an engine or its registration in the store is unavailable. */
 const UNAVAILABLE_MS = 500;
 const ENTRY_COUNTS = [1, 16];
-/** Longer than the backoff between two refusals while a run is open. */
+/** Time for which one engine is silent; longer than the backoff between another one's refusals. */
 const SILENT_MS = 2500;
-/** Number of streams at the engines that terminate together. */
+/** Number of streams that run at the engines that terminate at the same time. */
 const STREAM_COUNT = 8;
-/** Number of streams that run at the remaining engine beforehand. */
+/** Number of streams that already run at the engine that does not terminate. */
 const BUSY_COUNT = 6;
 
 interface Open {
@@ -62,7 +62,7 @@
 }
 
 for (const entryCount of ENTRY_COUNTS) {
-  // Guards against using up all sends within milliseconds at an engine that refuses briefly.
+  // Guards against using up a request's allowed sends within ms at an engine that refuses briefly.
   test(`stream is resumed although the only other engine refuses for a while, ${entryCount} entries`, async (t) => {
     const { world, answer, gate } = await openStream(t, { entryCount });
     const other = await world.engine("i-2");
@@ -72,7 +72,7 @@
     assert.equal(runsOf(world), 2);
   });
 
-  // Guards against counting refused connections as sends, although no request reached a server.
+  // Guards against counting a refused connection as a send, although no request reached a server.
   test(`stream is resumed although the other engine's port is closed for a while, ${entryCount} entries`, async (t) => {
     const { world, answer, gate } = await openStream(t, { entryCount });
     const other = await world.engine("i-2");
@@ -84,8 +84,8 @@
     assert.equal(runsOf(world), 2);
   });
 
-  // Guards against cutting streams of engines that terminate together, because each is resent to
-  // another terminated engine.
+  // Guards against cutting streams when several engines terminate at once, because each stream is
+  // resent to another terminated engine.
   test(`streams are resumed when all engines but one terminate at once, ${entryCount} entries`, async (t) => {
     const world = await openLongTimeoutSetup(t, { entryCount });
     const takers = world.entries.slice(0, STREAM_COUNT);
@@ -95,7 +95,7 @@
         (_, i) => askOtherRequest(world, prefix + i, takers[i % takers.length]),
       );
     const slow = { model: "m", events: 100, eventMs: 20 };
-    // The remaining engine has the highest load, so it is the last choice.
+    // The engine that does not terminate has the highest load, so a resend chooses it last.
     const left = await world.worker("i-1", slow);
     await until(() => takers.every((entry) => stateContains(entry, "i-1")));
     const busy = askAt(BUSY_COUNT, 100);
@@ -116,7 +116,7 @@
   });
 }
 
-// Guards against cutting a stream because the only other engine has asked for a pause.
+// Guards against cutting a stream because the only other engine asks clients to pause.
 test("stream is resumed although the only other engine asks for a pause", async (t) => {
   const { world, answer, gate } = await openStream(t);
   const other = await world.engine("i-2");
@@ -140,7 +140,8 @@
   assert.equal(runsOf(world), 2);
 });
 
-// The same if the engine itself restarts at its address with another id.
+// Guards against cutting a started stream while its only engine restarts at the same address with
+// another id.
 test("stream is resumed when its engine restarts under a new id", async (t) => {
   const { world, engine, answer } = await openStream(t);
   const listenAddress = engine.address;
@@ -158,7 +159,7 @@
   const { world, engine, answer, gate } = await openStream(t, {
     entryCount: 16,
   });
-  // Refused requests use up this entry's share of the budget.
+  // Three requests that the engine refuses use up this entry's share of the resend budget.
   engine.faults.refuse = Infinity;
   for (const i of [1, 2, 3]) {
     const headers = { ...LONG_TIMEOUT_HEADERS, "attempt-id": `refused-${i}` };
@@ -176,7 +177,8 @@
   assertAllComplete(world, [asked], { requests: 24 });
 });
 
-// Guards against cutting a moved stream if both the copy and the resend are refused for a while.
+// A stream moves to another engine as a copy or, failing that, by a resend. Guards against cutting
+// it if both are refused for a while.
 test("stream is resumed although its copy is refused and the other engine refuses too", async (t) => {
   const world = await openLongTimeoutSetup(t);
   const { engines, answers } = await startStreamPerEngine(world, {
@@ -195,7 +197,7 @@
   assertAllComplete(world, asked, { events: LONG_EVENTS });
 });
 
-// A request that may run only once is not repeated, however much time is left.
+// A request that may run only once is not resent, however much time is left until its timeout.
 test("stream that may run only once is cut when its engine breaks off", async (t) => {
   for (
     const [path, maxAttempts] of [["/stream/a", 1], ["/once/a", 2]] as const
@@ -212,7 +214,8 @@
   }
 });
 
-// The same before the first event: the connection closes without a response.
+// A request that may run only once is not resent either if its engine closes the connection before
+// the first event.
 test("stream that may run only once fails when its response is lost", async (t) => {
   for (
     const [path, maxAttempts] of [["/stream/a", 1], ["/once/a", 2]] as const
@@ -228,7 +231,7 @@
   }
 });
 
-// Guards against cutting a stream for lack of attempts after a second engine has terminated.
+// Guards against cutting a stream because two terminated engines have used up its attempts.
 test("runs at terminated engines don't count as attempts of a route", async (t) => {
   const world = await openLongTimeoutSetup(t, { maxAttempts: 2 });
   const stall = {
@@ -248,7 +251,8 @@
   assert.equal(runsOf(world), 3);
 });
 
-// The same if another engine uses the address by then, so that connections are not refused.
+// Guards against counting a run at a terminated engine as an attempt if another engine already uses
+// its address, so that connections are not refused.
 test("runs at an engine whose address was reused don't count as attempts of a route", async (t) => {
   const world = await openLongTimeoutSetup(t, { maxAttempts: 1 });
   const gate = createClosedGate();
@@ -266,7 +270,8 @@
   assert.equal(runsOf(world), 2);
 });
 
-// Refusals while the engine was silent used up the sends, and its end cut the answer.
+// Guards against cutting an answer when its silent engine terminates, because another engine's
+// refusals have used up the request's allowed sends.
 test("silent engine breaks off after another one refused", async (t) => {
   const world = await openLongTimeoutSetup(t, { maxAttempts: 3 });
   const hangs = { ...NO_FAULTS, hang: 1 };
@@ -281,7 +286,7 @@
   assertComplete(await answer, JSON.stringify(requestsOf(world.lines)));
 });
 
-// Waiting for an engine must not lead to more runs than the route allows.
+// A stream that waits for another engine must not run more often than its route allows.
 test("stream that breaks off at every engine runs as often as its route allows", async (t) => {
   const world = await openLongTimeoutSetup(t, { maxAttempts: 2 });
   for (const id of ["i-1", "i-2", "i-3", "i-4"]) {
--- a/src/router/lost_store_contact_test.ts
+++ b/src/router/lost_store_contact_test.ts
@@ -9,9 +9,9 @@
   useConfig,
 } from "./_world.ts";
 
-/** Requests may reach a server for this long after the store has accepted that it leaves. */
+/** After the store records that a server leaves, entries may send it requests for this long. */
 const DRAIN_MS = 2000;
-/** Clock step: a part of the time after which a newly started entry counts as settled. */
+/** Clock step; after two, an entry's contact with the store counts as stable, which takes 1.9 s. */
 const STEP_MS = 1000;
 
 const FAILURES: Record<string, (entry: TestEntry) => void> = {
@@ -23,9 +23,9 @@
 };
 
 /*
- * An entry whose store calls failed while the store served other entries kept a server whose
- * deletion a peer reported, as if the registration had lapsed; ten requests reached servers too
- * late. Such an entry must apply what the store told the others.
+ * An entry that can't reach the store must apply changes that its peers read from the store. Guards
+ * against keeping a server whose deletion a peer reports, as if only its registration had expired:
+ * ten requests reached servers too late.
  */
 for (const [loss, lose] of Object.entries(FAILURES)) {
   for (const isTold of [true, false]) {
@@ -47,7 +47,7 @@
       );
       lose(away);
       const key = "servers/i-1";
-      // Stops the entry's clock, so that only what it does in time counts; its loops keep running.
+      // At the deadline the entry's clock stops, so later timeouts don't count; its loops go on.
       setTimeout(() => away.clock.stop(), DRAIN_MS).unref();
       if (isTold) {
         await world.store.put(
--- a/src/router/wanted_weights.ts
+++ b/src/router/wanted_weights.ts
@@ -1,35 +1,36 @@
 /**
- * Tracks which versions of the weights the operator has published, and when. Answers may not start
- * on weights that were replaced too long ago, and an entry's restart must not reset these ages.
- * Entries therefore gossip the ages that they know, which also corrects an entry that was
- * suspended. After a restart, an age is assumed to be high until a peer tells it.
+ * Tracks which versions of a model's weights the operator has published, and when. An engine may
+ * not start an answer on weights that were replaced longer ago than the age limit. Entries gossip
+ * the ages of versions, so that an entry that was restarted or suspended learns them from its
+ * peers. Until then, a restarted entry assumes a high age.
  */
 import type { Clock } from "../base/mod.ts";
 import type { WantedWeights } from "./model.ts";
 
-/** Margin before the bound from which replaced weights get requests only if no other engine can. */
+/** This long before their age limit, replaced weights are used only if no other engine can serve. */
 const STALE_MARGIN_MS = 3000;
 /**
- * Margin before the bound from which engines are ordered regardless of their runs. An engine that
- * has accepted its order starts nothing on its old weights; a call that times out takes 0.5 s.
+ * This long before its weights' age limit, an engine is ordered to load new ones despite its runs.
+ * An engine that has accepted the order starts no request on its old weights. The margin allows for
+ * an order that times out after 0.5 s.
  */
 const ORDER_MARGIN_MS = 1500;
-/** Margin before the bound from which replaced weights get no requests, since those may queue. */
+/** This long before its weights' age limit, an engine gets no requests, since they may queue. */
 const RETIRED_MARGIN_MS = 1000;
-/** Margin before the bound at which queued requests are cancelled; a cancellation takes some ms. */
+/** This long before its weights' age limit, an engine's queue is cancelled, which takes some ms. */
 const BEGIN_MARGIN_MS = 400;
-/** Ages are capped at this multiple of the bound when they are sent to peers. */
+/** Ages sent to peers are capped at this multiple of the age limit. */
 const MAX_AGE_BOUNDS = 2;
 
-/** Ages of replaced weights from which their use is restricted. */
+/** Times since weights were replaced, from which their use is restricted. */
 export interface WeightsLimits {
-  /** From this age the weights are used only if there is no alternative. */
+  /** From this age the weights are used only if no other engine can take a request. */
   staleFromMs: number;
-  /** From this age the engine is ordered without waiting for its runs. */
+  /** From this age an engine is ordered to load new weights without waiting for its runs. */
   orderByMs: number;
-  /** From this age the engine gets no new requests. */
+  /** From this age an engine with the weights gets no new requests. */
   retiredFromMs: number;
-  /** At this age requests that have not started on the engine are cancelled. */
+  /** At this age requests that an engine has queued but not started are cancelled. */
   beginUntilMs: number;
 }
 
@@ -42,14 +43,14 @@
 interface PublishedVersion {
   version: number;
   publishedAtMs: number;
-  /** The time is an assumption that no peer has confirmed. */
+  /** Whether the publication time is assumed, since no peer has reported an observed one. */
   isAssumed: boolean;
 }
 
 /** Settings of {@link WantedVersions}. */
 export interface WantedVersionsOptions {
   clock: Clock;
-  /** Answers may not start on weights that were replaced this long ago. */
+  /** Age limit: time since weights were replaced from which no answer may start on them. */
   boundMs: number;
 }
 
@@ -94,12 +95,11 @@
     if (this.newest(model) >= version) return false;
     const nowMs = this.#clock.nowMs();
     const versions = this.#published.get(model) ?? [];
-    // Capped at the stale age: until peers tell the real age, the weights remain usable as a last
-    // resort.
+    // The cap keeps the replaced weights usable as a last choice until a peer reports the real age.
     const assumedMs = Math.min(maxAgeMs, Math.max(0, this.limits.staleFromMs));
     versions.push({
       version,
-      // An age that is too high only makes engines be ordered earlier.
+      // Overestimating the age is safe: engines are only ordered to load the version earlier.
       publishedAtMs: nowMs - Math.max(assumedMs, coalescedMs),
       isAssumed: maxAgeMs > 0,
     });
@@ -108,7 +108,7 @@
   }
 
   /**
-   * Merges an age from a peer, which may arrive before the change in the store.
+   * Merges a version's age from a peer, which may arrive before the store reports the version.
    *
    * @param age Lower bound of the time since the version was published.
    * @returns Whether the version is newer than all known ones.
@@ -129,7 +129,8 @@
   }
 
   /**
-   * Merges an age from the stored record, for a version whose publication no entry has observed.
+   * Merges a version's age from the record in the store, unless this entry or a peer has observed
+   * the publication.
    *
    * @param age Upper bound of the time since the version was published.
    */
@@ -146,8 +147,8 @@
   }
 
   /**
-   * @returns Ages for peers: those that this entry or one of its peers has observed, not assumed
-   *   ones. Of a model's versions with the maximum age, only the newest is included, since it
+   * @returns The ages to send to peers: observed by this entry or a peer, not assumed. Of a
+   *   model's versions that have reached the maximum age, only the newest is included, since it
    *   replaced the others.
    */
   ages(): VersionAge[] {
@@ -196,7 +197,10 @@
   }
 }
 
-/** A version is never observed before its publication, so the earliest time is most accurate. */
+/**
+ * Replaces an assumed publication time, or keeps the earlier of two observed ones: a version is
+ * never observed before its publication, so the earliest time is the most accurate.
+ */
 function correctAge(known: PublishedVersion, publishedAtMs: number): void {
   known.publishedAtMs = known.isAssumed
     ? publishedAtMs
--- a/src/router/weights_roll_test.ts
+++ b/src/router/weights_roll_test.ts
@@ -10,11 +10,11 @@
   TURN_MS,
 } from "./_roll_kit.ts";
 
-/** Time in which the first holder waits for orders of a possible previous holder. */
+/** Wait before the first known lease holder's orders, since an unknown one may have sent some. */
 const FIRST_TURN_MS = 4000;
-/** TTL of the roll's lease. */
+/** TTL of the lease that allows a process to order engines to load weights. */
 const LEASE_MS = 1500;
-/** Options of a version that is noticed as soon as it is published. */
+/** Options of a version that the entry reads from the store as soon as it is published. */
 const SEEN_AT_ONCE = { maxAgeMs: 0 };
 
 /** Gives every engine runs that can't continue on another engine. */
@@ -24,7 +24,7 @@
   }
 }
 
-/** Starts a holder that may give orders at once, and publishes version 2. */
+/** Starts a lease holder, lets its wait before the first order pass, and publishes version 2. */
 async function startRoll(
   t: TestContext,
   { holderId = "a", ...options }: RollWorldOptions & { holderId?: string },
@@ -36,7 +36,7 @@
   return { ...world, holder };
 }
 
-/** @returns The shortest time between orders of two different holders to one engine. */
+/** @returns The shortest time between two orders that different holders sent to one engine. */
 function shortestHandoverMs(orders: AcceptedOrder[]): number {
   const turnsMs = orders.flatMap((order, i) =>
     orders.slice(0, i).filter(({ engine, holderId }) =>
@@ -46,14 +46,12 @@
   return Math.min(Infinity, ...turnsMs);
 }
 
-/** Publishes version 3 after orders of version 2, so that all engines have to change again. */
+/** Publishes version 3, so that engines already ordered to load version 2 are ordered again. */
 function publishThirdVersion({ wanted }: RollWorld): void {
   wanted.name({ model: "m", version: 3 }, SEEN_AT_ONCE);
 }
 
-/**
- * Kills the holder during its roll, starts a process, and returns the times of the later orders.
- */
+/** Kills the lease holder, starts a process, and returns how long after the kill orders follow. */
 async function orderTimesAfterKill(
   { clock, orders, startCandidate }: RollWorld,
   { holder, nextId }: { holder: TestCandidate; nextId: string },
@@ -84,7 +82,7 @@
 test("one of six busy engines is held back at once if there is enough time", async (t) => {
   const world = await startRoll(t, { engineCount: 6 });
   keepBusy(world.holder);
-  // A fifth of six engines, rounded.
+  // At most a fifth of the engines may be held back while they have runs: 1.2 of 6, rounded to 1.
   assert.equal(
     await countMostHeldBack(world, world.holder, { forMs: 3000 }),
     1,
@@ -104,15 +102,15 @@
   publishThirdVersion(world);
   const timesMs = await orderTimesAfterKill(world, { holder, nextId: "b" });
   assert.equal(timesMs.length, 4);
-  // Engines that the previous holder has not ordered may be ordered at once.
+  // The new holder orders engines without an order of the previous holder as soon as it can.
   assert.ok(timesMs[0]! < 2500, `${timesMs}`);
   assert.ok(shortestHandoverMs(orders) >= TURN_MS);
   assert.ok(shortestHandoverMs(orders) < Infinity);
 });
 
-// Guards against a late roll that changes one engine at a time: the second of six engines was
-// ordered 6.6 s after the publication and the last after 18 s, so that engines ran weights replaced
-// 16 s ago.
+// Guards against changing one engine at a time although the first order comes late: the second of
+// six engines was ordered 6.6 s after the publication and the last after 18 s, so that engines ran
+// weights replaced 16 s ago.
 test("roll that starts late orders every engine in time", async (t) => {
   const world = openRollWorld(t, { engineCount: 6 });
   const { clock, wanted, orders } = world;
@@ -124,8 +122,8 @@
   assert.ok(orders.every(({ atMs }) => atMs < BOUND_MS - 1000));
 });
 
-// Guards against one engine that delays all others: an order took 2.9 s, since it waited for the
-// engine's 19 runs, and all other engines waited for it.
+// Guards against an engine that delays all others: its order took 2.9 s, since it waited for 19
+// runs to end, and the other engines were ordered only afterwards.
 test("engine with long runs does not delay the others", async (t) => {
   const world = await startRoll(t, { engineCount: 6 });
   const { clock, orders, engines } = world;
@@ -143,12 +141,12 @@
   wanted.name({ model: "m", version: 2 }, SEEN_AT_ONCE);
   await clock.advance(6000);
   keepBusy(world.startCandidate("a"), 19);
-  // The holder may order from 9.2 s on; no time is left to wait for runs.
+  // The holder may send orders only from 9.2 s after the publication, too late to wait for runs.
   await clock.advance(BOUND_MS - 6000);
   assert.equal(new Set(orders.map(({ engine }) => engine)).size, 6);
 });
 
-// Guards against a slow roll: idle engines that had just started were ordered one by one.
+// Guards against a slow change of weights: idle, newly started engines were ordered one by one.
 test("idle engines are ordered two at a time", async (t) => {
   const world = await startRoll(t, { engineCount: 6 });
   const { holder, orders } = world;
@@ -156,12 +154,12 @@
   assert.equal(new Set(orders.map(({ engine }) => engine)).size, 6);
 });
 
-// Guards against idle engines: eleven of 53 engines were held back at once, but only two loaded.
+// Guards against engines that wait unused: eleven of 53 were held back at once, but only two loaded.
 test("held-back engine does not wait long for others to load", async (t) => {
   const world = await startRoll(t, { engineCount: 53 });
   const { clock, orders } = world;
   await clock.advance(2500);
-  // A quarter of the engines every 0.9 s.
+  // A quarter of 53 engines (13) may load at once, and a change takes 0.9 s: two rounds in 2.5 s.
   assert.ok(orders.length >= 26, `${orders.length}`);
 });
 
@@ -173,9 +171,9 @@
   );
 });
 
-// Guards against a wait for the holder's own orders: a process that restarted within 1.1 s reacquired
-// its lease and then waited at least 3.3 s before its next order. A restarted instance is the same
-// holder.
+// A restarted process is the same lease holder and need not wait for its own earlier orders. Guards
+// against such a wait: a process that restarted within 1.1 s reacquired its lease and then waited at
+// least 3.3 s before its next order.
 test("restarted holder orders without waiting", async (t) => {
   const world = await startRoll(t, { engineCount: 6 });
   const { holder, orders } = world;
@@ -211,7 +209,7 @@
   await clock.advance(FIRST_TURN_MS);
   before.kill();
   const holder = world.startCandidate("b");
-  // Holder b acquires the lease after a's expires, and waits before its first order.
+  // Process b acquires the lease when that of process a expires, and waits before its first order.
   await clock.advance(LEASE_MS + FIRST_TURN_MS);
   wanted.name({ model: "m", version: 2 }, SEEN_AT_ONCE);
   await clock.advance(500);
@@ -222,8 +220,8 @@
   assert.ok(shortestHandoverMs(orders) < Infinity);
 });
 
-// Guards against engines that are held back in vain: while the holder could not reach the store,
-// five engines were held back for 0.1 to 0.2 s within a second, but none was ordered.
+// Guards against holding engines back without ordering them: while the lease holder could not reach
+// the store, five engines were held back for 0.1 to 0.2 s within a second, but none was ordered.
 test("no engine is held back when the lease ends before its order", async (t) => {
   const world = openRollWorld(t, { engineCount: 6 });
   const { clock, store, wanted } = world;
@@ -264,7 +262,7 @@
   await clock.advance(BOUND_MS);
   const [order] = orders;
   assert.ok(order);
-  // A call without an answer times out after 0.5 s.
+  // A call that the silent engine leaves unanswered times out after 0.5 s.
   assert.ok(order.atMs < 9000 + 500 + 250);
 });
 
@@ -273,7 +271,7 @@
   const { clock, orders } = world;
   await clock.advance(500);
   publishThirdVersion(world);
-  // A graceful stop releases the lease, so that holder a acquires it right after an order of b.
+  // A graceful stop releases the lease, so that process a acquires it right after an order of b.
   await world.holder.stop();
   const first = world.startCandidate("a");
   await clock.advance(500);
@@ -284,13 +282,13 @@
   const own = orders.filter(({ holderId }) => holderId === "a");
   assert.equal(new Set(own.map(({ engine }) => engine)).size, 6);
   assert.ok(shortestHandoverMs(orders) >= TURN_MS);
-  // The wait must not start anew with the restart.
+  // A new holder that restarts during its wait must not start the wait again.
   assert.ok(shortestHandoverMs(orders) < 2 * TURN_MS);
 });
 
-// Guards against engines that return to use before they have loaded: three engines with 20 or more
-// runs were used again 4 s after they had accepted an order, and held back again 0.7 s later. All
-// that time they refused requests.
+// Guards against sending requests to engines that have not loaded their weights yet: three engines
+// with 20 or more runs were sent requests again 4 s after they had accepted an order, and held back
+// again 0.7 s later. They refused all requests in between.
 test("engine is held back until it has loaded the weights", async (t) => {
   const world = await startRoll(t, { engineCount: 1 });
   const { clock, engines, holder, orders } = world;
@@ -307,10 +305,10 @@
   const world = await startRoll(t, { engineCount: 1 });
   const { clock, store, holder, orders, startCandidate } = world;
   keepBusy(holder);
-  // Right after a renewal, so that the holder does not notice the loss of its lease soon.
+  // The holder has just renewed its lease, so it does not notice soon that the lease is lost.
   await clock.advance(150);
   assert.equal(holder.roll.heldBack().length, 1);
-  // The lease is revoked, and another process holds it for a moment.
+  // After the lease is revoked, another process holds it for a moment.
   const other = startCandidate("b");
   await store.revokeLease(1n);
   await clock.advance(600);
@@ -331,13 +329,13 @@
     nextId: "a",
   });
   assert.ok(timesMs.length > 0);
-  // The TTL of the killed process's lease, and one wait.
+  // The lease of the killed process expires first; then one wait before orders may follow.
   assert.ok(timesMs[0]! < LEASE_MS + TURN_MS + 500);
 });
 
-// Guards against orders that wait for long answers: engines with 8 to 25 runs were out of use for
-// 3.1 to 5.9 s, although a load takes 1.8 s, because they had been sent long answers shortly
-// before.
+// Engines that change next should get no requests with long answers, since an order waits for runs
+// to end. Guards against such waits: engines with 8 to 25 runs were out of use for 3.1 to 5.9 s,
+// although loading takes 1.8 s, because they had been sent such requests shortly before.
 test("engines that change next are announced until they are held back", async (t) => {
   const world = await startRoll(t, { engineCount: 10 });
   const { clock, engines, holder: { roll } } = world;
@@ -353,13 +351,13 @@
       waited.add(id);
       assert.ok(!out.has(id));
     }
-    // An engine that is no longer announced has been held back or has the weights.
+    // An engine that is no longer announced is held back or has loaded the new weights.
     for (const id of before.filter((id) => !next.includes(id))) {
       const engine = engines.find((engine) => engine.id === id);
       assert.ok(out.has(id) || engine?.version === 2);
     }
     before = next;
   }
-  // All but the first ones, which are held back at once.
+  // The first engines are held back without an announcement; all others are announced before.
   assert.ok(waited.size >= 8);
 });
